--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -47,8 +47,8 @@
 impl Bed {
     fn new(queues: usize, waiting: usize) -> Self {
         let bounds = PlannerBounds {
-            silence: Duration::from_secs(3),
-            lease_over: Duration::from_secs(6),
+            max_silence: Duration::from_secs(3),
+            lease_expiry: Duration::from_secs(6),
             keep_ended: Duration::from_secs(120),
             far_factor: 3.0,
             checkpoint_every: Duration::from_secs(2),
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -249,7 +249,9 @@
     async fn fence_earlier(&self, worker: Name) {
         let partition = self.lanes.partition(self.lanes.lane_of(&worker));
         if let Some(fenced) = self.writer.append(partition, Vec::new()).await {
-            self.planner.borrow_mut().orders_end(&worker, fenced.end);
+            self.planner
+                .borrow_mut()
+                .set_orders_end(&worker, fenced.end);
         }
     }
 
@@ -319,7 +321,7 @@
                 continue;
             };
             match decode::<Report>(&value) {
-                Some(report) if batch.replaces => planner.known_report(now, unix_ms(), report),
+                Some(report) if batch.replaces => planner.stored_report(now, unix_ms(), report),
                 Some(report) => planner.report(now, report),
                 None => log::warn!(key:% = record.key; "report_unreadable"),
             }
@@ -406,7 +408,7 @@
         let age_ms = proof_age.map(|age| age.as_millis() as u64);
         counters.level("configuration_age_ms", age_ms.unwrap_or(0) as f64);
         let now = self.entry.now();
-        match self.withheld.borrow_mut().pass(now, is_fresh, jobs) {
+        match self.withheld.borrow_mut().observe_pass(now, is_fresh, jobs) {
             Some(WithheldChange::Withheld) => {
                 counters.event("starts_withheld");
                 log::warn!(term = self.term.number, reason = "configuration_stale", age_ms, jobs; "starts_withheld");
@@ -454,7 +456,7 @@
             let now = self.entry.now();
             let mut planner = self.planner.borrow_mut();
             for (offset, order) in (appended.offset..).zip(orders.drain(..)) {
-                planner.ordered(now, &order, offset);
+                planner.order_stored(now, &order, offset);
             }
         }
     }
@@ -467,7 +469,9 @@
             "advice"
         );
         let now = self.entry.now();
-        self.planner.borrow_mut().advised(now, &question, answer);
+        self.planner
+            .borrow_mut()
+            .apply_advice(now, &question, answer);
         self.entry.news.notify_one();
     }
 
@@ -515,8 +519,8 @@
 fn planner_bounds<S, A>(entry: &StoreEntry<S, A>) -> PlannerBounds {
     let bounds = &entry.settings.bounds;
     PlannerBounds {
-        silence: AGENT_SILENCE,
-        lease_over: bounds.lease.mul_f64(CLOCK_SKEW) + LEASE_MARGIN,
+        max_silence: AGENT_SILENCE,
+        lease_expiry: bounds.lease.mul_f64(CLOCK_SKEW) + LEASE_MARGIN,
         keep_ended: bounds.keep_ended,
         far_factor: bounds.far_factor,
         checkpoint_every: bounds.checkpoint_every,
--- a/dragonflyrun/src/workload/demands.rs
+++ b/dragonflyrun/src/workload/demands.rs
@@ -21,15 +21,15 @@
 
 /// Milliseconds for which a task waits for room near its data while workers are idle elsewhere.
 /// Longer, and callers would see a job stand still in an idle pool.
-const IDLE_WAIT_MS: f64 = 2_000.0;
+const MAX_IDLE_LOCALITY_WAIT_MS: f64 = 2_000.0;
 
 /// Milliseconds after which a job of which nothing runs starts its first task, or gang, in room that is
 /// kept for more urgent work: its callers would see it stand still beside free workers.
-const STANDING_MS: u64 = 8_000;
+const STARVED_AFTER_MS: u64 = 8_000;
 
 /// Share of a job's time to its objective for which its last attempt waits, after the failure before it,
 /// for workers that have been seen to work.
-const CAUTIOUS_SHARE: u64 = 3;
+const PROVEN_WAIT_DIVISOR: u64 = 3;
 
 /// Builds the demands of one pass.
 pub(super) struct Demands<'a, 'v> {
@@ -43,7 +43,7 @@
     /// Whether less than half of the room is in use.
     pub(super) idle: bool,
     /// Whether several workers fail all that they start.
-    pub(super) sick_workers: bool,
+    pub(super) workers_faulty: bool,
 }
 
 impl Demands<'_, '_> {
@@ -58,7 +58,7 @@
                 if self.view.unix_ms < live.job.due_ms(occurrence) {
                     break;
                 }
-                self.of_job(
+                self.add_job(
                     live,
                     occurrence,
                     self.guaranteed.contains(name),
@@ -70,7 +70,7 @@
         demands
     }
 
-    fn of_job<'j>(
+    fn add_job<'j>(
         &self,
         live: &'j LiveJob,
         occurrence: u32,
@@ -84,15 +84,15 @@
                 continue;
             }
             let begin_ms = live.begin_ms(occurrence);
-            let stands_still =
-                !live.plan.has_runs() && self.view.unix_ms.saturating_sub(begin_ms) > STANDING_MS;
+            let is_starved = !live.plan.has_runs()
+                && self.view.unix_ms.saturating_sub(begin_ms) > STARVED_AFTER_MS;
             let caution = |index: u32| self.caution(live, occurrence, step, index);
             if shape.gang {
                 demands.push(Demand {
                     guaranteed,
                     caution: caution(0),
-                    stands_still,
-                    ..self.of_tasks(live, (occurrence, step), shape, objective_ms, waiting)
+                    is_starved,
+                    ..self.for_tasks(live, (occurrence, step), shape, objective_ms, waiting)
                 });
                 continue;
             }
@@ -100,14 +100,14 @@
             demands.extend(waiting.into_iter().map(|index| Demand {
                 guaranteed,
                 caution: caution(index),
-                stands_still: stands_still && Some(index) == first,
-                ..self.of_tasks(live, (occurrence, step), shape, objective_ms, vec![index])
+                is_starved: is_starved && Some(index) == first,
+                ..self.for_tasks(live, (occurrence, step), shape, objective_ms, vec![index])
             }));
         }
     }
 
     /// Returns a demand of tasks of a step of an occurrence, without a guarantee.
-    pub(super) fn of_tasks<'j>(
+    pub(super) fn for_tasks<'j>(
         &self,
         live: &LiveJob,
         (occurrence, step): (u32, u32),
@@ -129,11 +129,12 @@
             estimate_ms,
             slack_ms: objective_ms as i64 - self.view.unix_ms as i64 - estimate_ms as i64,
             objective_ms,
-            of_use: self.view.unix_ms + estimate_ms < live.useless_ms(objective_ms, occurrence),
+            still_useful: self.view.unix_ms + estimate_ms
+                < live.useless_ms(objective_ms, occurrence),
             avoid: live.failed_on.clone(),
             far_allowed: self.far_allowed(live.begin_ms(occurrence), estimate_ms),
-            stands_still: false,
-            only: None,
+            is_starved: false,
+            allowed_workers: None,
             caution: Caution::None,
         }
     }
@@ -146,8 +147,8 @@
         }
         let failed = live.failed_at.map(|at| self.view.now.since(at));
         let time_ms = live.objective_ms(self.times, occurrence) - live.begin_ms(occurrence);
-        let most = Duration::from_millis(time_ms / CAUTIOUS_SHARE);
-        if self.sick_workers && failed.is_some_and(|ago| ago < most) {
+        let max_wait = Duration::from_millis(time_ms / PROVEN_WAIT_DIVISOR);
+        if self.workers_faulty && failed.is_some_and(|ago| ago < max_wait) {
             Caution::OnlyProven
         } else {
             Caution::PreferProven
@@ -157,23 +158,23 @@
     /// Returns whether a task may run away from its data, or a gang on more than one rack. Work
     /// there takes several times as long, so it waits for room nearby as long as that would cost.
     fn far_allowed(&self, begin_ms: u64, estimate_ms: u64) -> bool {
-        let detour = estimate_ms as f64 * (self.bounds.far_factor - 1.0).max(0.0);
+        let far_cost_ms = estimate_ms as f64 * (self.bounds.far_factor - 1.0).max(0.0);
         let waited = self.view.unix_ms.saturating_sub(begin_ms) as f64;
-        let most = if self.idle {
-            detour.min(IDLE_WAIT_MS)
+        let max_wait = if self.idle {
+            far_cost_ms.min(MAX_IDLE_LOCALITY_WAIT_MS)
         } else {
-            detour
+            far_cost_ms
         };
-        waited > most
+        waited > max_wait
     }
 }
 
 fn rank(demand: &Demand<'_>) -> (u32, bool, bool, u64) {
-    let lost = demand.slack_ms < 0;
+    let objective_lost = demand.slack_ms < 0;
     (
         demand.priority,
         !demand.guaranteed,
-        lost,
+        objective_lost,
         demand.objective_ms,
     )
 }
--- a/dragonflyrun/src/workload/departure.rs
+++ b/dragonflyrun/src/workload/departure.rs
@@ -13,17 +13,17 @@
         Fleet, RunId, WorkerRun,
         demands::Demands,
         live::LiveJob,
-        pass::{Pass, expected_left_ms},
-        relocation::{demand_of, runs_of},
+        pass::{Pass, expected_remaining_ms},
+        relocation::{demand_for_run, runs_of_demand},
     },
 };
 
 /// Milliseconds before a worker leaves in which runs are stopped that save their state: the order
 /// reaches its agent in some 50 ms, a stop takes up to a second, and its end has to be reported.
-const LAST_MOMENT_MS: u64 = 1_000;
+const CHECKPOINT_STOP_LEAD_MS: u64 = 1_000;
 
 /// Returns the runs that are to be stopped on workers that leave.
-pub(super) fn to_move(
+pub(super) fn runs_to_stop(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
     demands: &Demands<'_, '_>,
@@ -31,27 +31,27 @@
 ) -> Vec<(Name, RunId)> {
     let mut found = Vec::new();
     // Steps whose gang moves, or of which one task more finds no room elsewhere.
-    let mut settled = HashSet::default();
-    for (run, stays_ms) in lost_by_departure(fleet, jobs, demands) {
+    let mut decided_steps = HashSet::default();
+    for (run, until_leave_ms) in runs_lost_at_departure(fleet, jobs, demands) {
         let step = (&run.task.job, run.task.occurrence, run.task.step);
-        let last_moment = stays_ms <= LAST_MOMENT_MS;
-        if settled.contains(&step) && !last_moment {
+        let stop_due = until_leave_ms <= CHECKPOINT_STOP_LEAD_MS;
+        if decided_steps.contains(&step) && !stop_due {
             continue;
         }
         let live = jobs.get(&run.task.job);
-        let Some(demand) = live.and_then(|live| demand_of(live, run, demands)) else {
+        let Some(demand) = live.and_then(|live| demand_for_run(live, run, demands)) else {
             continue;
         };
-        let saves = demand.shape.checkpoints;
-        let moves = (saves && last_moment)
-            || ((saves || demand.priority == 0)
-                && !settled.contains(&step)
-                && pass.reserve(&demand));
+        let checkpoints = demand.shape.checkpoints;
+        let moves = (checkpoints && stop_due)
+            || ((checkpoints || demand.priority == 0)
+                && !decided_steps.contains(&step)
+                && pass.take_healthy_room(&demand));
         if moves {
-            found.extend(runs_of(fleet, &demand, run));
+            found.extend(runs_of_demand(fleet, &demand, run));
         }
         if demand.shape.gang || !moves {
-            settled.insert(step);
+            decided_steps.insert(step);
         }
     }
     found.sort_unstable();
@@ -61,7 +61,7 @@
 
 /// Returns the runs that are expected to be under way yet when their worker leaves, with the
 /// milliseconds until then.
-fn lost_by_departure<'f>(
+fn runs_lost_at_departure<'f>(
     fleet: &'f Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
     demands: &Demands<'_, '_>,
@@ -71,12 +71,12 @@
         let Some(leaves_at) = worker.leaves_at else {
             continue;
         };
-        let stays_ms = leaves_at.since(demands.view.now).as_millis() as u64;
+        let until_leave_ms = leaves_at.since(demands.view.now).as_millis() as u64;
         let under_way = worker.runs.iter().filter(|(_, state)| is_under_way(state));
         let lost = under_way.filter(|(run, state)| {
-            expected_left_ms(jobs, demands.times, run, state, demands.view) > stays_ms
+            expected_remaining_ms(jobs, demands.times, run, state, demands.view) > until_leave_ms
         });
-        found.extend(lost.map(|(run, _)| (run, stays_ms)));
+        found.extend(lost.map(|(run, _)| (run, until_leave_ms)));
     }
     found
 }
--- a/dragonflyrun/src/workload/overdue.rs
+++ b/dragonflyrun/src/workload/overdue.rs
@@ -13,24 +13,24 @@
         demands::Demands,
         live::LiveJob,
         pass::{Pass, elapsed_ms, expected_ms},
-        relocation::{demand_of, runs_of},
+        relocation::{demand_for_run, runs_of_demand},
     },
 };
 
 /// A run that has taken so many times its expected time is overdue, and its worker doubtful.
-const OVERDUE: f64 = 3.0;
+const OVERDUE_RATIO: f64 = 3.0;
 
 /// Milliseconds that a run has to be overdue at the least: short tasks scatter more.
-const OVERDUE_MS: f64 = 2_000.0;
+const MIN_OVERDUE_MS: f64 = 2_000.0;
 
 /// Learned slowness of a worker from which on a run that is overdue there is its worker's fault. Without
 /// that, or a second job that is overdue there too, the guess may have been wrong: stopping on a
 /// single late run threw 0.18 of the urgent jobs of `tests/loads/cancel.json` out of their time.
-const SLOW: f64 = 2.5;
+const FAULTY_SLOWNESS: f64 = 2.5;
 
 /// Returns whether a run that is expected to take `expected` milliseconds is overdue after `elapsed`.
 pub(super) fn is_overdue(expected: f64, elapsed: f64) -> bool {
-    elapsed > (expected * OVERDUE).max(expected + OVERDUE_MS)
+    elapsed > (expected * OVERDUE_RATIO).max(expected + MIN_OVERDUE_MS)
 }
 
 /// Returns the overdue runs of urgent work that could start at once on sound workers: a whole gang, or
@@ -38,7 +38,7 @@
 ///
 /// Each task is moved once only: where its second run is overdue as well, it is the task that is
 /// long, and stopping it again would never let it come to an end.
-pub(super) fn to_move(
+pub(super) fn runs_to_stop(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
     demands: &Demands<'_, '_>,
@@ -49,7 +49,7 @@
         let late = overdue_runs(jobs, demands, state);
         let mut late_jobs: Vec<&Name> = late.iter().map(|run| &run.task.job).collect();
         late_jobs.dedup();
-        if late_jobs.len() < 2 && demands.times.slowness(worker) < SLOW {
+        if late_jobs.len() < 2 && demands.times.slowness(worker) < FAULTY_SLOWNESS {
             continue;
         }
         for run in late {
@@ -58,12 +58,12 @@
             let Some(live) = urgent else {
                 continue;
             };
-            let Some(mut demand) = demand_of(live, run, demands) else {
+            let Some(mut demand) = demand_for_run(live, run, demands) else {
                 continue;
             };
             demand.avoid.push(worker.clone());
-            if pass.has_sound_room(&demand) {
-                found.extend(runs_of(fleet, &demand, run));
+            if pass.has_healthy_room(&demand) {
+                found.extend(runs_of_demand(fleet, &demand, run));
             }
         }
     }
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -20,29 +20,29 @@
         load::PeakLoad,
         overdue::is_overdue,
         planner::View,
+        recent_failures::RecentFailures, //
         schedule::{self, Horizon, Victim},
-        trust::RecentFailures, //
     },
 };
 
 /// An urgent task may cost others so many times its own work in work that is thrown away: above
 /// that, more is lost than the urgent task is worth.
-const EVICTION_RATIO: f64 = 2.0;
+const MAX_EVICTION_COST_RATIO: f64 = 2.0;
 
 /// Added to the cost of evicting urgent work, in core-seconds: more than any task has to lose.
-const URGENT_COST: f64 = 1e6;
+const URGENT_EVICTION_COST_CORE_S: f64 = 1e6;
 
 /// How many times its own work it costs that a job is of no use: its caller has waited for nothing.
-const UNSERVED_COST: f64 = 3.0;
+const USELESS_JOB_COST_RATIO: f64 = 3.0;
 
 /// Blocked demands for which room is held in one pass: each holds back smaller work.
-const MOST_HOLDS: u32 = 3;
+const MAX_HOLDS_PER_PASS: u32 = 3;
 
 /// Milliseconds from the order to stop a run until its room is known to be free.
-const STOP_MS: u64 = 250;
+const EXPECTED_STOP_MS: u64 = 250;
 
 /// Milliseconds that a run which is past its expected end is taken to go on.
-const PAST_END_MS: u64 = 500;
+const MIN_REMAINING_MS: u64 = 500;
 
 /// A demand with the workers that were found for it.
 pub(super) struct Placed {
@@ -65,7 +65,7 @@
 }
 
 /// What has been learned of workers and load.
-pub(super) struct Learned<'a> {
+pub(super) struct Observations<'a> {
     pub(super) times: &'a RunTimes,
     pub(super) peaks: &'a PeakLoad,
     pub(super) failures: &'a RecentFailures,
@@ -85,7 +85,7 @@
 
 /// What became of a demand in a pass.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Served {
+enum ServeResult {
     Started,
     RoomBeingMade,
     RoomHeld,
@@ -99,13 +99,13 @@
         fleet: &'a Fleet,
         jobs: &BTreeMap<Name, LiveJob>,
         guaranteed: &HashSet<Name>,
-        learned: &Learned<'_>,
+        learned: &Observations<'_>,
         view: &View<'_>,
     ) -> Self {
         let mut rooms = rooms(fleet, jobs, learned, view);
         let idle = is_idle(&rooms);
-        close(&mut rooms, learned.peaks);
-        set_open(&mut rooms, idle);
+        reserve_workers(&mut rooms, learned.peaks);
+        set_open_to_all(&mut rooms, idle);
         let victims = victims(fleet, jobs, guaranteed, learned.times, view, &rooms);
         Self {
             fleet,
@@ -119,28 +119,28 @@
     }
 
     /// Returns whether a demand could start now on sound workers.
-    pub(super) fn has_sound_room(&mut self, demand: &Demand<'_>) -> bool {
-        self.sound_room(demand).is_some()
+    pub(super) fn has_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
+        self.healthy_room(demand).is_some()
     }
 
     /// Takes the room on sound workers that a demand could start on now, so that nothing else of this
     /// pass counts on it; returns whether there is such room.
-    pub(super) fn reserve(&mut self, demand: &Demand<'_>) -> bool {
-        let found = self.sound_room(demand);
+    pub(super) fn take_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
+        let found = self.healthy_room(demand);
         if let Some(found) = &found {
             self.take(demand, found);
         }
         found.is_some()
     }
 
-    fn sound_room(&mut self, demand: &Demand<'_>) -> Option<Vec<usize>> {
+    fn healthy_room(&mut self, demand: &Demand<'_>) -> Option<Vec<usize>> {
         let placed = self.count(demand);
         let found = schedule::place(demand, &self.rooms, Horizon::Now, &placed);
-        let sound = |i: &usize| {
+        let healthy = |i: &usize| {
             let room = &self.rooms[*i];
-            room.doubt == 0 && !demand.avoid.contains(&room.worker)
+            room.fault_count == 0 && !demand.avoid.contains(&room.worker)
         };
-        found.filter(|found| found.iter().all(sound))
+        found.filter(|found| found.iter().all(healthy))
     }
 
     /// Returns the room of all workers.
@@ -182,7 +182,7 @@
             let served = self.serve(demand);
             // A job waits for what the first of its blocked demands waits for; a job of many tasks
             // has many.
-            if served == Served::Started || self.outcome.waiting.contains_key(&demand.job) {
+            if served == ServeResult::Started || self.outcome.waiting.contains_key(&demand.job) {
                 continue;
             }
             let waiting = demand.waiting(before, self.reason(demand, served));
@@ -192,13 +192,13 @@
     }
 
     /// Starts a demand, or makes or keeps room for it.
-    fn serve(&mut self, demand: &Demand<'_>) -> Served {
+    fn serve(&mut self, demand: &Demand<'_>) -> ServeResult {
         let placed = self.count(demand);
         if self.start_now(demand, &placed) {
-            return Served::Started;
+            return ServeResult::Started;
         }
         if self.make_room(demand, &placed) {
-            return Served::RoomBeingMade;
+            return ServeResult::RoomBeingMade;
         }
         if demand.guaranteed {
             // The guarantee holds also where no rack can be cleared for it.
@@ -207,26 +207,29 @@
                 ..demand.clone()
             };
             if self.start_now(&far, &placed) {
-                return Served::Started;
+                return ServeResult::Started;
             }
             if self.make_room(&far, &placed) {
-                return Served::RoomBeingMade;
+                return ServeResult::RoomBeingMade;
             }
         }
         let large = demand.shape.gang || self.is_large(demand);
-        if large && self.holds < MOST_HOLDS && schedule::hold(demand, &mut self.rooms, &placed) {
+        if large
+            && self.holds < MAX_HOLDS_PER_PASS
+            && schedule::hold(demand, &mut self.rooms, &placed)
+        {
             self.holds += 1;
-            return Served::RoomHeld;
+            return ServeResult::RoomHeld;
         }
-        Served::NoRoom
+        ServeResult::NoRoom
     }
 
     /// Returns why a demand that was not started waits.
-    fn reason(&self, demand: &Demand<'_>, served: Served) -> WaitReason {
+    fn reason(&self, demand: &Demand<'_>, served: ServeResult) -> WaitReason {
         match served {
-            Served::RoomBeingMade => return WaitReason::RoomBeingMade,
-            Served::RoomHeld => return WaitReason::RoomHeld,
-            Served::Started | Served::NoRoom => {}
+            ServeResult::RoomBeingMade => return WaitReason::RoomBeingMade,
+            ServeResult::RoomHeld => return WaitReason::RoomHeld,
+            ServeResult::Started | ServeResult::NoRoom => {}
         }
         let suitable = self.rooms.iter();
         let suitable = suitable.filter(|r| schedule::is_suitable(demand, r));
@@ -254,26 +257,26 @@
         if !may_evict(demand) {
             return false;
         }
-        if let Some(found) = schedule::place(demand, &self.rooms, Horizon::Soon, placed) {
+        if let Some(found) = schedule::place(demand, &self.rooms, Horizon::AfterStops, placed) {
             self.take(demand, &found);
             return true;
         }
-        if !demand.guaranteed && self.wait_for_ends(demand, placed) {
+        if !demand.guaranteed && self.wait_for_run_ends(demand, placed) {
             return true;
         }
-        let most = most_cost(demand);
-        let found = schedule::evict(demand, &self.rooms, &self.victims, placed, most);
+        let max_cost = max_cost(demand);
+        let found = schedule::evict(demand, &self.rooms, &self.victims, placed, max_cost);
         let Some(found) = found else {
             return false;
         };
         log::info!(
             job:% = demand.job, step = demand.step, guaranteed = demand.guaranteed,
-            victims = found.victims.len(), lost_core_s = found.cost, most_core_s = most,
+            victims = found.victims.len(), lost_core_s = found.cost, most_core_s = max_cost,
             slack_ms = demand.slack_ms;
             "room_made"
         );
         for v in found.victims {
-            schedule::give_back(&mut self.rooms, &self.victims[v]);
+            schedule::return_room(&mut self.rooms, &self.victims[v]);
             let parts = std::mem::take(&mut self.victims[v].parts);
             let runs = parts
                 .iter()
@@ -286,8 +289,8 @@
 
     /// Returns whether the room that the demand needs becomes free by itself as soon as others could be
     /// stopped for it. A guarantee doesn't hang on what runs are expected to do.
-    fn wait_for_ends(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
-        let found = schedule::place(demand, &self.rooms, Horizon::At(STOP_MS), placed);
+    fn wait_for_run_ends(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
+        let found = schedule::place(demand, &self.rooms, Horizon::At(EXPECTED_STOP_MS), placed);
         if let Some(found) = &found {
             self.take(demand, found);
         }
@@ -299,7 +302,7 @@
         if self.idle && !is_idle(&self.rooms) {
             // A flood of small tasks would otherwise fill an idle pool in one pass.
             self.idle = false;
-            set_open(&mut self.rooms, false);
+            set_open_to_all(&mut self.rooms, false);
         }
         let workers = found.iter().map(|i| self.rooms[*i].worker.clone());
         let members: Vec<(u32, Name)> = demand.indexes.iter().copied().zip(workers).collect();
@@ -354,29 +357,29 @@
 /// of which nothing has run for long. Small tasks would keep such a gang from whole workers side by
 /// side for as long as they keep coming.
 fn may_evict(demand: &Demand<'_>) -> bool {
-    let in_time = demand.priority == 0 && demand.of_use;
-    let starves = demand.shape.gang && demand.stands_still;
-    demand.guaranteed || in_time || starves
+    let in_time = demand.priority == 0 && demand.still_useful;
+    let starved = demand.shape.gang && demand.is_starved;
+    demand.guaranteed || in_time || starved
 }
 
 /// Returns the core-seconds that may be thrown away for a demand.
-fn most_cost(demand: &Demand<'_>) -> f64 {
+fn max_cost(demand: &Demand<'_>) -> f64 {
     if demand.guaranteed {
         return f64::INFINITY;
     }
     let tasks = demand.indexes.len() as f64;
     let seconds = demand.estimate_ms as f64 / 1_000.0;
-    demand.shape.needs.weight() * tasks * seconds * EVICTION_RATIO
+    demand.shape.needs.weight() * tasks * seconds * MAX_EVICTION_COST_RATIO
 }
 
 fn rooms(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
-    learned: &Learned<'_>,
+    learned: &Observations<'_>,
     view: &View<'_>,
 ) -> Vec<Room> {
     let times = learned.times;
-    let failing_since = learned.failures.since();
+    let failing_since = learned.failures.failing_since();
     let usable = fleet
         .workers()
         .filter(|(_, w)| w.takes_tasks() && w.shunned_until <= view.now);
@@ -393,10 +396,10 @@
             let expected = expected_ms(jobs, times, run) as f64 * slowness.max(1.0);
             let elapsed = elapsed_ms(state, view) as f64;
             overdue |= is_overdue(expected, elapsed);
-            let left = match measured_left_ms(state, view) {
-                _ if state.stopping => STOP_MS,
+            let left = match measured_remaining_ms(state, view) {
+                _ if state.stopping => EXPECTED_STOP_MS,
                 Some(left_ms) => left_ms,
-                None => ((expected - elapsed).max(0.0) as u64).max(PAST_END_MS),
+                None => ((expected - elapsed).max(0.0) as u64).max(MIN_REMAINING_MS),
             };
             releases.push((left, state.needs));
         }
@@ -406,17 +409,17 @@
             labels: heartbeat.labels.clone(),
             rack: heartbeat.rack.clone(),
             free,
-            soon: free.plus(&worker.stopping()),
+            after_stops: free.plus(&worker.stopping()),
             capacity: heartbeat.capacity,
             releases,
             hold: None,
-            closed_to: u32::MAX,
-            is_open: true,
-            serves: has_step(jobs, worker, |s| s.response_ms > 0),
-            leftovers: has_step(jobs, worker, |s| s.leftovers),
-            doubt: worker.failures + u32::from(overdue),
+            reserved_against: u32::MAX,
+            open_to_all: true,
+            has_serving_tasks: runs_step_where(jobs, worker, |s| s.response_ms > 0),
+            has_leftover_tasks: runs_step_where(jobs, worker, |s| s.leftovers),
+            fault_count: worker.failures + u32::from(overdue),
             proven: failing_since.is_none_or(|since| worker.worked_since >= Some(since)),
-            slow: schedule::slowness_step(times, name),
+            slowness_step: schedule::slowness_step(times, name),
         })
     });
     rooms.collect()
@@ -438,39 +441,43 @@
 /// they run empty and gangs find whole workers side by side. Small tasks spread over all of them
 /// would have to be evicted for each. The racks with the fewest slow workers come first, as urgent
 /// work has the least time to lose.
-fn close(rooms: &mut [Room], peaks: &PeakLoad) {
+fn reserve_workers(rooms: &mut [Room], peaks: &PeakLoad) {
     let mut order: Vec<usize> = (0..rooms.len()).collect();
     let mut slow_on: HashMap<Option<Name>, u32> = HashMap::default();
     for room in &*rooms {
-        *slow_on.entry(room.rack.clone()).or_default() += room.slow;
+        *slow_on.entry(room.rack.clone()).or_default() += room.slowness_step;
     }
     order.sort_by_cached_key(|i| {
         let room = &rooms[*i];
         let slow = slow_on.get(&room.rack).copied();
         (slow, room.rack.clone(), room.worker.clone())
     });
-    for (priority, share) in peaks.kept() {
+    for (priority, share) in peaks.reserved_shares() {
         let count = (rooms.len() as f64 * share) as usize;
         for i in order.iter().take(count) {
-            rooms[*i].closed_to = priority;
+            rooms[*i].reserved_against = priority;
         }
     }
 }
 
 /// Opens the closed workers to all work, or not: in a pool that is half empty they stand open.
-fn set_open(rooms: &mut [Room], is_open: bool) {
+fn set_open_to_all(rooms: &mut [Room], open_to_all: bool) {
     for room in rooms {
-        room.is_open = is_open;
+        room.open_to_all = open_to_all;
     }
 }
 
 /// Returns whether a task of a step that is such runs on a worker.
-fn has_step(jobs: &BTreeMap<Name, LiveJob>, worker: &FleetWorker, such: fn(&Step) -> bool) -> bool {
+fn runs_step_where(
+    jobs: &BTreeMap<Name, LiveJob>,
+    worker: &FleetWorker,
+    predicate: fn(&Step) -> bool,
+) -> bool {
     let mut steps = worker.runs.keys().filter_map(|run| {
         let live = jobs.get(&run.task.job)?;
         live.job.request.steps.get(run.task.step as usize)
     });
-    steps.any(such)
+    steps.any(predicate)
 }
 
 pub(super) fn expected_ms(jobs: &BTreeMap<Name, LiveJob>, times: &RunTimes, run: &RunId) -> u64 {
@@ -480,26 +487,30 @@
 }
 
 /// Returns the milliseconds that a run is expected to take yet.
-pub(super) fn expected_left_ms(
+pub(super) fn expected_remaining_ms(
     jobs: &BTreeMap<Name, LiveJob>,
     times: &RunTimes,
     run: &RunId,
     state: &WorkerRun,
     view: &View<'_>,
 ) -> u64 {
-    if let Some(left_ms) = measured_left_ms(state, view) {
+    if let Some(left_ms) = measured_remaining_ms(state, view) {
         return left_ms;
     }
     let left = expected_ms(jobs, times, run).saturating_sub(elapsed_ms(state, view));
-    left.max(PAST_END_MS)
+    left.max(MIN_REMAINING_MS)
 }
 
 /// Returns the milliseconds that a run has left by its progress, where that tells. One that should be over
 /// by now has stopped to come on.
-fn measured_left_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
+fn measured_remaining_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
     let left = state.ends_at?.since(view.now).as_millis();
     let left_ms = u64::try_from(left).unwrap_or(u64::MAX);
-    Some(if left_ms == 0 { PAST_END_MS } else { left_ms })
+    Some(if left_ms == 0 {
+        MIN_REMAINING_MS
+    } else {
+        left_ms
+    })
 }
 
 pub(super) fn elapsed_ms(state: &WorkerRun, view: &View<'_>) -> u64 {
@@ -508,7 +519,7 @@
 
 /// Returns what it costs that a run's job loses its objective, or its use, by beginning anew, in
 /// core-seconds: its own work, which would then be done for little, or several times that.
-fn lateness(
+fn lateness_cost(
     live: &LiveJob,
     run: &RunId,
     state: &WorkerRun,
@@ -532,7 +543,7 @@
     if useless_ms < view.unix_ms {
         0.0
     } else if useless_ms < again_ms + waited_ms {
-        work * UNSERVED_COST
+        work * USELESS_JOB_COST_RATIO
     } else if view.unix_ms <= objective_ms && objective_ms < again_ms {
         work
     } else {
@@ -577,7 +588,7 @@
                 guaranteed: guaranteed.contains(&run.task.job),
                 // As urgent work yields only where no other can.
                 cost: if live.job.priority == 0 {
-                    URGENT_COST
+                    URGENT_EVICTION_COST_CORE_S
                 } else {
                     0.0
                 },
@@ -586,8 +597,8 @@
             // Work that was evicted before is dearer each time, so that no job is stopped over
             // and over while others are spared.
             let again = f64::from(live.evictions + 1);
-            victim.cost +=
-                unsaved * state.needs.weight() * again + lateness(live, run, state, times, view);
+            victim.cost += unsaved * state.needs.weight() * again
+                + lateness_cost(live, run, state, times, view);
             victim.parts.push((i, run.clone(), state.needs));
         }
     }
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -24,36 +24,36 @@
         live::{LiveJob, guaranteed_jobs},
         load::PeakLoad,
         overdue,
-        pass::{Learned, Pass, Placed},
+        pass::{Observations, Pass, Placed},
         queues::Queues,
+        recent_failures::RecentFailures,
         tickets::Tickets,
-        trust::RecentFailures,
     },
 };
 
 /// A worker that has failed so many runs in a row, of whatever jobs, is left alone for a while.
-const SHUN_AFTER: u32 = 2;
+const QUARANTINE_AFTER_FAILURES: u32 = 2;
 
 /// An agent is silent that has not reported for so many times as long as half of the others.
-const SILENT_TIMES: u32 = 4;
+const SILENCE_RATIO: u32 = 4;
 
 /// Age of a report up to which its agent is taken to live: it reports again within 1.2 s, and hosts'
 /// clocks differ a little.
-const RECENT_MS: u64 = 2_500;
+const RECENT_REPORT_MS: u64 = 2_500;
 
 /// A run that takes less than so many times the time of its work works at full speed.
-const FULL_SPEED: f64 = 1.1;
+const FULL_SPEED_RATIO: f64 = 1.1;
 
 /// How long it is left alone.
-const SHUN_FOR: Duration = Duration::from_secs(6);
+const QUARANTINE_TIME: Duration = Duration::from_secs(6);
 
 /// Bounds that the planner keeps; all come from the deployment's settings.
 #[derive(Clone, Debug)]
 pub struct PlannerBounds {
     /// Silence of an agent after which its session is closed.
-    pub silence: Duration,
+    pub max_silence: Duration,
     /// Time from the fence in the store to the end of the last lease, by the slowest clock.
-    pub lease_over: Duration,
+    pub lease_expiry: Duration,
     /// Time for which an ended job's state is kept.
     pub keep_ended: Duration,
     /// How many times longer a task takes away from its data or its gang.
@@ -212,12 +212,12 @@
     ///
     /// It may be of a worker that is long gone. Unless it is recent, nothing is started there before
     /// the agent reports again.
-    pub fn known_report(&mut self, now: Timestamp, unix_ms: u64, report: Report) {
+    pub fn stored_report(&mut self, now: Timestamp, unix_ms: u64, report: Report) {
         let worker = report.heartbeat.worker.clone();
         let age_ms = unix_ms.abs_diff(report.sent_ms);
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.is_live |= age_ms < RECENT_MS;
+            known.is_live |= age_ms < RECENT_REPORT_MS;
         }
     }
 
@@ -242,15 +242,15 @@
         let paces = report.paces.clone();
         let over = self.fleet.report(now, report, needs_of);
         self.learn_paces(&worker, &paces);
-        self.learn_totals(&worker);
+        self.learn_task_times(&worker);
         for run in over {
             self.run_over(now, run);
         }
         if let Some(known) = self.fleet.get_mut(&worker) {
-            if known.failures >= SHUN_AFTER && known.shunned_until <= now {
-                known.shunned_until = now + SHUN_FOR;
-                known.failures = SHUN_AFTER - 1;
-                log::warn!(worker:% = worker, for_ms:? = SHUN_FOR; "worker_set_aside");
+            if known.failures >= QUARANTINE_AFTER_FAILURES && known.shunned_until <= now {
+                known.shunned_until = now + QUARANTINE_TIME;
+                known.failures = QUARANTINE_AFTER_FAILURES - 1;
+                log::warn!(worker:% = worker, for_ms:? = QUARANTINE_TIME; "worker_set_aside");
             }
             let confirmed = known.confirmed;
             if ends > 0 {
@@ -276,7 +276,7 @@
             let work_s = f64::from(pace.spans) * every_s;
             let took_s = pace.took_ms as f64 / 1_000.0;
             let alone = step.is_some_and(|s| !s.gang);
-            if alone || took_s < work_s * FULL_SPEED {
+            if alone || took_s < work_s * FULL_SPEED_RATIO {
                 let speeds = self.run_times.speeds_mut();
                 speeds.learn(worker, &pace.run, work_s, took_s);
             }
@@ -284,7 +284,7 @@
     }
 
     /// Takes note of what the tasks on a worker would take on one of full speed, by their progress.
-    fn learn_totals(&mut self, worker: &Name) {
+    fn learn_task_times(&mut self, worker: &Name) {
         let slowness = self.run_times.speeds().slowness(worker).max(1.0);
         let runs = self.fleet.get(worker).into_iter().flat_map(|w| &w.runs);
         for (run, state) in runs {
@@ -296,7 +296,7 @@
     }
 
     /// Takes note of the offset at which an order stands in the store.
-    pub fn ordered(&mut self, now: Timestamp, order: &WorkerOrder, offset: u64) {
+    pub fn order_stored(&mut self, now: Timestamp, order: &WorkerOrder, offset: u64) {
         let Some(worker) = self.fleet.get_mut(&order.worker) else {
             return;
         };
@@ -315,7 +315,7 @@
     }
 
     /// Takes note that earlier planners can send no order for `worker` from offset `end` on.
-    pub fn orders_end(&mut self, worker: &str, end: u64) {
+    pub fn set_orders_end(&mut self, worker: &str, end: u64) {
         self.fleet.orders_end(worker, end);
     }
 
@@ -340,10 +340,10 @@
 
     /// Decides what to do.
     pub fn decide(&mut self, view: &View<'_>) -> Decisions {
-        for run in self.fleet.expire(view.now, self.bounds.lease_over) {
+        for run in self.fleet.expire(view.now, self.bounds.lease_expiry) {
             self.run_over(view.now, run);
         }
-        self.fence_silent(view);
+        self.fence_silent_agents(view);
         self.settle_jobs(view);
         let waiting = self.start_tasks(view);
         Decisions {
@@ -403,32 +403,33 @@
         records
     }
 
-    fn fence_silent(&mut self, view: &View<'_>) {
+    fn fence_silent_agents(&mut self, view: &View<'_>) {
         let Some(reports_since) = view.reports_since else {
             return;
         };
-        let most = self.most_silence(view, reports_since);
-        let quiet = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
+        let allowed = self.allowed_silence(view, reports_since);
+        let silence_of = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
         let silent = self.fleet.workers().filter(|(_, w)| {
             // A worker that stays away from its agent may run on under its last lease.
             let lost = w
                 .unreachable_since
-                .is_some_and(|s| view.now.since(s) > self.bounds.silence);
+                .is_some_and(|s| view.now.since(s) > self.bounds.max_silence);
             // One that reads no orders extends no lease: its session is closed when it has none left.
             let unread = w
                 .unread_since()
                 .map(|s| view.now.since(s.max(reports_since)));
-            let reads_none = unread.is_some_and(|u| u > most + self.bounds.lease_over);
-            w.closing == Closing::No && (quiet(w) > most || lost || reads_none)
+            let reads_no_orders = unread.is_some_and(|u| u > allowed + self.bounds.lease_expiry);
+            w.closing == Closing::No && (silence_of(w) > allowed || lost || reads_no_orders)
         });
         let mut silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         let open = self.fleet.workers();
         let open = open.filter(|(_, w)| w.closing == Closing::No).count();
-        if silent.len() * 2 > open && !self.long_silent(view, reports_since) {
+        if silent.len() * 2 > open && !self.all_silent(view, reports_since) {
             // So many agents at once are not gone; the store is slow. Closing their sessions would
             // stop all running work. One that stays silent for a lease more is given up all the same.
-            let lapsed = |w: &FleetWorker| quiet(w) > most + self.bounds.lease_over;
-            silent.retain(|name| self.fleet.get(name).is_some_and(lapsed));
+            let silent_past_lease =
+                |w: &FleetWorker| silence_of(w) > allowed + self.bounds.lease_expiry;
+            silent.retain(|name| self.fleet.get(name).is_some_and(silent_past_lease));
         }
         for name in silent {
             if let Some(worker) = self.fleet.get_mut(&name) {
@@ -437,7 +438,7 @@
                     worker:% = name, session = worker.session, runs = worker.runs.len(),
                     silent_ms = view.now.since(worker.reported).as_millis() as u64,
                     unread_ms = worker.unread_since().map(|s| view.now.since(s).as_millis() as u64),
-                    most_ms = most.as_millis() as u64;
+                    most_ms = allowed.as_millis() as u64;
                     "worker_silent"
                 );
                 self.orders.entry(name).or_default().fence = true;
@@ -449,26 +450,26 @@
     ///
     /// On a slow store the reports of all agents queue. Held to the bound of a fast one, agents that
     /// live would be given up one by one, and everything that runs on their workers stopped.
-    fn most_silence(&self, view: &View<'_>, reports_since: Timestamp) -> Duration {
+    fn allowed_silence(&self, view: &View<'_>, reports_since: Timestamp) -> Duration {
         let open = self
             .fleet
             .workers()
             .filter(|(_, w)| w.closing == Closing::No);
         let silences = open.map(|(_, w)| view.now.since(w.reported.max(reports_since)));
         let mut silences: Vec<Duration> = silences.collect();
-        let silence = self.bounds.silence;
+        let silence = self.bounds.max_silence;
         let Some(last) = silences.len().checked_sub(1) else {
             return silence;
         };
-        let (_, usual, _) = silences.select_nth_unstable(last / 2);
-        (*usual * SILENT_TIMES).clamp(silence, silence * 2)
+        let (_, median, _) = silences.select_nth_unstable(last / 2);
+        (*median * SILENCE_RATIO).clamp(silence, silence * 2)
     }
 
     /// Returns whether every agent has been silent for twice the time that is allowed.
-    fn long_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
+    fn all_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
         let newest = self.fleet.workers().map(|(_, w)| w.reported).max();
         let heard = newest.unwrap_or_default().max(reports_since);
-        view.now.since(heard) > self.bounds.silence * 2
+        view.now.since(heard) > self.bounds.max_silence * 2
     }
 
     /// Starts what fits; returns what waits. Without a fresh proof of the configuration nothing
@@ -476,7 +477,7 @@
     fn start_tasks(&mut self, view: &View<'_>) -> HashMap<Name, Waiting> {
         let guaranteed = guaranteed_jobs(&self.jobs, view.configuration);
         self.failures.forget(view.now);
-        let learned = Learned {
+        let learned = Observations {
             times: &self.run_times,
             peaks: &self.peaks,
             failures: &self.failures,
@@ -490,7 +491,9 @@
             times: &self.run_times,
             guaranteed: &guaranteed,
             idle: pass.is_idle(),
-            sick_workers: self.failures.are_workers_sick(self.fleet.workers().count()),
+            workers_faulty: self
+                .failures
+                .are_workers_faulty(self.fleet.workers().count()),
         };
         let mut demands = builder.all(&self.jobs);
         if !view.is_fresh {
@@ -500,12 +503,13 @@
             };
             return demands.iter().enumerate().map(stale).collect();
         }
-        self.peaks.see(view.now, &pass.load(&self.jobs, &demands));
-        self.tickets_for(view.now, &queues, pass.rooms(), &mut demands);
-        let overdue = overdue::to_move(&self.fleet, &self.jobs, &builder, &mut pass);
+        self.peaks
+            .observe(view.now, &pass.load(&self.jobs, &demands));
+        self.apply_tickets(view.now, &queues, pass.rooms(), &mut demands);
+        let overdue = overdue::runs_to_stop(&self.fleet, &self.jobs, &builder, &mut pass);
         let outcome = pass.run(&demands);
-        let leaving = departure::to_move(&self.fleet, &self.jobs, &builder, &mut pass);
-        self.move_overdue(overdue);
+        let leaving = departure::runs_to_stop(&self.fleet, &self.jobs, &builder, &mut pass);
+        self.stop_overdue(overdue);
         for (worker, run) in leaving {
             self.stop(&worker, &run, "worker_leaves");
         }
@@ -522,7 +526,7 @@
     }
 
     /// Stops overdue runs; what they worked on waits again once they are over.
-    fn move_overdue(&mut self, runs: Vec<(Name, RunId)>) {
+    fn stop_overdue(&mut self, runs: Vec<(Name, RunId)>) {
         for (worker, run) in runs {
             if let Some(live) = self.jobs.get_mut(&run.task.job) {
                 live.moved.insert(run.task.clone());
@@ -533,7 +537,7 @@
     }
 
     /// Limits demands of queues whose policy asks the advisor to the workers that have tickets.
-    fn tickets_for(
+    fn apply_tickets(
         &self,
         now: Timestamp,
         queues: &Queues<'_>,
@@ -550,12 +554,12 @@
             tickets.ask(now, demand, advice, rooms);
             let held = rooms.iter().map(|r| &r.worker);
             let held = held.filter(|w| tickets.ticket(now, demand, w).is_some());
-            demand.only = Some(held.cloned().collect());
+            demand.allowed_workers = Some(held.cloned().collect());
         }
     }
 
     /// Takes the advisor's answer, or that there was none.
-    pub fn advised(
+    pub fn apply_advice(
         &mut self,
         now: Timestamp,
         question: &AdviceQuestion,
@@ -616,10 +620,12 @@
                 resumed = !checkpoint.is_empty();
                 "run_ordered"
             );
-            let ticket =
-                self.tickets
-                    .get_mut()
-                    .held(&placed.job, placed.occurrence, placed.step, worker);
+            let ticket = self.tickets.get_mut().ticket_for_start(
+                &placed.job,
+                placed.occurrence,
+                placed.step,
+                worker,
+            );
             let start = TaskStart {
                 ticket,
                 run,
--- a/dragonflyrun/src/workload/planner/settle.rs
+++ b/dragonflyrun/src/workload/planner/settle.rs
@@ -9,12 +9,12 @@
     workload::{
         Outcome, RunId, RunOver, RunOverReason,
         planner::{Planner, View},
-        trust::Failure,
+        recent_failures::Failure,
     },
 };
 
 /// Milliseconds in which the ends of a gang's other members are reported after the first one.
-const ENDS_FOLLOW_MS: u64 = 2_000;
+const GANG_END_REPORTS_MS: u64 = 2_000;
 
 impl Planner {
     /// Takes note that a run is over.
@@ -36,7 +36,7 @@
             return;
         };
         log::info!(
-            job:% = run.task.job, run:% = run, worker:% = worker, why:% = kind_name(&why),
+            job:% = run.task.job, run:% = run, worker:% = worker, why:% = reason_label(&why),
             ran_ms = running_since.map_or(0, |s| now.since(s).as_millis() as u64);
             "run_over"
         );
@@ -68,7 +68,7 @@
             if matches!(why, RunOverReason::Refused(StartOutcome::NoTicket)) {
                 let task = &run.task;
                 let tickets = self.tickets.get_mut();
-                tickets.refused(&task.job, task.occurrence, task.step, &worker);
+                tickets.drop_ticket(&task.job, task.occurrence, task.step, &worker);
             }
             if matches!(why, RunOverReason::Refused(StartOutcome::Unhealthy)) {
                 live.failed_on.push(worker);
@@ -88,9 +88,9 @@
                 }
                 if let Some(placed_at) = whole_since {
                     let took_ms = now.since(placed_at).as_millis() as f64;
-                    let guess_ms = shape.estimate_ms;
+                    let caller_estimate_ms = shape.estimate_ms;
                     self.run_times
-                        .learn(&live.job.queue, &worker, guess_ms, took_ms);
+                        .learn(&live.job.queue, &worker, caller_estimate_ms, took_ms);
                 }
             }
             EndKind::Failed => {
@@ -100,13 +100,13 @@
                     counted.failed += 1;
                 }
                 live.failed_at = Some(now);
-                let in_a_row = self.fleet.get(&worker).map_or(1, |w| w.failures);
+                let consecutive = self.fleet.get(&worker).map_or(1, |w| w.failures);
                 self.failures.add(Failure {
                     at: now,
                     worker: worker.clone(),
                     job: run.task.job.clone(),
                     ran: running_since.map_or(Duration::ZERO, |since| now.since(since)),
-                    in_a_row,
+                    consecutive,
                 });
                 live.failed_on.push(worker);
             }
@@ -174,7 +174,7 @@
         match live.plan.outcome {
             // The members of a gang end together; the ends of the others are on their way.
             Some(Outcome::Completed) => {
-                return view.unix_ms < live.plan.ended_ms + ENDS_FOLLOW_MS;
+                return view.unix_ms < live.plan.ended_ms + GANG_END_REPORTS_MS;
             }
             Some(Outcome::Failed | Outcome::Cancelled) => return false,
             None => {}
@@ -203,7 +203,7 @@
     }
 }
 
-fn kind_name(why: &RunOverReason) -> String {
+fn reason_label(why: &RunOverReason) -> String {
     match why {
         RunOverReason::Ended(end) => format!("{:?}", end.kind),
         RunOverReason::Refused(outcome) => format!("refused:{outcome:?}"),
--- a/dragonflyrun/src/workload/trust.rs
+++ b/dragonflyrun/src/workload/recent_failures.rs
@@ -10,21 +10,21 @@
 use crate::utils::{HashSet, Name, Timestamp};
 
 /// Time for which a failure counts.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const FAILURE_WINDOW: Duration = Duration::from_secs(10);
 
 /// Workers that have failed lately from which on others may be sick as well. A single one may have been
 /// given a task that fails anywhere.
-const MANY: usize = 2;
+const MIN_FAULTY_WORKERS: usize = 2;
 
 /// Share of all workers from which on those that have failed are more than chance brings.
-const MANY_SHARE: f64 = 0.02;
+const MIN_FAULTY_SHARE: f64 = 0.02;
 
 /// Failures in a row after which a worker is taken to be sick; single ones happen anywhere.
-const IN_A_ROW: u32 = 2;
+const MIN_CONSECUTIVE_FAILURES: u32 = 2;
 
 /// A run that fails sooner after its start speaks against its worker: tasks that fail by themselves
 /// work for a while before.
-const AT_ONCE: Duration = Duration::from_millis(700);
+const EARLY_FAILURE: Duration = Duration::from_millis(700);
 
 /// How much a demand cares on which workers it runs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -53,13 +53,13 @@
     /// How long it had run.
     pub(super) ran: Duration,
     /// How many runs had failed on the worker one after the other.
-    pub(super) in_a_row: u32,
+    pub(super) consecutive: u32,
 }
 
 impl Failure {
     /// Returns whether it speaks against the worker rather than the task.
-    fn is_sign(&self) -> bool {
-        self.in_a_row >= IN_A_ROW || self.ran < AT_ONCE
+    fn indicates_faulty_worker(&self) -> bool {
+        self.consecutive >= MIN_CONSECUTIVE_FAILURES || self.ran < EARLY_FAILURE
     }
 }
 
@@ -74,25 +74,25 @@
     /// Forgets old failures.
     pub(super) fn forget(&mut self, now: Timestamp) {
         while let Some(oldest) = self.failures.front()
-            && now.since(oldest.at) > REMEMBERED
+            && now.since(oldest.at) > FAILURE_WINDOW
         {
             self.failures.pop_front();
         }
     }
 
     /// Returns since when several workers have been failing; none where it is one at the most.
-    pub(super) fn since(&self) -> Option<Timestamp> {
+    pub(super) fn failing_since(&self) -> Option<Timestamp> {
         let first = self.failures.front()?;
         let workers: HashSet<&Name> = self.failures.iter().map(|f| &f.worker).collect();
-        (workers.len() >= MANY).then_some(first.at)
+        (workers.len() >= MIN_FAULTY_WORKERS).then_some(first.at)
     }
 
     /// Returns whether several of so many workers fail all that they start, of more than one job.
-    pub(super) fn are_workers_sick(&self, all: usize) -> bool {
-        let signs = || self.failures.iter().filter(|f| f.is_sign());
-        let workers: HashSet<&Name> = signs().map(|f| &f.worker).collect();
-        let jobs: HashSet<&Name> = signs().map(|f| &f.job).collect();
-        let many = MANY.max((all as f64 * MANY_SHARE) as usize);
+    pub(super) fn are_workers_faulty(&self, all: usize) -> bool {
+        let indications = || self.failures.iter().filter(|f| f.indicates_faulty_worker());
+        let workers: HashSet<&Name> = indications().map(|f| &f.worker).collect();
+        let jobs: HashSet<&Name> = indications().map(|f| &f.job).collect();
+        let many = MIN_FAULTY_WORKERS.max((all as f64 * MIN_FAULTY_SHARE) as usize);
         workers.len() >= many && jobs.len() > 1
     }
 }
--- a/dragonflyrun/src/workload/relocation.rs
+++ b/dragonflyrun/src/workload/relocation.rs
@@ -6,7 +6,7 @@
 };
 
 /// Returns what a run, or the gang that it is part of, would need to be started again.
-pub(super) fn demand_of<'j>(
+pub(super) fn demand_for_run<'j>(
     live: &'j LiveJob,
     run: &RunId,
     demands: &Demands<'_, '_>,
@@ -20,11 +20,15 @@
     let task = &run.task;
     let objective_ms = live.objective_ms(demands.times, task.occurrence);
     let step = (task.occurrence, task.step);
-    Some(demands.of_tasks(live, step, shape, objective_ms, indexes))
+    Some(demands.for_tasks(live, step, shape, objective_ms, indexes))
 }
 
 /// Returns all runs that are under way of what a demand stands for.
-pub(super) fn runs_of(fleet: &Fleet, demand: &Demand<'_>, run: &RunId) -> Vec<(Name, RunId)> {
+pub(super) fn runs_of_demand(
+    fleet: &Fleet,
+    demand: &Demand<'_>,
+    run: &RunId,
+) -> Vec<(Name, RunId)> {
     let gang = demand.shape.gang;
     let workers = fleet.workers();
     let runs = workers.flat_map(|(name, w)| w.runs.keys().map(move |r| (name, r)));
--- a/dragonflyrun/src/workload/schedule.rs
+++ b/dragonflyrun/src/workload/schedule.rs
@@ -38,22 +38,22 @@
     /// Unix milliseconds by which the job should be done.
     pub objective_ms: u64,
     /// Whether it would be of use to its caller yet if it started at once.
-    pub of_use: bool,
+    pub still_useful: bool,
     /// Workers where runs of the job failed; taken only where no other has room.
     pub avoid: Vec<Name>,
     /// Whether it takes another rack than that of its data, or more than one.
     pub far_allowed: bool,
     /// Whether nothing of its job has run for so long that it takes room kept for more urgent work.
-    pub stands_still: bool,
+    pub is_starved: bool,
     /// The only workers that may run it, where the queue's policy says which.
-    pub only: Option<Vec<Name>>,
+    pub allowed_workers: Option<Vec<Name>>,
     /// Whether it is for workers that have been seen to work.
     pub caution: Caution,
 }
 
 impl Demand<'_> {
     /// Returns whether it has too little time to be run on slow workers as well as on fast ones.
-    fn is_hurried(&self) -> bool {
+    fn is_time_critical(&self) -> bool {
         self.priority == 0 || self.slack_ms < self.estimate_ms as i64
     }
 
@@ -92,7 +92,7 @@
     /// What is free now.
     pub free: Resources,
     /// What is free once the stops under way are through.
-    pub soon: Resources,
+    pub after_stops: Resources,
     /// What it has in all.
     pub capacity: Resources,
     /// What becomes free in so many milliseconds, by what its tasks are expected to take.
@@ -101,19 +101,19 @@
     pub hold: Option<Hold>,
     /// The lowest priority number, that is the most urgent, of work that is kept off the worker so
     /// that more urgent work finds whole workers free.
-    pub closed_to: u32,
+    pub reserved_against: u32,
     /// Whether it takes such work all the same, where no other worker does.
-    pub is_open: bool,
+    pub open_to_all: bool,
     /// Higher for workers that have failed tasks or stand still.
-    pub doubt: u32,
+    pub fault_count: u32,
     /// Whether it has been seen to work since workers began to fail; true where none do.
     pub proven: bool,
     /// Whether tasks run there that serve their own users.
-    pub serves: bool,
+    pub has_serving_tasks: bool,
     /// Whether tasks run there that take what processor time is left over.
-    pub leftovers: bool,
+    pub has_leftover_tasks: bool,
     /// How much slower than others it works, in steps; see [`slowness_step`].
-    pub slow: u32,
+    pub slowness_step: u32,
 }
 
 /// Runs that are evicted together: a gang, or one task.
@@ -135,33 +135,33 @@
     /// What is free now and not held for others.
     Now,
     /// What is free once the stops under way are through.
-    Soon,
+    AfterStops,
     /// What is expected to be free in so many milliseconds, on workers without a hold.
     At(u64),
 }
 
 /// Moments that are tried for a hold, at the most: more would make a pass at 300 workers take
 /// longer than the few milliseconds that an entry's share of a core allows.
-const MOST_MOMENTS: usize = 24;
+const MAX_HOLD_TIMES: usize = 24;
 
 /// A worker on which tasks take so many times as long as expected has turned slow. Guesses of run
 /// times are rough, so the bound lies far above the differences between kinds of workers.
-const TURNED_SLOW: f64 = 2.5;
+const DEGRADED_SLOWNESS: f64 = 2.5;
 
 /// Returns how much slower than others a worker is, in steps: 0 for full speed.
 pub(super) fn slowness_step(times: &RunTimes, worker: &Name) -> u32 {
-    if times.slowness(worker) > TURNED_SLOW {
+    if times.slowness(worker) > DEGRADED_SLOWNESS {
         SLOWEST_STEP
     } else {
-        times.speeds().step(worker)
+        times.speeds().slowness_step(worker)
     }
 }
 
 impl Room {
-    fn has(&self, horizon: Horizon) -> Resources {
+    fn available(&self, horizon: Horizon) -> Resources {
         match horizon {
             Horizon::Now => self.free,
-            Horizon::Soon => self.soon,
+            Horizon::AfterStops => self.after_stops,
             Horizon::At(ms) => self.free_at(ms),
         }
     }
@@ -174,7 +174,7 @@
     /// Takes `needs` for `for_ms` milliseconds.
     pub(super) fn take(&mut self, needs: &Resources, for_ms: u64) {
         self.free = self.free.minus(needs);
-        self.soon = self.soon.minus(needs);
+        self.after_stops = self.after_stops.minus(needs);
         self.releases.push((for_ms, *needs));
         if let Some(hold) = self.hold.as_mut().filter(|h| for_ms > h.from_ms) {
             hold.spare = hold.spare.minus(needs);
@@ -192,18 +192,19 @@
     let fitting: Vec<usize> = (0..rooms.len())
         .filter(|i| is_suitable(demand, &rooms[*i]))
         .collect();
-    let sound = |i: &usize| !demand.avoid.contains(&rooms[*i].worker) && rooms[*i].doubt == 0;
-    let sound: Vec<usize> = fitting.iter().copied().filter(sound).collect();
-    let near = tiers(demand, rooms, &sound).into_iter();
+    let healthy =
+        |i: &usize| !demand.avoid.contains(&rooms[*i].worker) && rooms[*i].fault_count == 0;
+    let healthy: Vec<usize> = fitting.iter().copied().filter(healthy).collect();
+    let near = speed_tiers(demand, rooms, &healthy).into_iter();
     let near = near
-        .chain([sound.clone(), fitting.clone()])
-        .filter_map(|rows| place_near(demand, rooms, &rows, horizon, placed))
+        .chain([healthy.clone(), fitting.clone()])
+        .filter_map(|rows| place_nearby(demand, rooms, &rows, horizon, placed))
         .next();
     if near.is_some() || !demand.far_allowed {
         return near;
     }
-    let far = [&sound, &fitting].into_iter();
-    far.filter_map(|rows| fill(demand, rooms, rows, horizon, placed))
+    let far = [&healthy, &fitting].into_iter();
+    far.filter_map(|rows| best_fit(demand, rooms, rows, horizon, placed))
         .next()
 }
 
@@ -213,21 +214,21 @@
 /// A gang over workers of two kinds is as slow as the slower ones and keeps the faster ones waiting.
 /// Work that has little time to lose takes the fast workers, which other work leaves to it as long
 /// as it finds room on the slower ones.
-fn tiers(demand: &Demand<'_>, rooms: &[Room], candidates: &[usize]) -> Vec<Vec<usize>> {
-    let mut steps: Vec<u32> = candidates.iter().map(|i| rooms[*i].slow).collect();
+fn speed_tiers(demand: &Demand<'_>, rooms: &[Room], candidates: &[usize]) -> Vec<Vec<usize>> {
+    let mut steps: Vec<u32> = candidates.iter().map(|i| rooms[*i].slowness_step).collect();
     steps.sort_unstable();
     steps.dedup();
     // The last set is that of all candidates, which come anyway.
     steps.pop();
-    let hurried = demand.is_hurried();
-    if !hurried {
+    let time_critical = demand.is_time_critical();
+    if !time_critical {
         steps.reverse();
     }
     let tier = |step: u32| {
         let of_tier = candidates.iter().filter(|i| {
-            let slow = rooms[**i].slow;
+            let slow = rooms[**i].slowness_step;
             // Workers that have turned slow are for nobody as long as there are others.
-            if hurried {
+            if time_critical {
                 slow <= step
             } else {
                 slow > step && slow < SLOWEST_STEP
@@ -239,7 +240,7 @@
 }
 
 /// Places where the tasks work at full speed: on one rack, or on the rack of the data.
-fn place_near(
+fn place_nearby(
     demand: &Demand<'_>,
     rooms: &[Room],
     candidates: &[usize],
@@ -248,17 +249,21 @@
 ) -> Option<Vec<usize>> {
     if let Some(rack) = &demand.shape.rack {
         let near = on_rack(rooms, candidates, rack);
-        return fill(demand, rooms, &near, horizon, placed);
+        return best_fit(demand, rooms, &near, horizon, placed);
     }
     if !(demand.shape.one_rack && demand.indexes.len() > 1) {
-        return fill(demand, rooms, candidates, horizon, placed);
+        return best_fit(demand, rooms, candidates, horizon, placed);
     }
     let found = by_rack(rooms, candidates).into_iter().filter_map(|near| {
-        let found = fill(demand, rooms, &near, horizon, placed)?;
-        let slow = found.iter().map(|i| rooms[*i].slow).max().unwrap_or(0);
+        let found = best_fit(demand, rooms, &near, horizon, placed)?;
+        let slow = found
+            .iter()
+            .map(|i| rooms[*i].slowness_step)
+            .max()
+            .unwrap_or(0);
         let left: u64 = near
             .iter()
-            .map(|i| rooms[*i].has(horizon).accelerators)
+            .map(|i| rooms[*i].available(horizon).accelerators)
             .sum();
         Some(((slow, left), found))
     });
@@ -291,7 +296,7 @@
 }
 
 /// Places each task on the fullest worker that still takes it.
-fn fill(
+fn best_fit(
     demand: &Demand<'_>,
     rooms: &[Room],
     candidates: &[usize],
@@ -312,10 +317,10 @@
             let room = &rooms[c.room];
             let left = c.free.accelerators - needs.accelerators;
             (
-                room.doubt,
+                room.fault_count,
                 demand.caution != Caution::None && !room.proven,
-                is_kept_from(demand, room),
-                rank_of_speed(demand, room),
+                is_reserved_against(demand, room),
+                speed_rank(demand, room),
                 left,
                 c.free.cpu_millis,
             )
@@ -329,17 +334,17 @@
 }
 
 /// Returns whether the worker is kept for work that is more urgent than the demand.
-fn is_kept_from(demand: &Demand<'_>, room: &Room) -> bool {
-    demand.priority >= room.closed_to
+fn is_reserved_against(demand: &Demand<'_>, room: &Room) -> bool {
+    demand.priority >= room.reserved_against
 }
 
 /// Urgent work takes the fastest worker; other work avoids only those that have turned slow, since
 /// packing tasks tightly is worth more to all.
-fn rank_of_speed(demand: &Demand<'_>, room: &Room) -> u32 {
-    if demand.is_hurried() {
-        return room.slow;
+fn speed_rank(demand: &Demand<'_>, room: &Room) -> u32 {
+    if demand.is_time_critical() {
+        return room.slowness_step;
     }
-    u32::from(room.slow == SLOWEST_STEP)
+    u32::from(room.slowness_step == SLOWEST_STEP)
 }
 
 fn candidate(
@@ -357,7 +362,7 @@
     let here = placed.get(&room.worker).copied().unwrap_or(0);
     Some(Candidate {
         room: index,
-        free: room.has(horizon),
+        free: room.available(horizon),
         spare: outlasts.map(|h| h.spare),
         tasks_left: match demand.shape.per_worker {
             0 => u32::MAX,
@@ -373,13 +378,13 @@
 pub(super) fn is_suitable(demand: &Demand<'_>, room: &Room) -> bool {
     let label = demand.shape.label.as_ref();
     room.service == demand.service
-        && (room.is_open || demand.stands_still || !is_kept_from(demand, room))
+        && (room.open_to_all || demand.is_starved || !is_reserved_against(demand, room))
         && demand
-            .only
+            .allowed_workers
             .as_ref()
-            .is_none_or(|only| only.contains(&room.worker))
-        && !(demand.shape.leftovers && room.serves)
-        && !(demand.shape.response_ms > 0 && room.leftovers)
+            .is_none_or(|allowed| allowed.contains(&room.worker))
+        && !(demand.shape.leftovers && room.has_serving_tasks)
+        && !(demand.shape.response_ms > 0 && room.has_leftover_tasks)
         && (room.proven || demand.caution != Caution::OnlyProven)
         && label.is_none_or(|label| room.labels.contains(label))
         && room.capacity.fits(&demand.shape.needs)
@@ -392,14 +397,14 @@
 /// one of them always fits first.
 pub(super) fn hold(demand: &Demand<'_>, rooms: &mut [Room], placed: &HashMap<Name, u32>) -> bool {
     let suitable = rooms.iter().filter(|r| is_suitable(demand, r));
-    let mut moments: Vec<u64> = suitable
+    let mut release_times: Vec<u64> = suitable
         .flat_map(|r| &r.releases)
         .map(|(ms, _)| *ms)
         .collect();
-    moments.sort_unstable();
-    moments.dedup();
-    let stride = moments.len().div_ceil(MOST_MOMENTS).max(1);
-    for from_ms in moments.into_iter().step_by(stride) {
+    release_times.sort_unstable();
+    release_times.dedup();
+    let stride = release_times.len().div_ceil(MAX_HOLD_TIMES).max(1);
+    for from_ms in release_times.into_iter().step_by(stride) {
         let Some(found) = place(demand, rooms, Horizon::At(from_ms), placed) else {
             continue;
         };
@@ -434,21 +439,21 @@
     rooms: &[Room],
     victims: &[Victim],
     placed: &HashMap<Name, u32>,
-    most_cost: f64,
+    max_cost: f64,
 ) -> Option<Eviction> {
     let suitable = (0..rooms.len()).filter(|i| is_suitable(demand, &rooms[*i]));
     let suitable: Vec<usize> = suitable.collect();
-    let groups = groups(demand, rooms, &suitable);
-    let found = groups.iter().filter_map(|group| {
-        let mut clearing = Clearing::new(demand, rooms, victims, placed);
-        clearing.clear(group).then_some(clearing.eviction)
+    let worker_groups = worker_groups(demand, rooms, &suitable);
+    let found = worker_groups.iter().filter_map(|group| {
+        let mut search = EvictionSearch::new(demand, rooms, victims, placed);
+        search.select_for_group(group).then_some(search.eviction)
     });
     let cheapest = found.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-    (cheapest.cost <= most_cost).then_some(cheapest)
+    (cheapest.cost <= max_cost).then_some(cheapest)
 }
 
 /// Returns the sets of workers that may take all tasks of the demand together.
-fn groups(demand: &Demand<'_>, rooms: &[Room], suitable: &[usize]) -> Vec<Vec<usize>> {
+fn worker_groups(demand: &Demand<'_>, rooms: &[Room], suitable: &[usize]) -> Vec<Vec<usize>> {
     let near = match &demand.shape.rack {
         Some(rack) => vec![on_rack(rooms, suitable, rack)],
         None if demand.shape.one_rack && demand.indexes.len() > 1 => by_rack(rooms, suitable),
@@ -461,33 +466,33 @@
 }
 
 /// Clears workers for one demand, one task after the other.
-struct Clearing<'a> {
+struct EvictionSearch<'a> {
     demand: &'a Demand<'a>,
     victims: &'a [Victim],
-    soon: Vec<Resources>,
+    after_stops: Vec<Resources>,
     tasks_left: Vec<u32>,
-    by_room: Vec<Vec<usize>>,
+    victims_by_room: Vec<Vec<usize>>,
     eviction: Eviction,
 }
 
-impl<'a> Clearing<'a> {
+impl<'a> EvictionSearch<'a> {
     fn new(
         demand: &'a Demand<'a>,
         rooms: &[Room],
         victims: &'a [Victim],
         placed: &HashMap<Name, u32>,
     ) -> Self {
-        let mut by_room = vec![Vec::new(); rooms.len()];
+        let mut victims_by_room = vec![Vec::new(); rooms.len()];
         for (v, victim) in victims
             .iter()
             .enumerate()
-            .filter(|(_, v)| yields(v, demand))
+            .filter(|(_, v)| must_yield(v, demand))
         {
             for (i, ..) in &victim.parts {
-                by_room[*i].push(v);
+                victims_by_room[*i].push(v);
             }
         }
-        for of_room in &mut by_room {
+        for of_room in &mut victims_by_room {
             of_room.sort_by(|a, b| victims[*a].cost.total_cmp(&victims[*b].cost));
             of_room.dedup();
         }
@@ -498,9 +503,9 @@
         Self {
             demand,
             victims,
-            soon: rooms.iter().map(|r| r.soon).collect(),
+            after_stops: rooms.iter().map(|r| r.after_stops).collect(),
             tasks_left: tasks_left.collect(),
-            by_room,
+            victims_by_room,
             eviction: Eviction {
                 victims: Vec::new(),
                 rooms: Vec::new(),
@@ -510,12 +515,12 @@
     }
 
     /// Clears workers of `group` for all tasks; returns whether that can be done.
-    fn clear(&mut self, group: &[usize]) -> bool {
+    fn select_for_group(&mut self, group: &[usize]) -> bool {
         for _ in &self.demand.indexes {
             let cheapest = group
                 .iter()
                 .filter(|i| self.tasks_left[**i] > 0)
-                .filter_map(|i| self.price(*i).map(|(cost, taken)| (cost, taken, *i)))
+                .filter_map(|i| self.cost_on(*i).map(|(cost, taken)| (cost, taken, *i)))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let Some((cost, taken, i)) = cheapest else {
                 return false;
@@ -525,38 +530,40 @@
             }
             self.eviction.cost += cost;
             self.eviction.rooms.push(i);
-            self.soon[i] = self.soon[i].minus(&self.demand.shape.needs);
+            self.after_stops[i] = self.after_stops[i].minus(&self.demand.shape.needs);
             self.tasks_left[i] -= 1;
         }
         true
     }
 
     /// Returns what it costs to make one task fit on a worker, and the victims.
-    fn price(&self, i: usize) -> Option<(f64, Vec<usize>)> {
-        let mut soon = self.soon[i];
+    fn cost_on(&self, i: usize) -> Option<(f64, Vec<usize>)> {
+        let mut after_stops = self.after_stops[i];
         let mut cost = 0.0;
         let mut taken = Vec::new();
-        let open = self.by_room[i]
+        let open = self.victims_by_room[i]
             .iter()
             .filter(|v| !self.eviction.victims.contains(v));
         for v in open {
-            if soon.fits(&self.demand.shape.needs) {
+            if after_stops.fits(&self.demand.shape.needs) {
                 break;
             }
             let parts = self.victims[*v]
                 .parts
                 .iter()
                 .filter(|(room, ..)| *room == i);
-            soon = parts.fold(soon, |sum, (_, _, needs)| sum.plus(needs));
+            after_stops = parts.fold(after_stops, |sum, (_, _, needs)| sum.plus(needs));
             cost += self.victims[*v].cost;
             taken.push(*v);
         }
-        soon.fits(&self.demand.shape.needs).then_some((cost, taken))
+        after_stops
+            .fits(&self.demand.shape.needs)
+            .then_some((cost, taken))
     }
 
     fn take(&mut self, v: usize) {
         for (i, _, needs) in &self.victims[v].parts {
-            self.soon[*i] = self.soon[*i].plus(needs);
+            self.after_stops[*i] = self.after_stops[*i].plus(needs);
         }
         self.eviction.victims.push(v);
     }
@@ -564,13 +571,13 @@
 
 /// Returns whether a victim has to yield to a demand: what is less urgent does, and before a
 /// guarantee also what is as urgent and stands on room that is only lent to it.
-fn yields(victim: &Victim, demand: &Demand<'_>) -> bool {
+fn must_yield(victim: &Victim, demand: &Demand<'_>) -> bool {
     victim.priority > demand.priority || (demand.guaranteed && !victim.guaranteed)
 }
 
 /// Gives the room of a victim back, as far as it becomes free soon.
-pub(super) fn give_back(rooms: &mut [Room], victim: &Victim) {
+pub(super) fn return_room(rooms: &mut [Room], victim: &Victim) {
     for (i, _, needs) in &victim.parts {
-        rooms[*i].soon = rooms[*i].soon.plus(needs);
+        rooms[*i].after_stops = rooms[*i].after_stops.plus(needs);
     }
 }
--- a/dragonflyrun/src/workload/tickets.rs
+++ b/dragonflyrun/src/workload/tickets.rs
@@ -12,30 +12,30 @@
 };
 
 /// Workers that one question names, at the most: the advisor takes so many.
-const MOST_NAMED: usize = 30;
+const MAX_WORKERS_PER_QUESTION: usize = 30;
 
 /// Questions under way at once, at the most: more would only wait at the advisor.
-const MOST_ASKED: usize = 4;
+const MAX_OPEN_QUESTIONS: usize = 4;
 
 /// Time for an answer beyond what the advisor takes for one question alone.
-const MARGIN: Duration = Duration::from_secs(2);
+const ANSWER_MARGIN: Duration = Duration::from_secs(2);
 
 /// Before its end a ticket is no longer used: the order takes a while to reach the worker.
-const EARLY: Duration = Duration::from_millis(500);
+const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time after an answer that names no worker with room until the step is asked about again.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const ASK_AGAIN_AFTER: Duration = Duration::from_millis(500);
 
 type StepKey = (Name, u32, u32);
 
 /// What is known of one step.
 #[derive(Clone, Debug, Default)]
 struct StepAdvice {
-    asked: bool,
+    is_pending: bool,
     ask_after: Timestamp,
     tickets: HashMap<Name, (String, Timestamp)>,
     /// Workers that the advisor did not name; what it says of a step does not change.
-    refused: HashMap<Name, ()>,
+    not_allowed: HashMap<Name, ()>,
 }
 
 /// All tickets.
@@ -54,11 +54,11 @@
         worker: &Name,
     ) -> Option<&str> {
         let (ticket, until) = self.steps.get(&key(demand))?.tickets.get(worker)?;
-        (now + EARLY < *until).then_some(ticket)
+        (now + TICKET_EXPIRY_MARGIN < *until).then_some(ticket)
     }
 
     /// Returns the ticket that a start on a worker has to carry, where the step needs one.
-    pub(super) fn held(
+    pub(super) fn ticket_for_start(
         &self,
         job: &Name,
         occurrence: u32,
@@ -77,32 +77,38 @@
         advice: &Advice,
         rooms: &[Room],
     ) {
-        let asked = self.steps.values().filter(|s| s.asked).count();
+        let asked = self.steps.values().filter(|s| s.is_pending).count();
         let step = self.steps.entry(key(demand)).or_default();
-        if step.asked || now < step.ask_after || asked >= MOST_ASKED {
+        if step.is_pending || now < step.ask_after || asked >= MAX_OPEN_QUESTIONS {
             return;
         }
         let unknown = rooms.iter().filter(|r| {
             let valid = step
                 .tickets
                 .get(&r.worker)
-                .is_some_and(|(_, until)| now + EARLY < *until);
-            !valid && !step.refused.contains_key(&r.worker)
+                .is_some_and(|(_, until)| now + TICKET_EXPIRY_MARGIN < *until);
+            !valid && !step.not_allowed.contains_key(&r.worker)
         });
         let mut unknown: Vec<&Room> = unknown.collect();
-        unknown.sort_by_key(|r| (!r.free.fits(&demand.shape.needs), r.doubt, r.slow));
-        unknown.truncate(MOST_NAMED.max(demand.indexes.len()));
+        unknown.sort_by_key(|r| {
+            (
+                !r.free.fits(&demand.shape.needs),
+                r.fault_count,
+                r.slowness_step,
+            )
+        });
+        unknown.truncate(MAX_WORKERS_PER_QUESTION.max(demand.indexes.len()));
         if unknown.is_empty() {
             return;
         }
-        step.asked = true;
+        step.is_pending = true;
         let named = u32::try_from(unknown.len()).unwrap_or(u32::MAX);
         self.questions.push(AdviceQuestion {
             job: demand.job.clone(),
             occurrence: demand.occurrence,
             step: demand.step,
             workers: unknown.iter().map(|r| r.worker.clone()).collect(),
-            within: (advice.base + advice.each * named) * MOST_ASKED as u32 + MARGIN,
+            within: (advice.base + advice.each * named) * MAX_OPEN_QUESTIONS as u32 + ANSWER_MARGIN,
         });
     }
 
@@ -122,8 +128,8 @@
         let Some(step) = self.steps.get_mut(&key) else {
             return;
         };
-        step.asked = false;
-        step.ask_after = now + ASK_AGAIN;
+        step.is_pending = false;
+        step.ask_after = now + ASK_AGAIN_AFTER;
         let Some(answer) = answer else {
             return;
         };
@@ -135,14 +141,14 @@
                     step.tickets.insert(worker.clone(), (ticket.clone(), until));
                 }
                 None => {
-                    step.refused.insert(worker.clone(), ());
+                    step.not_allowed.insert(worker.clone(), ());
                 }
             }
         }
     }
 
     /// Drops a ticket that a worker did not take: it began another life.
-    pub(super) fn refused(&mut self, job: &Name, occurrence: u32, step: u32, worker: &Name) {
+    pub(super) fn drop_ticket(&mut self, job: &Name, occurrence: u32, step: u32, worker: &Name) {
         if let Some(step) = self.steps.get_mut(&(job.clone(), occurrence, step)) {
             step.tickets.remove(worker);
         }
--- a/dragonflyrun/src/workload/withheld.rs
+++ b/dragonflyrun/src/workload/withheld.rs
@@ -7,7 +7,7 @@
 use crate::utils::Timestamp;
 
 /// Time between two log lines about one spell.
-const REPEAT: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What is worth a log line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -25,12 +25,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WithheldStarts {
     since: Option<Timestamp>,
-    told: Timestamp,
+    logged_at: Timestamp,
 }
 
 impl WithheldStarts {
     /// Takes note of a pass that found `waiting` jobs; returns what is worth a log line.
-    pub fn pass(
+    pub fn observe_pass(
         &mut self,
         now: Timestamp,
         is_fresh: bool,
@@ -43,12 +43,12 @@
             });
         }
         let is_new = self.since.is_none() && waiting > 0;
-        let is_due = self.since.is_some() && now.since(self.told) >= REPEAT;
+        let is_due = self.since.is_some() && now.since(self.logged_at) >= LOG_INTERVAL;
         if !is_new && !is_due {
             return None;
         }
         self.since.get_or_insert(now);
-        self.told = now;
+        self.logged_at = now;
         Some(WithheldChange::Withheld)
     }
 }
--- a/dragonflyrun/tests/run_proofs.rs
+++ b/dragonflyrun/tests/run_proofs.rs
@@ -259,7 +259,7 @@
         is_fresh: true,
         reports_since: Some(now),
     };
-    next.orders_end("w0", 12);
+    next.set_orders_end("w0", 12);
     let mut report = bed.reports[0].clone();
     report.sequence += 1;
     next.report(now, report);
@@ -297,7 +297,7 @@
     gone.sequence += 1;
     gone.sent_ms = EPOCH_MS - 30_000;
     bed.planner
-        .known_report(Timestamp::default(), EPOCH_MS, gone);
+        .stored_report(Timestamp::default(), EPOCH_MS, gone);
     bed.submit("job", 0, vec![task(8)]);
     assert!(bed.pass().orders.is_empty());
     bed.add_worker("new", "r0");
--- a/dragonflyrun/tests/step_tickets.rs
+++ b/dragonflyrun/tests/step_tickets.rs
@@ -37,7 +37,7 @@
     assert!(bed.pass().questions.is_empty(), "one question at a time");
     let now = Timestamp::from_millis(bed.now_ms);
     bed.planner
-        .advised(now, &decisions.questions[0], answer("w2"));
+        .apply_advice(now, &decisions.questions[0], answer("w2"));
     let decisions = bed.pass();
     let start = &decisions.orders[0].order.starts[0];
     assert_eq!(start.ticket.as_deref(), Some("t-1"));
@@ -60,12 +60,12 @@
     );
     let question = bed.pass().questions.remove(0);
     bed.planner
-        .advised(Timestamp::from_millis(bed.now_ms), &question, None);
+        .apply_advice(Timestamp::from_millis(bed.now_ms), &question, None);
     assert!(bed.pass().questions.is_empty(), "not at once again");
     bed.wait(1_000);
     let question = bed.pass().questions.remove(0);
     bed.planner
-        .advised(Timestamp::from_millis(bed.now_ms), &question, answer("w1"));
+        .apply_advice(Timestamp::from_millis(bed.now_ms), &question, answer("w1"));
     bed.pass();
     let (_, run) = bed.running("job")[0].clone();
     bed.refuse(&run, StartOutcome::NoTicket);
--- a/dragonflyrun/tests/unread_orders.rs
+++ b/dragonflyrun/tests/unread_orders.rs
@@ -49,7 +49,7 @@
     let orders = decide(&mut bed);
     bed.wait(20_000);
     let now = Timestamp::from_millis(bed.now_ms);
-    bed.planner.ordered(now, &orders[0], 11);
+    bed.planner.order_stored(now, &orders[0], 11);
     let fences = decide(&mut bed).into_iter().filter(|o| o.order.fence);
     assert_eq!(fences.count(), 0);
 }
--- a/dragonflyrun/tests/withheld_starts.rs
+++ b/dragonflyrun/tests/withheld_starts.rs
@@ -15,20 +15,20 @@
 #[test]
 fn spell_logged() {
     let mut withheld = WithheldStarts::default();
-    assert_eq!(withheld.pass(at(0), true, 3), None);
-    let began = withheld.pass(at(1_000), false, 3);
+    assert_eq!(withheld.observe_pass(at(0), true, 3), None);
+    let began = withheld.observe_pass(at(1_000), false, 3);
     assert_eq!(began, Some(WithheldChange::Withheld));
-    let resumed = withheld.pass(at(1_700), true, 3);
+    let resumed = withheld.observe_pass(at(1_700), true, 3);
     let after = Duration::from_millis(700);
     assert_eq!(resumed, Some(WithheldChange::Resumed { after }));
-    assert_eq!(withheld.pass(at(1_800), true, 3), None);
+    assert_eq!(withheld.observe_pass(at(1_800), true, 3), None);
 }
 
 /// Guards against a line for each of the ten passes a second.
 #[test]
 fn lines_bounded() {
     let mut withheld = WithheldStarts::default();
-    let passes = (0..600).filter_map(|i| withheld.pass(at(i * 100), false, 1));
+    let passes = (0..600).filter_map(|i| withheld.observe_pass(at(i * 100), false, 1));
     let lines = passes.count();
     assert!((10..=13).contains(&lines), "{lines} lines in a minute");
 }
@@ -37,7 +37,7 @@
 #[test]
 fn idle_is_silent() {
     let mut withheld = WithheldStarts::default();
-    assert_eq!(withheld.pass(at(0), false, 0), None);
-    assert_eq!(withheld.pass(at(9_000), false, 0), None);
-    assert_eq!(withheld.pass(at(9_100), true, 0), None);
+    assert_eq!(withheld.observe_pass(at(0), false, 0), None);
+    assert_eq!(withheld.observe_pass(at(9_000), false, 0), None);
+    assert_eq!(withheld.observe_pass(at(9_100), true, 0), None);
 }
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -57,8 +57,8 @@
 
 pub(crate) fn bounds() -> PlannerBounds {
     PlannerBounds {
-        silence: Duration::from_secs(3),
-        lease_over: Duration::from_secs(6),
+        max_silence: Duration::from_secs(3),
+        lease_expiry: Duration::from_secs(6),
         keep_ended: Duration::from_secs(120),
         far_factor: 3.0,
         checkpoint_every: Duration::from_secs(2),
@@ -170,7 +170,7 @@
         for order in &decisions.orders {
             self.offset += 1;
             self.planner
-                .ordered(Timestamp::from_millis(self.now_ms), order, self.offset);
+                .order_stored(Timestamp::from_millis(self.now_ms), order, self.offset);
             let report = self
                 .reports
                 .iter_mut()
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -38,8 +38,8 @@
             book.fold(record.clone());
         }
         let bounds = PlannerBounds {
-            silence: Duration::from_millis(1_000),
-            lease_over: Duration::from_millis(LEASE_MS).mul_f64(1.03),
+            max_silence: Duration::from_millis(1_000),
+            lease_expiry: Duration::from_millis(LEASE_MS).mul_f64(1.03),
             keep_ended: Duration::from_secs(10_000),
             far_factor: 3.0,
             checkpoint_every: Duration::from_secs(2),
@@ -167,8 +167,8 @@
         Write::Plans(_) => {}
         Write::Order(order) => {
             let order: &WorkerOrder = order;
-            planner.planner.ordered(now, order, offset);
+            planner.planner.order_stored(now, order, offset);
         }
-        Write::Fence(worker) => planner.planner.orders_end(worker, offset),
+        Write::Fence(worker) => planner.planner.set_orders_end(worker, offset),
     }
 }
