--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -1,4 +1,5 @@
-//! One pass over all that waits: what starts where, and what is evicted for it.
+//! One scheduling pass over all waiting demands: which tasks start on which workers, and which runs
+//! are evicted to make room.
 
 use std::collections::BTreeMap;
 
@@ -25,57 +26,59 @@
     },
 };
 
-/// An urgent task may cost others so many times its own work in work that is thrown away: above
-/// that, more is lost than the urgent task is worth.
+/// Limit on the work that an eviction may discard for an urgent demand, as a multiple of the
+/// demand's own work. Above it, the eviction loses more than the urgent task is worth.
 const MAX_EVICTION_COST_RATIO: f64 = 2.0;
 
-/// Added to the cost of evicting urgent work, in core-seconds: more than any task has to lose.
+/// Cost in core-seconds that is added to the eviction of urgent work. It exceeds what any task has
+/// to lose.
 const URGENT_EVICTION_COST_CORE_S: f64 = 1e6;
 
-/// How many times its own work it costs that a job is of no use: its caller has waited for nothing.
+/// Cost of making a job useless to its caller, as a multiple of the evicted run's own work: the
+/// caller has then waited for nothing.
 const USELESS_JOB_COST_RATIO: f64 = 3.0;
 
-/// Blocked demands for which room is held in one pass: each holds back smaller work.
+/// Blocked demands for which one pass holds room. Each hold delays smaller work.
 const MAX_HOLDS_PER_PASS: u32 = 3;
 
 /// Milliseconds from the order to stop a run until its room is known to be free.
 const EXPECTED_STOP_MS: u64 = 250;
 
-/// Milliseconds that a run which is past its expected end is taken to go on.
+/// Milliseconds that a run past its expected end is assumed to need yet.
 const MIN_REMAINING_MS: u64 = 500;
 
-/// A demand with the workers that were found for it.
+/// A demand and the workers that were found for it.
 pub(super) struct Placed {
     pub(super) job: Name,
     pub(super) occurrence: u32,
     pub(super) step: u32,
     pub(super) gang: bool,
     pub(super) needs: Resources,
-    /// The tasks' places in the step, and their workers.
+    /// The indexes of the tasks in the step, each with its worker.
     pub(super) members: Vec<(u32, Name)>,
 }
 
-/// What a pass has decided.
+/// The decisions of a pass.
 #[derive(Default)]
 pub(super) struct PassOutcome {
     pub(super) starts: Vec<Placed>,
     pub(super) evictions: Vec<(Name, RunId)>,
-    /// What jobs wait for, each by the first of its demands that is not served.
+    /// Why each waiting job waits, by the first of its demands that was not served.
     pub(super) waiting: HashMap<Name, Waiting>,
 }
 
-/// What has been learned of workers and load.
+/// What the planner has learned about workers and load.
 pub(super) struct Observations<'a> {
     pub(super) times: &'a RunTimes,
     pub(super) peaks: &'a PeakLoad,
     pub(super) failures: &'a RecentFailures,
 }
 
-/// The room of all workers, while a pass takes from it.
+/// The room of all workers. A pass subtracts from it what it assigns.
 pub(super) struct Pass<'a> {
     fleet: &'a Fleet,
     rooms: Vec<Room>,
-    /// What may be evicted; one that was taken in this pass has no parts any more.
+    /// Runs that may be evicted. A victim that this pass has already chosen has no parts left.
     victims: Vec<Victim>,
     counts: HashMap<(Name, u32, u32), HashMap<Name, u32>>,
     holds: u32,
@@ -83,7 +86,7 @@
     outcome: PassOutcome,
 }
 
-/// What became of a demand in a pass.
+/// The result of serving one demand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ServeResult {
     Started,
@@ -93,8 +96,8 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Returns a pass over the workers as they are. `guaranteed` are the jobs that fit into what their
-    /// workspaces are guaranteed.
+    /// Returns a pass over the current state of the workers. `guaranteed` lists the jobs that fit
+    /// into the guarantees of their workspaces.
     pub(super) fn new(
         fleet: &'a Fleet,
         jobs: &BTreeMap<Name, LiveJob>,
@@ -118,13 +121,13 @@
         }
     }
 
-    /// Returns whether a demand could start now on sound workers.
+    /// Returns whether a demand could start now on healthy workers.
     pub(super) fn has_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
         self.healthy_room(demand).is_some()
     }
 
-    /// Takes the room on sound workers that a demand could start on now, so that nothing else of this
-    /// pass counts on it; returns whether there is such room.
+    /// Takes room on healthy workers on which a demand could start now, so that nothing else in
+    /// this pass is given the same room. Returns whether there was such room.
     pub(super) fn take_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
         let found = self.healthy_room(demand);
         if let Some(found) = &found {
@@ -148,7 +151,7 @@
         &self.rooms
     }
 
-    /// Returns the work that runs or waits, by its priority, as shares of all room.
+    /// Returns the running and waiting work by priority, as shares of the pool's capacity.
     pub(super) fn load(
         &self,
         jobs: &BTreeMap<Name, LiveJob>,
@@ -171,17 +174,16 @@
         load
     }
 
-    /// Returns whether less than half of the room is in use.
+    /// Returns whether less than half of the pool is in use.
     pub(super) fn is_idle(&self) -> bool {
         self.idle
     }
 
-    /// Serves the demands in their order.
+    /// Serves the demands in the given order.
     pub(super) fn run(&mut self, demands: &[Demand<'_>]) -> PassOutcome {
         for (before, demand) in demands.iter().enumerate() {
             let served = self.serve(demand);
-            // A job waits for what the first of its blocked demands waits for; a job of many tasks
-            // has many.
+            // A job with many tasks can have many blocked demands; only the first one is reported.
             if served == ServeResult::Started || self.outcome.waiting.contains_key(&demand.job) {
                 continue;
             }
@@ -191,7 +193,7 @@
         std::mem::take(&mut self.outcome)
     }
 
-    /// Starts a demand, or makes or keeps room for it.
+    /// Starts a demand, or else makes or holds room for it.
     fn serve(&mut self, demand: &Demand<'_>) -> ServeResult {
         let placed = self.count(demand);
         if self.start_now(demand, &placed) {
@@ -201,7 +203,7 @@
             return ServeResult::RoomBeingMade;
         }
         if demand.guaranteed {
-            // The guarantee holds also where no rack can be cleared for it.
+            // A guarantee also holds when no single rack can be cleared for the demand.
             let far = Demand {
                 far_allowed: true,
                 ..demand.clone()
@@ -252,7 +254,8 @@
         found.is_some()
     }
 
-    /// Returns whether the demand waits for room that is being made, after ordering what is missing.
+    /// Returns whether room is being made for the demand. Evicts other runs if stopping runs don't
+    /// free enough.
     fn make_room(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
         if !may_evict(demand) {
             return false;
@@ -287,8 +290,8 @@
         true
     }
 
-    /// Returns whether the room that the demand needs becomes free by itself as soon as others could be
-    /// stopped for it. A guarantee doesn't hang on what runs are expected to do.
+    /// Returns whether runs that are expected to end free the room as soon as an eviction would.
+    /// Not used for guaranteed demands: a guarantee must not depend on expected run times.
     fn wait_for_run_ends(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
         let found = schedule::place(demand, &self.rooms, Horizon::At(EXPECTED_STOP_MS), placed);
         if let Some(found) = &found {
@@ -300,7 +303,7 @@
     fn start(&mut self, demand: &Demand<'_>, found: &[usize]) {
         self.take(demand, found);
         if self.idle && !is_idle(&self.rooms) {
-            // A flood of small tasks would otherwise fill an idle pool in one pass.
+            // Otherwise a burst of small tasks would fill an idle pool in one pass.
             self.idle = false;
             set_open_to_all(&mut self.rooms, false);
         }
@@ -329,7 +332,7 @@
         }
     }
 
-    /// Counts the tasks of the demand's step on each worker, with those that this pass starts.
+    /// Counts the tasks of the demand's step on each worker, including those that this pass starts.
     fn count(&mut self, demand: &Demand<'_>) -> HashMap<Name, u32> {
         if demand.shape.per_worker == 0 {
             return HashMap::default();
@@ -341,7 +344,7 @@
         counted.or_insert_with(count).clone()
     }
 
-    /// Returns whether no worker takes two tasks of the demand.
+    /// Returns whether no suitable worker is large enough for two tasks of the demand.
     fn is_large(&self, demand: &Demand<'_>) -> bool {
         let needs = &demand.shape.needs;
         let twice = needs.plus(needs);
@@ -353,16 +356,17 @@
     }
 }
 
-/// Returns whether other work may be stopped for a demand: for urgent work that can be in time, and for a gang
-/// of which nothing has run for long. Small tasks would keep such a gang from whole workers side by
-/// side for as long as they keep coming.
+/// Returns whether other runs may be stopped for a demand. That holds for guaranteed demands, for
+/// urgent work that would still be useful, and for a gang whose job has been starved. A steady
+/// stream of small tasks would otherwise keep such a gang from ever finding whole workers next to
+/// each other.
 fn may_evict(demand: &Demand<'_>) -> bool {
     let in_time = demand.priority == 0 && demand.still_useful;
     let starved = demand.shape.gang && demand.is_starved;
     demand.guaranteed || in_time || starved
 }
 
-/// Returns the core-seconds that may be thrown away for a demand.
+/// Returns the core-seconds of work that may be discarded for a demand.
 fn max_cost(demand: &Demand<'_>) -> f64 {
     if demand.guaranteed {
         return f64::INFINITY;
@@ -437,10 +441,10 @@
         .fold(Resources::default(), |sum, room| sum.plus(&of(room)))
 }
 
-/// Closes shares of the workers to less urgent work: always the same ones, rack by rack, so that
-/// they run empty and gangs find whole workers side by side. Small tasks spread over all of them
-/// would have to be evicted for each. The racks with the fewest slow workers come first, as urgent
-/// work has the least time to lose.
+/// Reserves shares of the workers for more urgent work. The reserved workers are always the same
+/// ones, rack by rack, so that they run empty and gangs find whole workers next to each other;
+/// small tasks spread over all workers would have to be evicted for each gang. The racks with the
+/// fewest slow workers come first, as urgent work has the least time to lose.
 fn reserve_workers(rooms: &mut [Room], peaks: &PeakLoad) {
     let mut order: Vec<usize> = (0..rooms.len()).collect();
     let mut slow_on: HashMap<Option<Name>, u32> = HashMap::default();
@@ -460,14 +464,15 @@
     }
 }
 
-/// Opens the closed workers to all work, or not: in a pool that is half empty they stand open.
+/// Sets whether the reserved workers also accept other work. They do while less than half of the
+/// pool is in use.
 fn set_open_to_all(rooms: &mut [Room], open_to_all: bool) {
     for room in rooms {
         room.open_to_all = open_to_all;
     }
 }
 
-/// Returns whether a task of a step that is such runs on a worker.
+/// Returns whether the worker runs a task of a step that matches `predicate`.
 fn runs_step_where(
     jobs: &BTreeMap<Name, LiveJob>,
     worker: &FleetWorker,
@@ -486,7 +491,7 @@
     step.map_or(0, |(l, s)| times.estimate_ms(&l.job.queue, s.estimate_ms))
 }
 
-/// Returns the milliseconds that a run is expected to take yet.
+/// Returns the milliseconds that a run is still expected to take.
 pub(super) fn expected_remaining_ms(
     jobs: &BTreeMap<Name, LiveJob>,
     times: &RunTimes,
@@ -501,8 +506,8 @@
     left.max(MIN_REMAINING_MS)
 }
 
-/// Returns the milliseconds that a run has left by its progress, where that tells. One that should be over
-/// by now has stopped to come on.
+/// Returns the milliseconds that a run still takes according to its reported progress, if that is
+/// known. A run that should have ended by now has stopped making progress.
 fn measured_remaining_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
     let left = state.ends_at?.since(view.now).as_millis();
     let left_ms = u64::try_from(left).unwrap_or(u64::MAX);
@@ -517,8 +522,9 @@
     u64::try_from(view.now.since(state.placed_at).as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns what it costs that a run's job loses its objective, or its use, by beginning anew, in
-/// core-seconds: its own work, which would then be done for little, or several times that.
+/// Returns the cost in core-seconds of the delay that restarting a run causes to its job. It is the
+/// run's own work if the job misses its objective, since that work is then done for little, and a
+/// multiple of it if the job becomes useless to its caller.
 fn lateness_cost(
     live: &LiveJob,
     run: &RunId,
@@ -535,7 +541,7 @@
     let begin_ms = live.begin_ms(run.task.occurrence);
     let objective_ms = live.objective_ms(times, run.task.occurrence);
     let useless_ms = live.useless_ms(objective_ms, run.task.occurrence);
-    // It may have to wait for room as long as it did before it was started.
+    // The run may have to wait for room again as long as it did before its start.
     let waited_ms = view
         .unix_ms
         .saturating_sub(begin_ms + elapsed_ms(state, view));
@@ -551,7 +557,7 @@
     }
 }
 
-/// Returns what may be evicted, with what that loses.
+/// Returns the runs that may be evicted, with the cost of each eviction.
 fn victims(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
@@ -571,7 +577,8 @@
                 continue;
             }
             let step = live.job.request.steps.get(run.task.step as usize);
-            // Tasks that last serve users all the time; nothing that waits is worth a gap there.
+            // Lasting tasks serve users all the time; no waiting work is worth an interruption
+            // there.
             if step.is_some_and(|s| s.lasting) {
                 continue;
             }
@@ -586,7 +593,7 @@
                 parts: Vec::new(),
                 priority: live.job.priority,
                 guaranteed: guaranteed.contains(&run.task.job),
-                // As urgent work yields only where no other can.
+                // Urgent work is evicted only where nothing else can be.
                 cost: if live.job.priority == 0 {
                     URGENT_EVICTION_COST_CORE_S
                 } else {
@@ -594,8 +601,8 @@
                 },
             });
             let unsaved = view.now.since(state.saved_at).as_secs_f64();
-            // Work that was evicted before is dearer each time, so that no job is stopped over
-            // and over while others are spared.
+            // The cost rises with each eviction of the job, so that one job isn't stopped over and
+            // over while others are spared.
             let again = f64::from(live.evictions + 1);
             victim.cost += unsaved * state.needs.weight() * again
                 + lateness_cost(live, run, state, times, view);
--- a/dragonflyrun/src/workload/schedule.rs
+++ b/dragonflyrun/src/workload/schedule.rs
@@ -1,8 +1,8 @@
-//! Where tasks fit: one demand against the room of all workers.
+//! Placement: finds workers for one demand, given the room of all workers.
 //!
-//! Load pattern answered here: gangs that need whole workers come while small tasks are spread over
-//! all of them. Best fit keeps free accelerators together, a hold keeps room that is becoming free
-//! for a large demand, and an eviction takes what loses the least work.
+//! The load behind these rules is gangs that need whole workers while small tasks are spread over
+//! all of them. Best fit keeps free accelerators together, a hold keeps room for a large demand as
+//! it becomes free, and an eviction stops the runs that lose the least work.
 
 use crate::{
     utils::{HashMap, Name},
@@ -11,53 +11,55 @@
     },
 };
 
-/// A gang, or one task that stands alone, that waits for room.
+/// A gang or a single task that waits for room.
 #[derive(Clone, Debug)]
 pub struct Demand<'a> {
-    /// The job.
+    /// The name of the job.
     pub job: Name,
-    /// Which repetition.
+    /// The occurrence of the job that the tasks belong to.
     pub occurrence: u32,
-    /// Which step.
+    /// The index of the step.
     pub step: u32,
-    /// The tasks in the step; all start together.
+    /// The indexes of the tasks in the step; all of them start together.
     pub indexes: Vec<u32>,
-    /// What the caller said of the step.
+    /// The step as the caller submitted it.
     pub shape: &'a Step,
-    /// The pool of workers.
+    /// The service whose workers run the tasks.
     pub service: Name,
-    /// 0 comes first.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Whether the workspace is guaranteed the room, so that others have to make it.
+    /// Whether the job fits into its workspace's guarantee, so that other work has to make room for
+    /// it.
     pub guaranteed: bool,
-    /// Milliseconds that a task takes on a sound worker.
+    /// Expected milliseconds that a task takes on a healthy worker.
     pub estimate_ms: u64,
-    /// Milliseconds until the job's objective is lost even if it starts at once; negative where it
-    /// is lost.
+    /// Milliseconds for which the start can be delayed before the job misses its objective;
+    /// negative if the objective is already missed.
     pub slack_ms: i64,
     /// Unix milliseconds by which the job should be done.
     pub objective_ms: u64,
-    /// Whether it would be of use to its caller yet if it started at once.
+    /// Whether the result would still be useful to the caller if the demand started now.
     pub still_useful: bool,
-    /// Workers where runs of the job failed; taken only where no other has room.
+    /// Workers on which runs of the job failed. They are used only if no other worker has room.
     pub avoid: Vec<Name>,
-    /// Whether it takes another rack than that of its data, or more than one.
+    /// Whether the tasks may run on another rack than their data, or a gang on several racks.
     pub far_allowed: bool,
-    /// Whether nothing of its job has run for so long that it takes room kept for more urgent work.
+    /// Whether nothing of the job has run for so long that the demand may use workers that are
+    /// reserved for more urgent work.
     pub is_starved: bool,
-    /// The only workers that may run it, where the queue's policy says which.
+    /// The only workers that may run the tasks, if the queue's policy limits them.
     pub allowed_workers: Option<Vec<Name>>,
-    /// Whether it is for workers that have been seen to work.
+    /// Whether the tasks should run on proven workers.
     pub caution: Caution,
 }
 
 impl Demand<'_> {
-    /// Returns whether it has too little time to be run on slow workers as well as on fast ones.
+    /// Returns whether the demand has too little time for slow workers.
     fn is_time_critical(&self) -> bool {
         self.priority == 0 || self.slack_ms < self.estimate_ms as i64
     }
 
-    /// Returns what is known of the demand where it was not served, after `before` others.
+    /// Returns the status of a demand that was not served and has `before` demands ahead of it.
     pub(super) fn waiting(&self, before: usize, reason: WaitReason) -> Waiting {
         Waiting {
             step: self.step,
@@ -69,86 +71,90 @@
     }
 }
 
-/// Room on a worker that is kept for a demand that waits for it.
+/// Room on a worker that is held for a waiting demand.
 #[derive(Clone, Copy, Debug)]
 pub struct Hold {
-    /// Milliseconds from now at which the demand can start.
+    /// Milliseconds from now until the demand can start.
     pub from_ms: u64,
-    /// What is left beside it then.
+    /// Resources that remain free next to the demand at that time.
     pub spare: Resources,
 }
 
-/// What a worker has to give.
+/// The resources and state of a worker during a pass.
 #[derive(Clone, Debug)]
 pub struct Room {
-    /// The worker.
+    /// The name of the worker.
     pub worker: Name,
-    /// Its pool.
+    /// The service that the worker belongs to.
     pub service: Name,
-    /// Its labels.
+    /// The worker's labels.
     pub labels: Vec<Name>,
-    /// Its rack.
+    /// The worker's rack.
     pub rack: Option<Name>,
-    /// What is free now.
+    /// Resources that are free now.
     pub free: Resources,
-    /// What is free once the stops under way are through.
+    /// Resources that are free once the runs being stopped have ended.
     pub after_stops: Resources,
-    /// What it has in all.
+    /// The worker's total resources.
     pub capacity: Resources,
-    /// What becomes free in so many milliseconds, by what its tasks are expected to take.
+    /// Resources that are expected to become free, each with the milliseconds until then, by the
+    /// expected run times of the tasks.
     pub releases: Vec<(u64, Resources)>,
-    /// Room kept for a larger demand.
+    /// Room that is held for a larger demand.
     pub hold: Option<Hold>,
-    /// The lowest priority number, that is the most urgent, of work that is kept off the worker so
-    /// that more urgent work finds whole workers free.
+    /// The lowest priority number, which is the most urgent one, that the worker is reserved
+    /// against: work of this or a higher number is kept off it, so that more urgent work finds
+    /// whole workers free.
     pub reserved_against: u32,
-    /// Whether it takes such work all the same, where no other worker does.
+    /// Whether the worker also accepts work that it is reserved against, when no other worker does.
     pub open_to_all: bool,
-    /// Higher for workers that have failed tasks or stand still.
+    /// Number of signs that the worker is faulty: failed starts in a row, plus one if a run is
+    /// overdue.
     pub fault_count: u32,
-    /// Whether it has been seen to work since workers began to fail; true where none do.
+    /// Whether a run has succeeded on the worker, or has run for a while, since workers began to
+    /// fail; true if none are failing.
     pub proven: bool,
-    /// Whether tasks run there that serve their own users.
+    /// Whether the worker runs tasks that serve users.
     pub has_serving_tasks: bool,
-    /// Whether tasks run there that take what processor time is left over.
+    /// Whether the worker runs tasks that use leftover processor time.
     pub has_leftover_tasks: bool,
-    /// How much slower than others it works, in steps; see [`slowness_step`].
+    /// How much slower than a full-speed worker it is, in steps; see [`slowness_step`].
     pub slowness_step: u32,
 }
 
-/// Runs that are evicted together: a gang, or one task.
+/// Runs that are evicted together: a gang or a single task.
 #[derive(Clone, Debug)]
 pub(super) struct Victim {
-    /// What it has on which worker, by the index of the room.
+    /// The runs, each with the index of its room and the resources that it uses.
     pub parts: Vec<(usize, RunId, Resources)>,
-    /// Its priority.
+    /// The job's priority.
     pub priority: u32,
-    /// Whether its workspace is guaranteed the room.
+    /// Whether the job fits into its workspace's guarantee.
     pub guaranteed: bool,
-    /// Core-seconds that are lost by it.
+    /// Core-seconds that the eviction loses.
     pub cost: f64,
 }
 
-/// Which room counts.
+/// The time at which room has to be free.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Horizon {
-    /// What is free now and not held for others.
+    /// Free now and not held for another demand.
     Now,
-    /// What is free once the stops under way are through.
+    /// Free once the runs being stopped have ended.
     AfterStops,
-    /// What is expected to be free in so many milliseconds, on workers without a hold.
+    /// Expected to be free in this many milliseconds, on workers without a hold.
     At(u64),
 }
 
-/// Moments that are tried for a hold, at the most: more would make a pass at 300 workers take
-/// longer than the few milliseconds that an entry's share of a core allows.
+/// Maximum number of release times that are tried for a hold. With more, a pass over 300 workers
+/// takes longer than the few milliseconds that an entry's share of a core allows.
 const MAX_HOLD_TIMES: usize = 24;
 
-/// A worker on which tasks take so many times as long as expected has turned slow. Guesses of run
-/// times are rough, so the bound lies far above the differences between kinds of workers.
+/// Ratio of actual to expected task time above which a worker counts as degraded. Estimates of run
+/// times are rough, so the limit is far above the differences between kinds of workers.
 const DEGRADED_SLOWNESS: f64 = 2.5;
 
-/// Returns how much slower than others a worker is, in steps: 0 for full speed.
+/// Returns how much slower than a full-speed worker a worker is, in steps; 0 is full speed.
 pub(super) fn slowness_step(times: &RunTimes, worker: &Name) -> u32 {
     if times.slowness(worker) > DEGRADED_SLOWNESS {
         SLOWEST_STEP
@@ -182,7 +188,7 @@
     }
 }
 
-/// Finds rooms for all tasks of `demand`; returns the index of the room of each.
+/// Finds room for all tasks of `demand` and returns the index of the room for each task.
 pub(super) fn place(
     demand: &Demand<'_>,
     rooms: &[Room],
@@ -208,17 +214,17 @@
         .next()
 }
 
-/// Returns the sets of workers among the candidates in the order in which the demand is to try
-/// them: each has one more step of speeds than the one before.
+/// Returns the sets of candidates in the order in which the demand should try them. Each set
+/// includes workers of one more speed step than the set before it.
 ///
-/// A gang over workers of two kinds is as slow as the slower ones and keeps the faster ones waiting.
-/// Work that has little time to lose takes the fast workers, which other work leaves to it as long
-/// as it finds room on the slower ones.
+/// A gang over workers of two speeds runs at the slower speed and wastes the faster workers. A
+/// time-critical demand therefore tries the fast workers first, and other work prefers the slower
+/// ones as long as they have room.
 fn speed_tiers(demand: &Demand<'_>, rooms: &[Room], candidates: &[usize]) -> Vec<Vec<usize>> {
     let mut steps: Vec<u32> = candidates.iter().map(|i| rooms[*i].slowness_step).collect();
     steps.sort_unstable();
     steps.dedup();
-    // The last set is that of all candidates, which come anyway.
+    // The last set would hold all candidates, which the caller tries anyway.
     steps.pop();
     let time_critical = demand.is_time_critical();
     if !time_critical {
@@ -227,7 +233,7 @@
     let tier = |step: u32| {
         let of_tier = candidates.iter().filter(|i| {
             let slow = rooms[**i].slowness_step;
-            // Workers that have turned slow are for nobody as long as there are others.
+            // Degraded workers are used only if no others have room.
             if time_critical {
                 slow <= step
             } else {
@@ -239,7 +245,7 @@
     steps.into_iter().map(tier).collect()
 }
 
-/// Places where the tasks work at full speed: on one rack, or on the rack of the data.
+/// Places the tasks where they run at full speed: on a single rack, or on the rack of their data.
 fn place_nearby(
     demand: &Demand<'_>,
     rooms: &[Room],
@@ -267,7 +273,7 @@
             .sum();
         Some(((slow, left), found))
     });
-    // The rack with the least left over keeps the others whole for larger gangs.
+    // Filling the rack with the least room keeps the others whole for larger gangs.
     found.min_by_key(|(rank, _)| *rank).map(|(_, found)| found)
 }
 
@@ -277,7 +283,7 @@
         .collect()
 }
 
-/// Returns the candidates rack by rack, in the order of the racks' names.
+/// Returns the candidates grouped by rack, in the order of the racks' names.
 fn by_rack(rooms: &[Room], candidates: &[usize]) -> Vec<Vec<usize>> {
     let racks = candidates.iter().filter_map(|i| rooms[*i].rack.as_ref());
     let mut racks: Vec<&Name> = racks.collect();
@@ -287,7 +293,7 @@
     racks.map(|rack| on_rack(rooms, candidates, rack)).collect()
 }
 
-/// A worker while a demand is being placed.
+/// A worker that is considered for the tasks of a demand.
 struct Candidate {
     room: usize,
     free: Resources,
@@ -295,7 +301,7 @@
     tasks_left: u32,
 }
 
-/// Places each task on the fullest worker that still takes it.
+/// Places each task on the fullest worker that can still take it.
 fn best_fit(
     demand: &Demand<'_>,
     rooms: &[Room],
@@ -333,13 +339,13 @@
     Some(found)
 }
 
-/// Returns whether the worker is kept for work that is more urgent than the demand.
+/// Returns whether the worker is reserved for work that is more urgent than the demand.
 fn is_reserved_against(demand: &Demand<'_>, room: &Room) -> bool {
     demand.priority >= room.reserved_against
 }
 
-/// Urgent work takes the fastest worker; other work avoids only those that have turned slow, since
-/// packing tasks tightly is worth more to all.
+/// Returns the rank of a worker by speed. Time-critical work takes the fastest worker; other work
+/// avoids only the slowest step, because packing tasks tightly benefits everyone more.
 fn speed_rank(demand: &Demand<'_>, room: &Room) -> u32 {
     if demand.is_time_critical() {
         return room.slowness_step;
@@ -373,8 +379,8 @@
 
 /// Returns whether the worker may run the demand's tasks at all.
 ///
-/// Tasks that take what is left over disturb those that serve users beside them, by amounts that
-/// change within seconds, so the two are kept on different workers.
+/// Tasks that use leftover processor time slow down user-serving tasks on the same worker by
+/// amounts that change within seconds, so the two kinds run on different workers.
 pub(super) fn is_suitable(demand: &Demand<'_>, room: &Room) -> bool {
     let label = demand.shape.label.as_ref();
     room.service == demand.service
@@ -390,11 +396,11 @@
         && room.capacity.fits(&demand.shape.needs)
 }
 
-/// Keeps the room that is expected to be free first for a demand that fits nowhere now. Smaller
-/// tasks may still use it as long as they end before.
+/// Holds the room that is expected to become free first for a demand that fits nowhere now. Smaller
+/// tasks may use the room as long as they end before that time.
 ///
-/// Without it a task that needs a whole worker waits for as long as small ones keep coming, since
-/// one of them always fits first.
+/// Without the hold, a task that needs a whole worker would wait as long as small tasks keep
+/// arriving, because one of them always fits first.
 pub(super) fn hold(demand: &Demand<'_>, rooms: &mut [Room], placed: &HashMap<Name, u32>) -> bool {
     let suitable = rooms.iter().filter(|r| is_suitable(demand, r));
     let mut release_times: Vec<u64> = suitable
@@ -421,19 +427,20 @@
 
 /// An eviction that makes room for a demand.
 pub(super) struct Eviction {
-    /// The victims, by their indexes.
+    /// The indexes of the victims.
     pub(super) victims: Vec<usize>,
-    /// The room of each task of the demand.
+    /// The index of the room for each task of the demand.
     pub(super) rooms: Vec<usize>,
     /// Core-seconds that are lost.
     pub(super) cost: f64,
 }
 
-/// Finds the cheapest victims whose room makes `demand` fit, at no more than `most_cost`
-/// core-seconds lost.
+/// Finds the cheapest victims whose eviction makes `demand` fit, with a loss of at most `max_cost`
+/// core-seconds.
 ///
-/// Each task takes the worker that can be cleared for it at the least loss. Taking the cheapest
-/// victims of the whole pool instead would stop small tasks everywhere and clear no worker.
+/// Each task is placed on the worker that can be cleared for it at the least loss. Choosing the
+/// cheapest victims of the whole pool instead would stop small tasks everywhere without clearing
+/// any worker.
 pub(super) fn evict(
     demand: &Demand<'_>,
     rooms: &[Room],
@@ -452,7 +459,7 @@
     (cheapest.cost <= max_cost).then_some(cheapest)
 }
 
-/// Returns the sets of workers that may take all tasks of the demand together.
+/// Returns the sets of workers that can run all tasks of the demand together.
 fn worker_groups(demand: &Demand<'_>, rooms: &[Room], suitable: &[usize]) -> Vec<Vec<usize>> {
     let near = match &demand.shape.rack {
         Some(rack) => vec![on_rack(rooms, suitable, rack)],
@@ -465,7 +472,7 @@
         .collect()
 }
 
-/// Clears workers for one demand, one task after the other.
+/// A search for victims that places the tasks of one demand one after the other.
 struct EvictionSearch<'a> {
     demand: &'a Demand<'a>,
     victims: &'a [Victim],
@@ -514,7 +521,7 @@
         }
     }
 
-    /// Clears workers of `group` for all tasks; returns whether that can be done.
+    /// Selects victims on the workers of `group` for all tasks. Returns whether all tasks fit.
     fn select_for_group(&mut self, group: &[usize]) -> bool {
         for _ in &self.demand.indexes {
             let cheapest = group
@@ -536,7 +543,7 @@
         true
     }
 
-    /// Returns what it costs to make one task fit on a worker, and the victims.
+    /// Returns the cost of making one more task fit on a worker, and the victims.
     fn cost_on(&self, i: usize) -> Option<(f64, Vec<usize>)> {
         let mut after_stops = self.after_stops[i];
         let mut cost = 0.0;
@@ -569,13 +576,13 @@
     }
 }
 
-/// Returns whether a victim has to yield to a demand: what is less urgent does, and before a
-/// guarantee also what is as urgent and stands on room that is only lent to it.
+/// Returns whether a victim can be evicted for a demand. Less urgent work can be, and for a
+/// guaranteed demand also work of any priority that runs outside its own guarantee.
 fn must_yield(victim: &Victim, demand: &Demand<'_>) -> bool {
     victim.priority > demand.priority || (demand.guaranteed && !victim.guaranteed)
 }
 
-/// Gives the room of a victim back, as far as it becomes free soon.
+/// Returns a victim's resources to the room that is free after the stops.
 pub(super) fn return_room(rooms: &mut [Room], victim: &Victim) {
     for (i, _, needs) in &victim.parts {
         rooms[*i].after_stops = rooms[*i].after_stops.plus(needs);
