--- a/dragonflyrun/src/workload/demands.rs
+++ b/dragonflyrun/src/workload/demands.rs
@@ -1,8 +1,8 @@
-//! What waits to be started, and in which order.
+//! Demands: what waits to be started, and in which order.
 //!
-//! Load pattern answered here: more comes than fits. Urgent work goes first, then what can still be
-//! in time, the nearest objective first; what has lost its objective comes last of its priority,
-//! and still gets whatever room the others leave.
+//! When more work waits than fits, urgent work is served first, then work that can still meet its
+//! objective, the earliest objective first. Work that has missed its objective comes last within
+//! its priority and uses whatever room is left.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,35 +19,35 @@
     },
 };
 
-/// Milliseconds for which a task waits for room near its data while workers are idle elsewhere.
-/// Longer, and callers would see a job stand still in an idle pool.
+/// Maximum milliseconds that a task waits for room near its data while workers are idle elsewhere.
+/// With a longer wait, callers would see a job make no progress in an idle pool.
 const MAX_IDLE_LOCALITY_WAIT_MS: f64 = 2_000.0;
 
-/// Milliseconds after which a job of which nothing runs starts its first task, or gang, in room that is
-/// kept for more urgent work: its callers would see it stand still beside free workers.
+/// Milliseconds after which a job without any run may start its first task or gang on workers
+/// reserved for more urgent work. Its callers would otherwise see it wait next to free workers.
 const STARVED_AFTER_MS: u64 = 8_000;
 
-/// Share of a job's time to its objective for which its last attempt waits, after the failure before it,
-/// for workers that have been seen to work.
+/// The last attempt of a task waits for proven workers, counted from the previous failure, for at
+/// most the job's time to its objective divided by this number.
 const PROVEN_WAIT_DIVISOR: u64 = 3;
 
 /// Builds the demands of one pass.
 pub(super) struct Demands<'a, 'v> {
     pub(super) bounds: &'a PlannerBounds,
     pub(super) view: &'a View<'v>,
-    /// The queues that are in force.
+    /// The queues of the configuration in force.
     pub(super) queues: &'a Queues<'v>,
     pub(super) times: &'a RunTimes,
-    /// The jobs that fit into what their workspaces are guaranteed.
+    /// The jobs that fit into the guarantees of their workspaces.
     pub(super) guaranteed: &'a HashSet<Name>,
-    /// Whether less than half of the room is in use.
+    /// Whether less than half of the pool is in use.
     pub(super) idle: bool,
-    /// Whether several workers fail all that they start.
+    /// Whether several workers fail every run that they start.
     pub(super) workers_faulty: bool,
 }
 
 impl Demands<'_, '_> {
-    /// Returns what waits, in the order in which it is to be served.
+    /// Returns the waiting demands in the order in which they should be served.
     pub(super) fn all<'j>(&self, jobs: &'j BTreeMap<Name, LiveJob>) -> Vec<Demand<'j>> {
         let mut demands = Vec::new();
         for (name, live) in jobs {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns a demand of tasks of a step of an occurrence, without a guarantee.
+    /// Returns the demand of some tasks of a step, without a guarantee.
     pub(super) fn for_tasks<'j>(
         &self,
         live: &LiveJob,
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Returns how much a task, or its gang, cares where it runs: its last attempt does, and waits a
-    /// while after the failure before it where workers are sick.
+    /// Returns how much it matters on which workers a task, or its gang, runs. It matters for the
+    /// last attempt, which waits a while after the previous failure if workers are faulty.
     fn caution(&self, live: &LiveJob, occurrence: u32, step: u32, index: u32) -> Caution {
         if !live.is_last_attempt(occurrence, step, index) {
             return Caution::None;
@@ -155,8 +155,9 @@
         }
     }
 
-    /// Returns whether a task may run away from its data, or a gang on more than one rack. Work
-    /// there takes several times as long, so it waits for room nearby as long as that would cost.
+    /// Returns whether a task may run away from its data, or a gang on several racks. Work takes
+    /// several times as long there, so it first waits for room nearby for as long as the extra time
+    /// would cost.
     fn far_allowed(&self, begin_ms: u64, estimate_ms: u64) -> bool {
         let far_cost_ms = estimate_ms as f64 * (self.bounds.far_factor - 1.0).max(0.0);
         let waited = self.view.unix_ms.saturating_sub(begin_ms) as f64;
--- a/dragonflyrun/src/workload/departure.rs
+++ b/dragonflyrun/src/workload/departure.rs
@@ -1,9 +1,9 @@
-//! Runs on workers that have said when they leave.
+//! Runs on workers that have announced when they leave.
 //!
-//! Load pattern answered here: a tenth of the pool is taken away at two seconds' notice, or half of
-//! it is replaced worker by worker. Whatever still runs when its worker leaves is lost, and a gang
-//! breaks by the loss of one member. A run that saves its state is stopped before that, and urgent
-//! work that cannot be done in time begins again at once instead of after the loss.
+//! A tenth of the pool may be taken away at two seconds' notice, or half of it replaced worker by
+//! worker. Whatever still runs when its worker leaves is lost, and losing one member breaks a gang.
+//! A run that saves checkpoints is therefore stopped before its worker leaves, and urgent work that
+//! can't finish in time restarts at once instead of after the loss.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
     },
 };
 
-/// Milliseconds before a worker leaves in which runs are stopped that save their state: the order
-/// reaches its agent in some 50 ms, a stop takes up to a second, and its end has to be reported.
+/// Milliseconds before a worker leaves at which runs that save checkpoints are stopped: the order
+/// reaches the agent in about 50 ms, a stop takes up to a second, and its end has to be reported.
 const CHECKPOINT_STOP_LEAD_MS: u64 = 1_000;
 
-/// Returns the runs that are to be stopped on workers that leave.
+/// Returns the runs to stop on workers that are about to leave.
 pub(super) fn runs_to_stop(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
@@ -30,7 +30,7 @@
     pass: &mut Pass<'_>,
 ) -> Vec<(Name, RunId)> {
     let mut found = Vec::new();
-    // Steps whose gang moves, or of which one task more finds no room elsewhere.
+    // Steps whose gang is moved already, or whose tasks find no more room elsewhere.
     let mut decided_steps = HashSet::default();
     for (run, until_leave_ms) in runs_lost_at_departure(fleet, jobs, demands) {
         let step = (&run.task.job, run.task.occurrence, run.task.step);
@@ -59,7 +59,7 @@
     found
 }
 
-/// Returns the runs that are expected to be under way yet when their worker leaves, with the
+/// Returns the runs that are expected to be still running when their worker leaves, with the
 /// milliseconds until then.
 fn runs_lost_at_departure<'f>(
     fleet: &'f Fleet,
@@ -81,7 +81,7 @@
     found
 }
 
-/// Returns whether a run has begun and is not being stopped.
+/// Returns whether a run has started and is not being stopped.
 fn is_under_way(state: &WorkerRun) -> bool {
     state.running_since.is_some() && !state.stopping
 }
--- a/dragonflyrun/src/workload/load.rs
+++ b/dragonflyrun/src/workload/load.rs
@@ -1,34 +1,35 @@
-//! How much room the more urgent work takes up at its peaks, learned from what runs and waits.
+//! Peak load of the more urgent work, learned from what runs and waits.
 //!
-//! Load pattern answered here: urgent gangs come in bursts to a pool that is full of work with time
-//! to wait. Without room that is kept ready, each has to wait until other work has been stopped for
-//! it, which can take most of the time that it has; kept in a fixed share of the pool, the room is
-//! too little for one deployment and stands empty in another.
+//! Urgent gangs arrive in bursts at a pool that is full of less urgent work. Without reserved
+//! workers, each gang has to wait until other work has been stopped for it, which can take most of
+//! the time that it has. A fixed reserved share would be too small for one deployment and idle in
+//! another.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::utils::Timestamp;
 
-/// Time after which half of a peak is forgotten.
+/// Time after which a recorded peak has decayed to half.
 const PEAK_HALF_LIFE: Duration = Duration::from_secs(20);
 
-/// Share of the pool that is kept for more urgent work at the most, so that no work ever stands
-/// still altogether.
+/// Maximum share of the pool that is reserved for more urgent work, so that no work is ever blocked
+/// completely.
 const MAX_RESERVED_SHARE: f64 = 0.65;
 
-/// Share that is kept before any peak has been seen: the first gang finds some whole workers.
+/// Minimum reserved share, which applies before any peak has been seen, so that the first gang
+/// finds some whole workers.
 const MIN_RESERVED_SHARE: f64 = 0.1;
 
-/// The newest peaks of the load by its urgency.
+/// Decaying peaks of the load by priority.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeakLoad {
-    /// By priority: the peak of all work that is as urgent or more so, as a share of the pool.
+    /// By priority: the peak of all work of this or a more urgent priority, as a share of the pool.
     peaks: BTreeMap<u32, f64>,
     observed_at: Option<Timestamp>,
 }
 
 impl PeakLoad {
-    /// Takes note of the work that runs or waits now, by its priority, as shares of the pool.
+    /// Records the running and waiting work by priority, as shares of the pool.
     pub(super) fn observe(&mut self, now: Timestamp, load: &BTreeMap<u32, f64>) {
         let since = self
             .observed_at
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Returns the shares of the pool that are kept free of work of a priority and of less urgent
+    /// Returns the shares of the pool that are reserved against a priority and all less urgent
     /// work, the least urgent first.
     pub(super) fn reserved_shares(&self) -> impl Iterator<Item = (u32, f64)> {
         let peaks = self.peaks.iter().rev();
--- a/dragonflyrun/src/workload/overdue.rs
+++ b/dragonflyrun/src/workload/overdue.rs
@@ -1,8 +1,8 @@
-//! Runs that take far longer than they should, on workers that stand still or have turned slow.
+//! Runs that take far longer than expected because their worker hangs or is degraded.
 //!
-//! Load pattern answered here: a worker says that it is well, and what runs on it does not come to an
-//! end. An urgent run is stopped there and started again on a sound worker that has room; the clerk
-//! would otherwise wait for as long as the worker is sick.
+//! Such a worker reports that it is healthy, but its runs don't end. An urgent run is stopped there
+//! and restarted on a healthy worker that has room. Otherwise its caller would wait for as long as
+//! the fault lasts.
 
 use std::collections::BTreeMap;
 
@@ -17,27 +17,29 @@
     },
 };
 
-/// A run that has taken so many times its expected time is overdue, and its worker doubtful.
+/// A run is overdue, and its worker suspect, once it has taken this multiple of its expected time.
 const OVERDUE_RATIO: f64 = 3.0;
 
-/// Milliseconds that a run has to be overdue at the least: short tasks scatter more.
+/// Minimum milliseconds beyond the expected time before a run is overdue, because the times of
+/// short tasks vary more.
 const MIN_OVERDUE_MS: f64 = 2_000.0;
 
-/// Learned slowness of a worker from which on a run that is overdue there is its worker's fault. Without
-/// that, or a second job that is overdue there too, the guess may have been wrong: stopping on a
-/// single late run threw 0.18 of the urgent jobs of `tests/loads/cancel.json` out of their time.
+/// Learned slowness from which on an overdue run is blamed on its worker. Below it, and without a
+/// second job that is overdue on the worker, the estimate may be wrong: stopping runs for a single
+/// overdue one made 0.18 of the urgent jobs of `tests/loads/cancel.json` late.
 const FAULTY_SLOWNESS: f64 = 2.5;
 
-/// Returns whether a run that is expected to take `expected` milliseconds is overdue after `elapsed`.
+/// Returns whether a run that is expected to take `expected` milliseconds is overdue after
+/// `elapsed`.
 pub(super) fn is_overdue(expected: f64, elapsed: f64) -> bool {
     elapsed > (expected * OVERDUE_RATIO).max(expected + MIN_OVERDUE_MS)
 }
 
-/// Returns the overdue runs of urgent work that could start at once on sound workers: a whole gang, or
-/// a task that stands alone.
+/// Returns the overdue runs of urgent work that could restart at once on healthy workers: whole
+/// gangs or single tasks.
 ///
-/// Each task is moved once only: where its second run is overdue as well, it is the task that is
-/// long, and stopping it again would never let it come to an end.
+/// Each task is moved only once. If its second run is overdue too, the task itself is long, and
+/// stopping it again would never let it complete.
 pub(super) fn runs_to_stop(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
--- a/dragonflyrun/src/workload/packed_starts.rs
+++ b/dragonflyrun/src/workload/packed_starts.rs
@@ -1,8 +1,9 @@
-//! How the starts of an order are written: what a caller handed in stands once for all tasks of a job.
+//! Compact serialization of the starts in an order: the payload of a job is written once for all of
+//! its tasks.
 //!
-//! Load pattern answered here: a step of hundreds of small tasks is started at once by a planner whose
-//! host has a slow link. Each worker takes several of the tasks, and the same text in each of their
-//! starts would keep everything that comes after them waiting.
+//! A planner on a host with a slow link may start a step of hundreds of small tasks at once. Each
+//! worker gets several of the tasks, and repeating the payload in each start would delay all
+//! messages behind the order.
 
 use std::sync::Arc;
 
@@ -10,12 +11,12 @@
 
 use crate::workload::{RunId, TaskStart};
 
-/// A start as it is written.
+/// A start in its serialized form.
 #[derive(Deserialize, Serialize)]
 struct PackedStart {
     #[serde(rename = "r")]
     run: RunId,
-    /// None for that of the start before.
+    /// `None` if it is the same as in the previous start.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     payload: Option<Arc<str>>,
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
@@ -24,7 +25,7 @@
     ticket: Option<String>,
 }
 
-/// Writes starts.
+/// Serializes starts.
 pub(super) fn serialize<S: Serializer>(starts: &[TaskStart], to: S) -> Result<S::Ok, S::Error> {
     let mut before: Option<&Arc<str>> = None;
     let packed = starts.iter().map(|start| {
@@ -40,7 +41,7 @@
     to.collect_seq(packed)
 }
 
-/// Reads starts.
+/// Deserializes starts.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<TaskStart>, D::Error> {
     let packed = Vec::<PackedStart>::deserialize(from)?;
     let mut before: Arc<str> = Arc::from("");
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -1,8 +1,8 @@
-//! The planner: which tasks run where.
+//! The planner decides which tasks run on which workers.
 //!
-//! The table is fed jobs, reports and what operators have in force, and is asked now and then what
-//! to do. Whatever it decides stands in the plan before it is ordered, so a successor knows every
-//! run that may exist.
+//! It is fed jobs, agents' reports and the configuration in force, and is asked periodically what
+//! to do. Every decision is stored in the plan before the matching order is sent, so a successor
+//! knows every run that may exist.
 
 mod settle;
 
@@ -31,84 +31,86 @@
     },
 };
 
-/// A worker that has failed so many runs in a row, of whatever jobs, is left alone for a while.
+/// Number of runs that have to fail in a row on a worker, of whatever jobs, before it is
+/// quarantined.
 const QUARANTINE_AFTER_FAILURES: u32 = 2;
 
-/// An agent is silent that has not reported for so many times as long as half of the others.
+/// An agent is silent if its last report is older than this multiple of the median age of all
+/// agents' last reports.
 const SILENCE_RATIO: u32 = 4;
 
-/// Age of a report up to which its agent is taken to live: it reports again within 1.2 s, and hosts'
-/// clocks differ a little.
+/// Age in milliseconds up to which a stored report shows that its agent is alive: agents report
+/// again within 1.2 s, and the hosts' clocks differ a little.
 const RECENT_REPORT_MS: u64 = 2_500;
 
-/// A run that takes less than so many times the time of its work works at full speed.
+/// A run whose time is below this multiple of its nominal work time runs at full speed.
 const FULL_SPEED_RATIO: f64 = 1.1;
 
-/// How long it is left alone.
+/// How long a worker stays quarantined.
 const QUARANTINE_TIME: Duration = Duration::from_secs(6);
 
-/// Bounds that the planner keeps; all come from the deployment's settings.
+/// Limits that the planner applies. All come from the deployment's settings.
 #[derive(Clone, Debug)]
 pub struct PlannerBounds {
     /// Silence of an agent after which its session is closed.
     pub max_silence: Duration,
-    /// Time from the fence in the store to the end of the last lease, by the slowest clock.
+    /// Time from the storing of a fence to the expiry of the last lease, by the slowest clock.
     pub lease_expiry: Duration,
-    /// Time for which an ended job's state is kept.
+    /// How long the state of an ended job is kept.
     pub keep_ended: Duration,
-    /// How many times longer a task takes away from its data or its gang.
+    /// How many times longer a task takes away from its data, or from the rest of its gang.
     pub far_factor: f64,
-    /// The span of work after which a run saves a checkpoint; zero where it is not known.
+    /// The amount of work after which a run saves a checkpoint; zero if it isn't known.
     pub checkpoint_every: Duration,
 }
 
-/// What the planner sees of the world beside jobs and reports.
+/// The inputs of a decision besides jobs and reports.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     /// The time on the planner's own clock.
     pub now: Timestamp,
-    /// Unix milliseconds.
+    /// The wall clock time in Unix milliseconds.
     pub unix_ms: u64,
     /// The configuration in force.
     pub configuration: &'a Configuration,
     /// Failure domains that are out of service.
     pub evacuated: &'a HashSet<Name>,
-    /// Whether the configuration is proved to be in force: without that nothing is started.
+    /// Whether the configuration is proven to be in force. Nothing is started without that.
     pub is_fresh: bool,
-    /// Since when reports have been read without a break; none while they can't be read, when the
-    /// silence of agents says nothing about them.
+    /// The time since which reports have been read without interruption. `None` while they can't be
+    /// read: the silence of agents then says nothing about them.
     pub reports_since: Option<Timestamp>,
 }
 
-/// An order for one worker's agent.
+/// An order for the agent of one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerOrder {
-    /// The worker.
+    /// The name of the worker.
     pub worker: Name,
-    /// The session that it is for.
+    /// The session that the order is for.
     pub session: u64,
-    /// The order.
+    /// The content of the order.
     pub order: Order,
 }
 
-/// What the planner has decided.
+/// The planner's decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decisions {
-    /// Records that have to stand in the plan first.
+    /// Plan records that have to be stored before the orders are sent.
     pub plans: Vec<StoreRecord>,
     /// Orders to send after that.
     pub orders: Vec<WorkerOrder>,
-    /// Workers that are gone and whose reports may be dropped.
+    /// Workers that are gone and whose reports can be removed.
     pub forgotten: Vec<Name>,
-    /// What the advisor is to be asked.
+    /// Questions for the advisor.
     pub questions: Vec<AdviceQuestion>,
-    /// How long the jobs have waited of which the first tasks start.
+    /// How long each job whose first tasks start now has waited.
     pub waits: Vec<Duration>,
-    /// What jobs wait for, each by the first of its demands that is not served.
+    /// Why each waiting job waits, by the first of its demands that was not served.
     pub waiting: HashMap<Name, Waiting>,
 }
 
-/// The planner's table.
+/// The planner's state.
 pub struct Planner {
     bounds: PlannerBounds,
     jobs: BTreeMap<Name, LiveJob>,
@@ -182,7 +184,7 @@
         self.jobs.insert(name.clone(), live);
     }
 
-    /// Takes a record of the jobs' topic that another process wrote.
+    /// Applies a record of the jobs topic that another process wrote.
     pub fn job_record(&mut self, record: &JobRecord) {
         match record {
             JobRecord::Accepted(job) if !self.jobs.contains_key(&job.name) => {
@@ -194,12 +196,13 @@
                     live.cancelled = true;
                 }
             }
-            // Plans are the planner's own; its table is ahead of what the store echoes.
+            // Only the planner writes plans, and its own state is newer than what the store
+            // returns.
             JobRecord::Accepted(_) | JobRecord::Plan(..) | JobRecord::Planner(_) => {}
         }
     }
 
-    /// Takes an agent's report as it comes.
+    /// Applies a report that an agent has just sent.
     pub fn report(&mut self, now: Timestamp, report: Report) {
         let worker = report.heartbeat.worker.clone();
         self.take_report(now, report);
@@ -208,10 +211,10 @@
         }
     }
 
-    /// Takes an agent's newest report as it stands in the store at a take-over.
+    /// Applies the newest stored report of an agent when the planner takes over.
     ///
-    /// It may be of a worker that is long gone. Unless it is recent, nothing is started there before
-    /// the agent reports again.
+    /// The worker may be long gone. Unless the report is recent, nothing is started on the worker
+    /// before its agent reports again.
     pub fn stored_report(&mut self, now: Timestamp, unix_ms: u64, report: Report) {
         let worker = report.heartbeat.worker.clone();
         let age_ms = unix_ms.abs_diff(report.sent_ms);
@@ -234,8 +237,8 @@
             .get(&worker)
             .is_some_and(|w| w.session < report.session)
         {
-            // What waits to be sent was meant for the session before. Its confirmation would let a
-            // worker that has started again drop ends that nobody has seen.
+            // The pending order was meant for the previous session. Its confirmation would let the
+            // restarted worker drop run ends that the planner hasn't seen.
             self.orders.remove(&worker);
         }
         let ends = report.ends.len();
@@ -259,10 +262,11 @@
         }
     }
 
-    /// Learns from runs' paces how fast a worker is.
+    /// Learns the speed of a worker from the pace of its runs.
     ///
-    /// Away from its data a run is slow on any worker. A gang over several workers comes on as its
-    /// slowest one does, so only a fast one tells about all of them.
+    /// A run away from its data is slow on any worker, so its pace is ignored. A gang over several
+    /// workers is as fast as its slowest worker, so only a gang at full speed tells the speed of
+    /// each.
     fn learn_paces(&mut self, worker: &Name, paces: &[Pace]) {
         let rack = self.fleet.get(worker).and_then(FleetWorker::rack);
         let every_s = self.bounds.checkpoint_every.as_secs_f64();
@@ -283,7 +287,7 @@
         }
     }
 
-    /// Takes note of what the tasks on a worker would take on one of full speed, by their progress.
+    /// Records how long the tasks on a worker would take on a full-speed worker, by their progress.
     fn learn_task_times(&mut self, worker: &Name) {
         let slowness = self.run_times.speeds().slowness(worker).max(1.0);
         let runs = self.fleet.get(worker).into_iter().flat_map(|w| &w.runs);
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Takes note of the offset at which an order stands in the store.
+    /// Records the offset at which an order has been stored.
     pub fn order_stored(&mut self, now: Timestamp, order: &WorkerOrder, offset: u64) {
         let Some(worker) = self.fleet.get_mut(&order.worker) else {
             return;
@@ -314,7 +318,7 @@
         }
     }
 
-    /// Takes note that earlier planners can send no order for `worker` from offset `end` on.
+    /// Records that earlier planners can't store an order for `worker` at offset `end` or later.
     pub fn set_orders_end(&mut self, worker: &str, end: u64) {
         self.fleet.orders_end(worker, end);
     }
@@ -324,21 +328,21 @@
         &self.fleet
     }
 
-    /// Returns the number of jobs of which nothing has started.
+    /// Returns the number of jobs that have not started any task.
     pub fn waiting(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|l| l.plan.outcome.is_none() && !l.plan.begun)
             .count()
     }
 
-    /// Returns the number of jobs that have begun and not ended.
+    /// Returns the number of jobs that have started and not ended.
     pub fn running(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|l| l.plan.outcome.is_none() && l.plan.begun)
             .count()
     }
 
-    /// Decides what to do.
+    /// Returns the decisions for the current state.
     pub fn decide(&mut self, view: &View<'_>) -> Decisions {
         for run in self.fleet.expire(view.now, self.bounds.lease_expiry) {
             self.run_over(view.now, run);
@@ -410,11 +414,12 @@
         let allowed = self.allowed_silence(view, reports_since);
         let silence_of = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
         let silent = self.fleet.workers().filter(|(_, w)| {
-            // A worker that stays away from its agent may run on under its last lease.
+            // A worker that its agent can't reach may still run tasks under its last lease.
             let lost = w
                 .unreachable_since
                 .is_some_and(|s| view.now.since(s) > self.bounds.max_silence);
-            // One that reads no orders extends no lease: its session is closed when it has none left.
+            // An agent that reads no orders extends no lease. Its session is closed once all of its
+            // leases must have expired.
             let unread = w
                 .unread_since()
                 .map(|s| view.now.since(s.max(reports_since)));
@@ -425,8 +430,9 @@
         let open = self.fleet.workers();
         let open = open.filter(|(_, w)| w.closing == Closing::No).count();
         if silent.len() * 2 > open && !self.all_silent(view, reports_since) {
-            // So many agents at once are not gone; the store is slow. Closing their sessions would
-            // stop all running work. One that stays silent for a lease more is given up all the same.
+            // That many agents don't fail at once, so the store is slow. Closing their sessions
+            // would stop all running work. An agent that stays silent for the lease time on top of
+            // that is still fenced.
             let silent_past_lease =
                 |w: &FleetWorker| silence_of(w) > allowed + self.bounds.lease_expiry;
             silent.retain(|name| self.fleet.get(name).is_some_and(silent_past_lease));
@@ -446,10 +452,11 @@
         }
     }
 
-    /// Returns the silence up to which an agent is taken to live: longer where the others are late too.
+    /// Returns the silence up to which an agent is taken to be alive. It grows with the silence of
+    /// the other agents.
     ///
-    /// On a slow store the reports of all agents queue. Held to the bound of a fast one, agents that
-    /// live would be given up one by one, and everything that runs on their workers stopped.
+    /// On a slow store the reports of all agents are delayed. With the limit for a fast store, the
+    /// sessions of live agents would be closed one by one and all runs on their workers stopped.
     fn allowed_silence(&self, view: &View<'_>, reports_since: Timestamp) -> Duration {
         let open = self
             .fleet
@@ -465,15 +472,16 @@
         (*median * SILENCE_RATIO).clamp(silence, silence * 2)
     }
 
-    /// Returns whether every agent has been silent for twice the time that is allowed.
+    /// Returns whether all agents have been silent for more than twice the limit.
     fn all_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
         let newest = self.fleet.workers().map(|(_, w)| w.reported).max();
         let heard = newest.unwrap_or_default().max(reports_since);
         view.now.since(heard) > self.bounds.max_silence * 2
     }
 
-    /// Starts what fits; returns what waits. Without a fresh proof of the configuration nothing
-    /// starts, since a failure domain may have been taken out of service meanwhile.
+    /// Starts the tasks that fit and returns why the other jobs wait. Without a fresh proof of the
+    /// configuration nothing is started, because a failure domain may have been taken out of
+    /// service in the meantime.
     fn start_tasks(&mut self, view: &View<'_>) -> HashMap<Name, Waiting> {
         let guaranteed = guaranteed_jobs(&self.jobs, view.configuration);
         self.failures.forget(view.now);
@@ -525,7 +533,7 @@
         outcome.waiting
     }
 
-    /// Stops overdue runs; what they worked on waits again once they are over.
+    /// Stops overdue runs. Their tasks wait for a new start once the runs are over.
     fn stop_overdue(&mut self, runs: Vec<(Name, RunId)>) {
         for (worker, run) in runs {
             if let Some(live) = self.jobs.get_mut(&run.task.job) {
@@ -536,7 +544,7 @@
         }
     }
 
-    /// Limits demands of queues whose policy asks the advisor to the workers that have tickets.
+    /// Limits the demands of queues whose policy asks the advisor to workers with a ticket.
     fn apply_tickets(
         &self,
         now: Timestamp,
@@ -558,7 +566,7 @@
         }
     }
 
-    /// Takes the advisor's answer, or that there was none.
+    /// Applies the advisor's answer to a question; `None` if it didn't answer.
     pub fn apply_advice(
         &mut self,
         now: Timestamp,
@@ -581,7 +589,7 @@
             .max()
             .unwrap_or(0)
             + 1;
-        // All members of a gang have to go on from the same checkpoint.
+        // All members of a gang have to resume from the same checkpoint.
         let checkpoint = live.plan.task(number_of(placed.members[0].0)).checkpoint;
         if !std::mem::replace(&mut live.plan.begun, true) {
             let waited_ms = view.unix_ms.saturating_sub(live.job.accepted_ms);
--- a/dragonflyrun/src/workload/planner/settle.rs
+++ b/dragonflyrun/src/workload/planner/settle.rs
@@ -1,5 +1,5 @@
-//! What follows from a run that is over: ends of tasks, gangs and jobs, and stops of what must not
-//! run any more.
+//! Consequences of a run that is over: the ends of tasks, gangs and jobs, and stops of runs that
+//! are no longer wanted.
 
 use std::time::Duration;
 
@@ -13,11 +13,12 @@
     },
 };
 
-/// Milliseconds in which the ends of a gang's other members are reported after the first one.
+/// Milliseconds after a completed gang's first reported end in which the other members report
+/// theirs.
 const GANG_END_REPORTS_MS: u64 = 2_000;
 
 impl Planner {
-    /// Takes note that a run is over.
+    /// Applies the end of a run to its task and its job.
     pub(super) fn run_over(&mut self, now: Timestamp, over: RunOver) {
         let RunOver {
             run,
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Ends jobs that have come to their end, and stops what must not run any more.
+    /// Ends the jobs that are complete, failed or cancelled, and stops runs that are no longer
+    /// wanted.
     pub(super) fn settle_jobs(&mut self, view: &View<'_>) {
         for (name, live) in &mut self.jobs {
             if live.plan.outcome.is_none() {
@@ -137,12 +139,12 @@
         self.stop_unwanted(view);
     }
 
-    /// Orders stops of all runs that no plan wants.
+    /// Orders stops of all runs that aren't part of any plan.
     fn stop_unwanted(&mut self, view: &View<'_>) {
         let mut stops = Vec::new();
         for (name, worker) in self.fleet.workers() {
             for (run, state) in &worker.runs {
-                // An order that is still on its way is stopped once it stands.
+                // A run whose start order isn't stored yet is stopped once it is.
                 if !state.stopping && state.ordered.is_some() && !self.is_wanted(view, name, run) {
                     stops.push((name.clone(), run.clone()));
                 }
@@ -172,7 +174,7 @@
             return false;
         };
         match live.plan.outcome {
-            // The members of a gang end together; the ends of the others are on their way.
+            // The members of a gang end together, so the ends of the others will be reported soon.
             Some(Outcome::Completed) => {
                 return view.unix_ms < live.plan.ended_ms + GANG_END_REPORTS_MS;
             }
@@ -193,7 +195,7 @@
         if !shape.gang {
             return !task.done;
         }
-        // A gang of which one member is over can't come to an end any more.
+        // A gang can't complete once one of its members is over.
         let mut members = live.job.numbers(run.task.occurrence, run.task.step);
         let whole = members.all(|m| {
             let member = live.plan.tasks.get(&m);
--- a/dragonflyrun/src/workload/queues.rs
+++ b/dragonflyrun/src/workload/queues.rs
@@ -1,4 +1,4 @@
-//! The queues that operators have in force, by name.
+//! Lookup of the queues in force by name.
 
 use crate::{
     port::{Configuration, Queue},
@@ -7,14 +7,14 @@
 
 /// The queues of a configuration by name.
 ///
-/// Operators may have thousands of queues, and a pass looks one up for each demand: a search through
-/// all of them would cost more than the rest of the pass.
+/// Operators may have thousands of queues, and a pass looks one up for each demand. Searching
+/// through all of them would cost more than the rest of the pass.
 pub(super) struct Queues<'c> {
     by_name: HashMap<&'c str, &'c Queue>,
 }
 
 impl<'c> Queues<'c> {
-    /// Returns the queues of `configuration`; of several with one name the first.
+    /// Returns the queues of `configuration`. If several have the same name, the first one wins.
     pub(super) fn of(configuration: &'c Configuration) -> Self {
         let mut by_name = HashMap::default();
         by_name.reserve(configuration.queues.len());
@@ -24,7 +24,7 @@
         Self { by_name }
     }
 
-    /// Returns the queue of this name.
+    /// Returns the queue with the given name.
     pub(super) fn get(&self, name: &str) -> Option<&'c Queue> {
         self.by_name.get(name).copied()
     }
--- a/dragonflyrun/src/workload/recent_failures.rs
+++ b/dragonflyrun/src/workload/recent_failures.rs
@@ -1,9 +1,9 @@
-//! Which workers have shown that what is started on them works.
+//! Recent failures of runs, and which workers they make suspect.
 //!
-//! Load pattern answered here: some workers begin to fail all that they start. A gang over 35 of 240
-//! workers, 18 of which are sick, hits one of them for certain, and has used up its attempts before the
-//! sick ones are known. Its last attempt waits a while for workers that have been seen to work since the
-//! failures began.
+//! Sometimes several workers begin to fail everything that they start. A gang over 35 of 240
+//! workers, 18 of which are faulty, is certain to include one of them, and uses up its attempts
+//! before the faulty workers are known. Its last attempt therefore waits a while for workers on
+//! which newer runs have been seen to work since the failures began.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,66 +12,67 @@
 /// Time for which a failure counts.
 const FAILURE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Workers that have failed lately from which on others may be sick as well. A single one may have been
-/// given a task that fails anywhere.
+/// Number of workers with recent failures from which on others may be faulty too. A single worker
+/// may just have been given a task that fails anywhere.
 const MIN_FAULTY_WORKERS: usize = 2;
 
-/// Share of all workers from which on those that have failed are more than chance brings.
+/// Share of all workers above which failures on that many workers aren't chance.
 const MIN_FAULTY_SHARE: f64 = 0.02;
 
-/// Failures in a row after which a worker is taken to be sick; single ones happen anywhere.
+/// Consecutive failures after which a worker counts as faulty; single failures happen anywhere.
 const MIN_CONSECUTIVE_FAILURES: u32 = 2;
 
-/// A run that fails sooner after its start speaks against its worker: tasks that fail by themselves
-/// work for a while before.
+/// A run that fails sooner after its start than this is blamed on its worker, because tasks that
+/// fail by themselves run for a while first.
 const EARLY_FAILURE: Duration = Duration::from_millis(700);
 
-/// How much a demand cares on which workers it runs.
+/// How much it matters to a demand on which workers it runs. A worker is proven if a run that was
+/// ordered since workers began to fail has completed on it or has run for a while.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Caution {
-    /// Any sound worker will do.
+    /// Any healthy worker is fine.
     #[default]
     None,
-    /// Workers that have been seen to work come first.
+    /// Proven workers are preferred.
     PreferProven,
-    /// It waits for such workers.
+    /// Only proven workers are used; the demand waits for them.
     OnlyProven,
 }
 
-/// The failures of the last seconds, by worker.
+/// The failures within the failure window.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentFailures {
     failures: VecDeque<Failure>,
 }
 
-/// A run that failed.
+/// A failed run.
 #[derive(Clone, Debug)]
 pub(super) struct Failure {
     pub(super) at: Timestamp,
     pub(super) worker: Name,
     pub(super) job: Name,
-    /// How long it had run.
+    /// How long the run had been running.
     pub(super) ran: Duration,
-    /// How many runs had failed on the worker one after the other.
+    /// Number of runs that failed in a row on the worker.
     pub(super) consecutive: u32,
 }
 
 impl Failure {
-    /// Returns whether it speaks against the worker rather than the task.
+    /// Returns whether the failure is likely the worker's fault rather than the task's.
     fn indicates_faulty_worker(&self) -> bool {
         self.consecutive >= MIN_CONSECUTIVE_FAILURES || self.ran < EARLY_FAILURE
     }
 }
 
 impl RecentFailures {
-    /// Takes note of a failure.
+    /// Records a failure.
     pub(super) fn add(&mut self, failure: Failure) {
         let now = failure.at;
         self.failures.push_back(failure);
         self.forget(now);
     }
 
-    /// Forgets old failures.
+    /// Removes old failures.
     pub(super) fn forget(&mut self, now: Timestamp) {
         while let Some(oldest) = self.failures.front()
             && now.since(oldest.at) > FAILURE_WINDOW
@@ -80,14 +81,15 @@
         }
     }
 
-    /// Returns since when several workers have been failing; none where it is one at the most.
+    /// Returns the time since which several workers have been failing; `None` if at most one is.
     pub(super) fn failing_since(&self) -> Option<Timestamp> {
         let first = self.failures.front()?;
         let workers: HashSet<&Name> = self.failures.iter().map(|f| &f.worker).collect();
         (workers.len() >= MIN_FAULTY_WORKERS).then_some(first.at)
     }
 
-    /// Returns whether several of so many workers fail all that they start, of more than one job.
+    /// Returns whether several of `all` workers fail everything that they start, for more than one
+    /// job.
     pub(super) fn are_workers_faulty(&self, all: usize) -> bool {
         let indications = || self.failures.iter().filter(|f| f.indicates_faulty_worker());
         let workers: HashSet<&Name> = indications().map(|f| &f.worker).collect();
--- a/dragonflyrun/src/workload/relocation.rs
+++ b/dragonflyrun/src/workload/relocation.rs
@@ -1,11 +1,11 @@
-//! What a run would need elsewhere, and what has to be stopped with it.
+//! Demands for restarting runs elsewhere, and the runs that have to be stopped together.
 
 use crate::{
     utils::Name,
     workload::{Demand, Fleet, RunId, demands::Demands, live::LiveJob},
 };
 
-/// Returns what a run, or the gang that it is part of, would need to be started again.
+/// Returns the demand for restarting a run, or the gang that it belongs to.
 pub(super) fn demand_for_run<'j>(
     live: &'j LiveJob,
     run: &RunId,
@@ -23,7 +23,7 @@
     Some(demands.for_tasks(live, step, shape, objective_ms, indexes))
 }
 
-/// Returns all runs that are under way of what a demand stands for.
+/// Returns all current runs that belong to a demand, given one of them.
 pub(super) fn runs_of_demand(
     fleet: &Fleet,
     demand: &Demand<'_>,
--- a/dragonflyrun/src/workload/run_times.rs
+++ b/dragonflyrun/src/workload/run_times.rs
@@ -1,24 +1,23 @@
-//! How long tasks take, learned from those that are done.
+//! Task run times, learned from completed tasks.
 //!
-//! Load pattern answered here: callers' guesses that are far off, and workers that have turned slow.
-//! A guess is kept where it has been the better predictor for its queue, and replaced by the
-//! queue's mean where not.
+//! Callers' estimates can be far off, and workers can become degraded. A caller's estimate is used
+//! where it has predicted better for its queue than the queue's mean, which replaces it otherwise.
 
 use crate::{
     utils::{HashMap, Name},
     workload::WorkerSpeeds,
 };
 
-/// Tasks of a queue after which the mean may replace callers' guesses.
+/// Number of completed tasks of a queue after which the mean may replace callers' estimates.
 const MIN_TASKS_FOR_MEAN: u32 = 4;
 
-/// Weight of the newest task in a queue's mean: some ten tasks are remembered.
+/// Weight of the newest task in a queue's mean, which makes it average over about ten tasks.
 const QUEUE_WEIGHT: f64 = 0.1;
 
-/// Weight of the newest task in a worker's slowness: a worker that has turned slow shows after two.
+/// Weight of the newest task in a worker's slowness. A degraded worker shows after two tasks.
 const WORKER_WEIGHT: f64 = 0.4;
 
-/// A single task tells no more than that its worker is so many times slower, or faster.
+/// Maximum ratio by which a single task's time changes the view of its worker, in either direction.
 const MAX_TASK_RATIO: f64 = 8.0;
 
 /// Learned run times.
@@ -38,8 +37,8 @@
 }
 
 impl RunTimes {
-    /// Takes note that a task of `queue` that its caller guessed to take `guess_ms` was done on
-    /// `worker` in `took_ms`.
+    /// Records that a task of `queue`, estimated by its caller at `caller_estimate_ms`, completed
+    /// on `worker` in `took_ms`.
     pub fn learn(&mut self, queue: &Name, worker: &Name, caller_estimate_ms: u64, took_ms: f64) {
         let expected = self.estimate_ms(queue, caller_estimate_ms).max(1) as f64;
         let ratio = (took_ms / expected).clamp(1.0 / MAX_TASK_RATIO, MAX_TASK_RATIO);
@@ -51,7 +50,7 @@
             .learn(caller_estimate_ms, took_ms.max(1.0));
     }
 
-    /// Returns the milliseconds that a task of `queue` takes on a sound worker.
+    /// Returns the expected milliseconds of a task of `queue` on a healthy worker.
     pub fn estimate_ms(&self, queue: &Name, caller_estimate_ms: u64) -> u64 {
         let known = self
             .queues
@@ -63,12 +62,12 @@
         }
     }
 
-    /// Returns the speeds of workers.
+    /// Returns the learned speeds of workers.
     pub fn speeds(&self) -> &WorkerSpeeds {
         &self.speeds
     }
 
-    /// Returns the speeds of workers, to learn.
+    /// Returns the learned speeds of workers for updates.
     pub fn speeds_mut(&mut self) -> &mut WorkerSpeeds {
         &mut self.speeds
     }
@@ -78,7 +77,7 @@
         self.workers.get(worker).copied().unwrap_or(1.0)
     }
 
-    /// Forgets a worker that is gone.
+    /// Removes the data of a worker that is gone.
     pub fn forget(&mut self, worker: &Name) {
         self.workers.remove(worker);
         self.speeds.forget(worker);
--- a/dragonflyrun/src/workload/schedule.rs
+++ b/dragonflyrun/src/workload/schedule.rs
@@ -108,7 +108,7 @@
     pub reserved_against: u32,
     /// Whether the worker also accepts work that it is reserved against, when no other worker does.
     pub open_to_all: bool,
-    /// Number of signs that the worker is faulty: failed starts in a row, plus one if a run is
+    /// Number of signs that the worker is faulty: failed runs in a row, plus one if a run is
     /// overdue.
     pub fault_count: u32,
     /// Whether a run has succeeded on the worker, or has run for a while, since workers began to
--- a/dragonflyrun/src/workload/skip.rs
+++ b/dragonflyrun/src/workload/skip.rs
@@ -1,4 +1,4 @@
-//! What records leave out: fields that have their usual value.
+//! Predicates for serialized records that omit fields with default values.
 
 #![expect(clippy::trivially_copy_pass_by_ref, reason = "serde gives a reference")]
 
--- a/dragonflyrun/src/workload/tickets.rs
+++ b/dragonflyrun/src/workload/tickets.rs
@@ -1,7 +1,7 @@
-//! Which workers may run the steps of queues whose policy asks the advisor.
+//! Tickets from the advisor: which workers may run the steps of queues whose policy asks it.
 //!
-//! The advisor answers one question at a time and takes long for many workers, so a question names
-//! few of them, those with room first, and is asked again only when its tickets run out.
+//! The advisor answers one question at a time and takes long for many workers. A question therefore
+//! names only a few workers, those with room first, and is repeated only when its tickets expire.
 
 use std::time::Duration;
 
@@ -11,34 +11,35 @@
     workload::{Demand, Room},
 };
 
-/// Workers that one question names, at the most: the advisor takes so many.
+/// Maximum number of workers in one question, which is what the advisor accepts.
 const MAX_WORKERS_PER_QUESTION: usize = 30;
 
-/// Questions under way at once, at the most: more would only wait at the advisor.
+/// Maximum number of open questions. More would only queue at the advisor.
 const MAX_OPEN_QUESTIONS: usize = 4;
 
-/// Time for an answer beyond what the advisor takes for one question alone.
+/// Time allowed for an answer on top of the advisor's own time for the open questions.
 const ANSWER_MARGIN: Duration = Duration::from_secs(2);
 
-/// Before its end a ticket is no longer used: the order takes a while to reach the worker.
+/// Time before its expiry from which on a ticket isn't used any more, because the order takes a
+/// while to reach the worker.
 const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time after an answer that names no worker with room until the step is asked about again.
+/// Time after an answer until the step may be asked about again.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(500);
 
 type StepKey = (Name, u32, u32);
 
-/// What is known of one step.
+/// What is known about one step.
 #[derive(Clone, Debug, Default)]
 struct StepAdvice {
     is_pending: bool,
     ask_after: Timestamp,
     tickets: HashMap<Name, (String, Timestamp)>,
-    /// Workers that the advisor did not name; what it says of a step does not change.
+    /// Workers that the advisor gave no ticket for. Its verdict on a step doesn't change.
     not_allowed: HashMap<Name, ()>,
 }
 
-/// All tickets.
+/// The tickets and open questions of all steps.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Tickets {
     steps: HashMap<StepKey, StepAdvice>,
@@ -57,7 +58,7 @@
         (now + TICKET_EXPIRY_MARGIN < *until).then_some(ticket)
     }
 
-    /// Returns the ticket that a start on a worker has to carry, where the step needs one.
+    /// Returns the ticket that a start on a worker has to carry, if the step needs one.
     pub(super) fn ticket_for_start(
         &self,
         job: &Name,
@@ -69,7 +70,8 @@
         step.tickets.get(worker).map(|(ticket, _)| ticket.clone())
     }
 
-    /// Asks about the demand's step where too few of `rooms` have a ticket.
+    /// Asks about the demand's step for workers in `rooms` that have neither a valid ticket nor a
+    /// refusal.
     pub(super) fn ask(
         &mut self,
         now: Timestamp,
@@ -112,12 +114,12 @@
         });
     }
 
-    /// Returns the questions that are to be asked.
+    /// Returns the new questions and clears them.
     pub(super) fn take_questions(&mut self) -> Vec<AdviceQuestion> {
         std::mem::take(&mut self.questions)
     }
 
-    /// Takes an answer, or that there was none.
+    /// Applies the advisor's answer to a question; `None` if it didn't answer.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
@@ -147,14 +149,14 @@
         }
     }
 
-    /// Drops a ticket that a worker did not take: it began another life.
+    /// Drops a ticket that a worker rejected because it has restarted.
     pub(super) fn drop_ticket(&mut self, job: &Name, occurrence: u32, step: u32, worker: &Name) {
         if let Some(step) = self.steps.get_mut(&(job.clone(), occurrence, step)) {
             step.tickets.remove(worker);
         }
     }
 
-    /// Forgets a job.
+    /// Removes the state of a job.
     pub(super) fn forget(&mut self, job: &Name) {
         self.steps.retain(|(name, ..), _| name != job);
     }
--- a/dragonflyrun/src/workload/waiting.rs
+++ b/dragonflyrun/src/workload/waiting.rs
@@ -1,42 +1,43 @@
-//! Why something waits, as the planner's newest pass found it.
+//! Why a demand waits, according to the planner's latest pass.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What a gang, or a task that stands alone, waits for.
+/// The state of a waiting gang or single task.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Waiting {
-    /// Its step.
+    /// The index of its step.
     pub step: u32,
-    /// Tasks that have to start together.
+    /// The number of tasks that have to start together.
     pub tasks: usize,
     /// Why it waits.
     pub reason: WaitReason,
-    /// Demands that come before it.
+    /// The number of demands that are served before it.
     pub before: usize,
-    /// Milliseconds until its objective is lost even if it starts at once; negative where it is lost.
+    /// Milliseconds for which the start can be delayed before the job misses its objective;
+    /// negative if the objective is already missed.
     pub slack_ms: i64,
 }
 
 /// Why a demand was not started in a pass.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WaitReason {
-    /// No worker that takes tasks now could ever run it: none of its service, with its label and of
-    /// its size.
+    /// No worker that accepts tasks now could ever run it: none has its service, its label and its
+    /// size.
     NoSuitableWorker,
     /// Too few of the suitable workers have room.
     NoRoom {
-        /// Workers that could run a task of it if they were empty.
+        /// Number of workers that could run one of its tasks if they were empty.
         suitable: usize,
-        /// Those of them that have room for a task now.
+        /// Number of those that have room for a task now.
         with_room: usize,
     },
-    /// Other runs are being stopped for it.
+    /// Other runs are being stopped to make room for it.
     RoomBeingMade,
-    /// Room that will be free is kept for it.
+    /// Room that will become free is held for it.
     RoomHeld,
-    /// The planner can't prove that what it knows of operators' changes is current.
+    /// The planner can't prove that its configuration includes the operators' latest changes.
     ConfigurationStale,
 }
 
--- a/dragonflyrun/src/workload/withheld.rs
+++ b/dragonflyrun/src/workload/withheld.rs
@@ -1,27 +1,28 @@
-//! Spells in which a planner starts nothing though jobs wait, for want of a fresh proof of the configuration.
+//! Tracks periods in which the planner starts nothing although jobs wait, because it has no fresh
+//! proof of the configuration.
 //!
-//! To whoever reads the log, such a planner looks like one that has nothing to do.
+//! Without log lines about these periods, such a planner would look like an idle one.
 
 use std::time::Duration;
 
 use crate::utils::Timestamp;
 
-/// Time between two log lines about one spell.
+/// Time between two log lines about the same period.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What is worth a log line.
+/// A change that should be logged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WithheldChange {
-    /// Starts are withheld, since now or still.
+    /// Starts are being withheld, either newly or still.
     Withheld,
-    /// They are made again.
+    /// Starts are no longer withheld.
     Resumed {
         /// How long they were withheld.
         after: Duration,
     },
 }
 
-/// The spell that is under way.
+/// The current period of withheld starts, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WithheldStarts {
     since: Option<Timestamp>,
@@ -29,7 +30,7 @@
 }
 
 impl WithheldStarts {
-    /// Takes note of a pass that found `waiting` jobs; returns what is worth a log line.
+    /// Records a pass that found `waiting` waiting jobs. Returns what to log, if anything.
     pub fn observe_pass(
         &mut self,
         now: Timestamp,
