--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -62,7 +62,8 @@
             },
         };
         for worker in 0..WORKERS {
-            bed.planner.report(Timestamp::default(), report(worker));
+            bed.planner
+                .apply_report(Timestamp::default(), report(worker));
         }
         bed.submit("fill", WORKERS, ACCELERATORS);
         assert_eq!(bed.decide().orders.len(), WORKERS, "all workers are full");
@@ -75,7 +76,8 @@
         for number in 0..jobs {
             let queue = (2 * number + 1) * self.configuration.queues.len() / (2 * jobs);
             let job = job(format!("{name}-{number}"), queue, accelerators);
-            self.planner.job_record(&JobRecord::Accepted(Box::new(job)));
+            self.planner
+                .apply_job_record(&JobRecord::Accepted(Box::new(job)));
         }
     }
 
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -321,8 +321,10 @@
                 continue;
             };
             match decode::<Report>(&value) {
-                Some(report) if batch.replaces => planner.stored_report(now, unix_ms(), report),
-                Some(report) => planner.report(now, report),
+                Some(report) if batch.replaces => {
+                    planner.apply_stored_report(now, unix_ms(), report)
+                }
+                Some(report) => planner.apply_report(now, report),
                 None => log::warn!(key:% = record.key; "report_unreadable"),
             }
         }
@@ -338,7 +340,7 @@
             let mut state = lock(&self.entry.state);
             let mut planner = self.planner.borrow_mut();
             for record in state.news.drain(..) {
-                planner.job_record(&record);
+                planner.apply_job_record(&record);
             }
             let Some(configuration) = state.configuration.clone() else {
                 return;
@@ -374,7 +376,7 @@
         for order in decisions.orders {
             self.send(order);
         }
-        for worker in decisions.forgotten {
+        for worker in decisions.gone_workers {
             self.drop_report(worker);
         }
         for question in decisions.questions {
--- a/dragonflyrun/src/workload/departure.rs
+++ b/dragonflyrun/src/workload/departure.rs
@@ -43,14 +43,14 @@
             continue;
         };
         let checkpoints = demand.shape.checkpoints;
-        let moves = (checkpoints && stop_due)
+        let should_stop = (checkpoints && stop_due)
             || ((checkpoints || demand.priority == 0)
                 && !decided_steps.contains(&step)
                 && pass.take_healthy_room(&demand));
-        if moves {
+        if should_stop {
             found.extend(runs_of_demand(fleet, &demand, run));
         }
-        if demand.shape.gang || !moves {
+        if demand.shape.gang || !should_stop {
             decided_steps.insert(step);
         }
     }
--- a/dragonflyrun/src/workload/load.rs
+++ b/dragonflyrun/src/workload/load.rs
@@ -39,11 +39,11 @@
         for peak in self.peaks.values_mut() {
             *peak *= decay;
         }
-        let mut as_urgent = 0.0;
+        let mut cumulative = 0.0;
         for (priority, share) in load {
-            as_urgent += share;
+            cumulative += share;
             let peak = self.peaks.entry(*priority).or_default();
-            *peak = peak.max(as_urgent).min(MAX_RESERVED_SHARE);
+            *peak = peak.max(cumulative).min(MAX_RESERVED_SHARE);
         }
     }
 
--- a/dragonflyrun/src/workload/overdue.rs
+++ b/dragonflyrun/src/workload/overdue.rs
@@ -48,13 +48,13 @@
 ) -> Vec<(Name, RunId)> {
     let mut found = Vec::new();
     for (worker, state) in fleet.workers() {
-        let late = overdue_runs(jobs, demands, state);
-        let mut late_jobs: Vec<&Name> = late.iter().map(|run| &run.task.job).collect();
-        late_jobs.dedup();
-        if late_jobs.len() < 2 && demands.times.slowness(worker) < FAULTY_SLOWNESS {
+        let overdue = overdue_runs(jobs, demands, state);
+        let mut overdue_jobs: Vec<&Name> = overdue.iter().map(|run| &run.task.job).collect();
+        overdue_jobs.dedup();
+        if overdue_jobs.len() < 2 && demands.times.slowness(worker) < FAULTY_SLOWNESS {
             continue;
         }
-        for run in late {
+        for run in overdue {
             let live = jobs.get(&run.task.job);
             let urgent = live.filter(|l| l.job.priority == 0 && !l.moved.contains(&run.task));
             let Some(live) = urgent else {
@@ -82,9 +82,9 @@
 ) -> Vec<&'f RunId> {
     let under_way = worker.runs.iter();
     let under_way = under_way.filter(|(_, state)| state.running_since.is_some() && !state.stopping);
-    let late = under_way.filter(|(run, state)| {
+    let overdue = under_way.filter(|(run, state)| {
         let expected = expected_ms(jobs, demands.times, run) as f64;
         is_overdue(expected, elapsed_ms(state, demands.view) as f64)
     });
-    late.map(|(run, _)| run).collect()
+    overdue.map(|(run, _)| run).collect()
 }
--- a/dragonflyrun/src/workload/packed_starts.rs
+++ b/dragonflyrun/src/workload/packed_starts.rs
@@ -27,10 +27,10 @@
 
 /// Serializes starts.
 pub(super) fn serialize<S: Serializer>(starts: &[TaskStart], to: S) -> Result<S::Ok, S::Error> {
-    let mut before: Option<&Arc<str>> = None;
+    let mut previous: Option<&Arc<str>> = None;
     let packed = starts.iter().map(|start| {
-        let same = before == Some(&start.payload);
-        before = Some(&start.payload);
+        let same = previous == Some(&start.payload);
+        previous = Some(&start.payload);
         PackedStart {
             run: start.run.clone(),
             payload: (!same).then(|| start.payload.clone()),
@@ -44,12 +44,12 @@
 /// Deserializes starts.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<TaskStart>, D::Error> {
     let packed = Vec::<PackedStart>::deserialize(from)?;
-    let mut before: Arc<str> = Arc::from("");
+    let mut previous: Arc<str> = Arc::from("");
     let starts = packed.into_iter().map(|start| {
-        before = start.payload.unwrap_or_else(|| before.clone());
+        previous = start.payload.unwrap_or_else(|| previous.clone());
         TaskStart {
             run: start.run,
-            payload: before.clone(),
+            payload: previous.clone(),
             checkpoint: start.checkpoint,
             ticket: start.ticket,
         }
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -566,7 +566,7 @@
     view: &View<'_>,
     rooms: &[Room],
 ) -> Vec<Victim> {
-    let mut units: BTreeMap<(Name, u32, u32, Option<u32>), Victim> = BTreeMap::new();
+    let mut victims_by_key: BTreeMap<(Name, u32, u32, Option<u32>), Victim> = BTreeMap::new();
     for (i, room) in rooms.iter().enumerate() {
         let runs = fleet.get(&room.worker).into_iter().flat_map(|w| &w.runs);
         for (run, state) in runs {
@@ -582,14 +582,14 @@
             if step.is_some_and(|s| s.lasting) {
                 continue;
             }
-            let alone = step.is_none_or(|s| !s.gang).then_some(run.task.index);
+            let single_task = step.is_none_or(|s| !s.gang).then_some(run.task.index);
             let key = (
                 run.task.job.clone(),
                 run.task.occurrence,
                 run.task.step,
-                alone,
+                single_task,
             );
-            let victim = units.entry(key).or_insert_with(|| Victim {
+            let victim = victims_by_key.entry(key).or_insert_with(|| Victim {
                 parts: Vec::new(),
                 priority: live.job.priority,
                 guaranteed: guaranteed.contains(&run.task.job),
@@ -603,11 +603,11 @@
             let unsaved = view.now.since(state.saved_at).as_secs_f64();
             // The cost rises with each eviction of the job, so that one job isn't stopped over and
             // over while others are spared.
-            let again = f64::from(live.evictions + 1);
-            victim.cost += unsaved * state.needs.weight() * again
+            let eviction_factor = f64::from(live.evictions + 1);
+            victim.cost += unsaved * state.needs.weight() * eviction_factor
                 + lateness_cost(live, run, state, times, view);
             victim.parts.push((i, run.clone(), state.needs));
         }
     }
-    units.into_values().collect()
+    victims_by_key.into_values().collect()
 }
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -4,7 +4,7 @@
 //! to do. Every decision is stored in the plan before the matching order is sent, so a successor
 //! knows every run that may exist.
 
-mod settle;
+mod run_ends;
 
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
@@ -101,7 +101,7 @@
     /// Orders to send after that.
     pub orders: Vec<WorkerOrder>,
     /// Workers that are gone and whose reports can be removed.
-    pub forgotten: Vec<Name>,
+    pub gone_workers: Vec<Name>,
     /// Questions for the advisor.
     pub questions: Vec<AdviceQuestion>,
     /// How long each job whose first tasks start now has waited.
@@ -185,7 +185,7 @@
     }
 
     /// Applies a record of the jobs topic that another process wrote.
-    pub fn job_record(&mut self, record: &JobRecord) {
+    pub fn apply_job_record(&mut self, record: &JobRecord) {
         match record {
             JobRecord::Accepted(job) if !self.jobs.contains_key(&job.name) => {
                 let live = LiveJob::new(job.clone());
@@ -203,7 +203,7 @@
     }
 
     /// Applies a report that an agent has just sent.
-    pub fn report(&mut self, now: Timestamp, report: Report) {
+    pub fn apply_report(&mut self, now: Timestamp, report: Report) {
         let worker = report.heartbeat.worker.clone();
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
@@ -215,7 +215,7 @@
     ///
     /// The worker may be long gone. Unless the report is recent, nothing is started on the worker
     /// before its agent reports again.
-    pub fn stored_report(&mut self, now: Timestamp, unix_ms: u64, report: Report) {
+    pub fn apply_stored_report(&mut self, now: Timestamp, unix_ms: u64, report: Report) {
         let worker = report.heartbeat.worker.clone();
         let age_ms = unix_ms.abs_diff(report.sent_ms);
         self.take_report(now, report);
@@ -279,8 +279,8 @@
             }
             let work_s = f64::from(pace.spans) * every_s;
             let took_s = pace.took_ms as f64 / 1_000.0;
-            let alone = step.is_some_and(|s| !s.gang);
-            if alone || took_s < work_s * FULL_SPEED_RATIO {
+            let is_single_task = step.is_some_and(|s| !s.gang);
+            if is_single_task || took_s < work_s * FULL_SPEED_RATIO {
                 let speeds = self.run_times.speeds_mut();
                 speeds.learn(worker, &pace.run, work_s, took_s);
             }
@@ -348,7 +348,7 @@
             self.run_over(view.now, run);
         }
         self.fence_silent_agents(view);
-        self.settle_jobs(view);
+        self.finish_jobs(view);
         let waiting = self.start_tasks(view);
         Decisions {
             waiting,
@@ -366,7 +366,7 @@
                 decisions.plans.push(record.encode());
             }
         }
-        decisions.plans.extend(self.forget_jobs(view));
+        decisions.plans.extend(self.remove_ended_jobs(view));
         decisions.waits = std::mem::take(&mut self.waits);
         decisions.questions = self.tickets.get_mut().take_questions();
         for (worker, order) in std::mem::take(&mut self.orders) {
@@ -382,14 +382,14 @@
                 });
             }
         }
-        decisions.forgotten = self.fleet.forget(view.now, self.bounds.keep_ended);
-        for worker in &decisions.forgotten {
-            self.run_times.forget(worker);
+        decisions.gone_workers = self.fleet.forget(view.now, self.bounds.keep_ended);
+        for worker in &decisions.gone_workers {
+            self.run_times.remove_worker(worker);
         }
         decisions
     }
 
-    fn forget_jobs(&mut self, view: &View<'_>) -> Vec<StoreRecord> {
+    fn remove_ended_jobs(&mut self, view: &View<'_>) -> Vec<StoreRecord> {
         let keep_ms = u64::try_from(self.bounds.keep_ended.as_millis()).unwrap_or(u64::MAX);
         let old = self.jobs.iter().filter(|(_, l)| {
             l.plan.outcome.is_some()
@@ -400,8 +400,8 @@
         let mut records = Vec::new();
         for name in old {
             self.jobs.remove(&name);
-            self.tickets.get_mut().forget(&name);
-            log::debug!(job:% = name; "job_forgotten");
+            self.tickets.get_mut().remove_job(&name);
+            log::debug!(job:% = name; "job_state_removed");
             records.extend(JobRecord::forget(&name));
         }
         records
@@ -415,7 +415,7 @@
         let silence_of = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
         let silent = self.fleet.workers().filter(|(_, w)| {
             // A worker that its agent can't reach may still run tasks under its last lease.
-            let lost = w
+            let unreachable = w
                 .unreachable_since
                 .is_some_and(|s| view.now.since(s) > self.bounds.max_silence);
             // An agent that reads no orders extends no lease. Its session is closed once all of its
@@ -424,7 +424,7 @@
                 .unread_since()
                 .map(|s| view.now.since(s.max(reports_since)));
             let reads_no_orders = unread.is_some_and(|u| u > allowed + self.bounds.lease_expiry);
-            w.closing == Closing::No && (silence_of(w) > allowed || lost || reads_no_orders)
+            w.closing == Closing::No && (silence_of(w) > allowed || unreachable || reads_no_orders)
         });
         let mut silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         let open = self.fleet.workers();
@@ -453,7 +453,7 @@
     }
 
     /// Returns the silence up to which an agent is taken to be alive. It grows with the silence of
-    /// the other agents.
+    /// the other agents, up to twice the configured limit.
     ///
     /// On a slow store the reports of all agents are delayed. With the limit for a fast store, the
     /// sessions of live agents would be closed one by one and all runs on their workers stopped.
@@ -475,8 +475,8 @@
     /// Returns whether all agents have been silent for more than twice the limit.
     fn all_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
         let newest = self.fleet.workers().map(|(_, w)| w.reported).max();
-        let heard = newest.unwrap_or_default().max(reports_since);
-        view.now.since(heard) > self.bounds.max_silence * 2
+        let last_report = newest.unwrap_or_default().max(reports_since);
+        view.now.since(last_report) > self.bounds.max_silence * 2
     }
 
     /// Starts the tasks that fit and returns why the other jobs wait. Without a fresh proof of the
@@ -484,7 +484,7 @@
     /// service in the meantime.
     fn start_tasks(&mut self, view: &View<'_>) -> HashMap<Name, Waiting> {
         let guaranteed = guaranteed_jobs(&self.jobs, view.configuration);
-        self.failures.forget(view.now);
+        self.failures.remove_old(view.now);
         let learned = Observations {
             times: &self.run_times,
             peaks: &self.peaks,
--- a/dragonflyrun/src/workload/planner/settle.rs
+++ b/dragonflyrun/src/workload/planner/run_ends.rs
@@ -48,8 +48,8 @@
         let leader = if shape.gang { numbers.start } else { number };
         let task = live.plan.tasks.entry(number).or_default();
         let current = task.run == run.number;
-        let here = task.place.as_ref().is_some_and(|p| p.worker == worker);
-        if current && here {
+        let is_here = task.place.as_ref().is_some_and(|p| p.worker == worker);
+        if current && is_here {
             task.place = None;
         }
         if current && !checkpoint.is_empty() {
@@ -121,7 +121,7 @@
 
     /// Ends the jobs that are complete, failed or cancelled, and stops runs that are no longer
     /// wanted.
-    pub(super) fn settle_jobs(&mut self, view: &View<'_>) {
+    pub(super) fn finish_jobs(&mut self, view: &View<'_>) {
         for (name, live) in &mut self.jobs {
             if live.plan.outcome.is_none() {
                 let outcome = live.outcome();
@@ -187,8 +187,8 @@
         let Some(task) = live.plan.tasks.get(&number) else {
             return false;
         };
-        let here = task.place.as_ref().is_some_and(|p| p.worker == *worker);
-        if !(here && task.run == run.number) {
+        let is_here = task.place.as_ref().is_some_and(|p| p.worker == *worker);
+        if !(is_here && task.run == run.number) {
             return false;
         }
         let shape = &live.job.request.steps[run.task.step as usize];
--- a/dragonflyrun/src/workload/recent_failures.rs
+++ b/dragonflyrun/src/workload/recent_failures.rs
@@ -69,11 +69,11 @@
     pub(super) fn add(&mut self, failure: Failure) {
         let now = failure.at;
         self.failures.push_back(failure);
-        self.forget(now);
+        self.remove_old(now);
     }
 
     /// Removes old failures.
-    pub(super) fn forget(&mut self, now: Timestamp) {
+    pub(super) fn remove_old(&mut self, now: Timestamp) {
         while let Some(oldest) = self.failures.front()
             && now.since(oldest.at) > FAILURE_WINDOW
         {
@@ -90,11 +90,11 @@
 
     /// Returns whether several of `all` workers fail everything that they start, for more than one
     /// job.
-    pub(super) fn are_workers_faulty(&self, all: usize) -> bool {
+    pub(super) fn are_workers_faulty(&self, worker_count: usize) -> bool {
         let indications = || self.failures.iter().filter(|f| f.indicates_faulty_worker());
         let workers: HashSet<&Name> = indications().map(|f| &f.worker).collect();
         let jobs: HashSet<&Name> = indications().map(|f| &f.job).collect();
-        let many = MIN_FAULTY_WORKERS.max((all as f64 * MIN_FAULTY_SHARE) as usize);
-        workers.len() >= many && jobs.len() > 1
+        let min_workers = MIN_FAULTY_WORKERS.max((worker_count as f64 * MIN_FAULTY_SHARE) as usize);
+        workers.len() >= min_workers && jobs.len() > 1
     }
 }
--- a/dragonflyrun/src/workload/run_times.rs
+++ b/dragonflyrun/src/workload/run_times.rs
@@ -78,9 +78,9 @@
     }
 
     /// Removes the data of a worker that is gone.
-    pub fn forget(&mut self, worker: &Name) {
+    pub fn remove_worker(&mut self, worker: &Name) {
         self.workers.remove(worker);
-        self.speeds.forget(worker);
+        self.speeds.remove_worker(worker);
     }
 }
 
@@ -90,7 +90,7 @@
         if self.count == 1 {
             self.mean_ms = took_ms;
         }
-        let error = |guess: f64| (guess.max(1.0) / took_ms).ln().abs();
+        let error = |estimate: f64| (estimate.max(1.0) / took_ms).ln().abs();
         let (by_caller, by_mean) = (error(caller_estimate_ms as f64), error(self.mean_ms));
         let weight = QUEUE_WEIGHT.max(1.0 / f64::from(self.count));
         self.caller_error += (by_caller - self.caller_error) * weight;
--- a/dragonflyrun/src/workload/schedule.rs
+++ b/dragonflyrun/src/workload/schedule.rs
@@ -231,7 +231,7 @@
         steps.reverse();
     }
     let tier = |step: u32| {
-        let of_tier = candidates.iter().filter(|i| {
+        let members = candidates.iter().filter(|i| {
             let slow = rooms[**i].slowness_step;
             // Degraded workers are used only if no others have room.
             if time_critical {
@@ -240,7 +240,7 @@
                 slow > step && slow < SLOWEST_STEP
             }
         });
-        of_tier.copied().collect()
+        members.copied().collect()
     };
     steps.into_iter().map(tier).collect()
 }
@@ -364,15 +364,16 @@
     if matches!(horizon, Horizon::At(_)) && held.is_some() {
         return None;
     }
-    let outlasts = held.filter(|h| horizon == Horizon::Now && demand.estimate_ms > h.from_ms);
-    let here = placed.get(&room.worker).copied().unwrap_or(0);
+    let conflicting_hold =
+        held.filter(|h| horizon == Horizon::Now && demand.estimate_ms > h.from_ms);
+    let already_placed = placed.get(&room.worker).copied().unwrap_or(0);
     Some(Candidate {
         room: index,
         free: room.available(horizon),
-        spare: outlasts.map(|h| h.spare),
+        spare: conflicting_hold.map(|h| h.spare),
         tasks_left: match demand.shape.per_worker {
             0 => u32::MAX,
-            most => most.saturating_sub(here),
+            limit => limit.saturating_sub(already_placed),
         },
     })
 }
@@ -499,13 +500,13 @@
                 victims_by_room[*i].push(v);
             }
         }
-        for of_room in &mut victims_by_room {
-            of_room.sort_by(|a, b| victims[*a].cost.total_cmp(&victims[*b].cost));
-            of_room.dedup();
+        for room_victims in &mut victims_by_room {
+            room_victims.sort_by(|a, b| victims[*a].cost.total_cmp(&victims[*b].cost));
+            room_victims.dedup();
         }
         let tasks_left = rooms.iter().map(|r| match demand.shape.per_worker {
             0 => u32::MAX,
-            most => most.saturating_sub(placed.get(&r.worker).copied().unwrap_or(0)),
+            limit => limit.saturating_sub(placed.get(&r.worker).copied().unwrap_or(0)),
         });
         Self {
             demand,
--- a/dragonflyrun/src/workload/speeds.rs
+++ b/dragonflyrun/src/workload/speeds.rs
@@ -85,7 +85,7 @@
     }
 
     /// Removes the data of a worker that is gone.
-    pub fn forget(&mut self, worker: &Name) {
+    pub fn remove_worker(&mut self, worker: &Name) {
         if let Some(timings) = self.workers.remove(worker) {
             self.sum -= mean_slowness(&timings);
         }
--- a/dragonflyrun/src/workload/tickets.rs
+++ b/dragonflyrun/src/workload/tickets.rs
@@ -79,9 +79,9 @@
         advice: &Advice,
         rooms: &[Room],
     ) {
-        let asked = self.steps.values().filter(|s| s.is_pending).count();
+        let pending = self.steps.values().filter(|s| s.is_pending).count();
         let step = self.steps.entry(key(demand)).or_default();
-        if step.is_pending || now < step.ask_after || asked >= MAX_OPEN_QUESTIONS {
+        if step.is_pending || now < step.ask_after || pending >= MAX_OPEN_QUESTIONS {
             return;
         }
         let unknown = rooms.iter().filter(|r| {
@@ -157,7 +157,7 @@
     }
 
     /// Removes the state of a job.
-    pub(super) fn forget(&mut self, job: &Name) {
+    pub(super) fn remove_job(&mut self, job: &Name) {
         self.steps.retain(|(name, ..), _| name != job);
     }
 }
--- a/dragonflyrun/src/workload/waiting.rs
+++ b/dragonflyrun/src/workload/waiting.rs
@@ -53,7 +53,7 @@
                 "{with_room} of {suitable} suitable workers have room for a task"
             ),
             Self::RoomBeingMade => f.write_str("other runs are being stopped for it"),
-            Self::RoomHeld => f.write_str("room that is becoming free is kept for it"),
+            Self::RoomHeld => f.write_str("room that is becoming free is held for it"),
             Self::ConfigurationStale => {
                 f.write_str("the planner has no fresh proof of the configuration")
             }
--- a/dragonflyrun/tests/kept_room.rs
+++ b/dragonflyrun/tests/kept_room.rs
@@ -84,7 +84,8 @@
     let mut bed = Bed::new(WORKERS);
     let cancelled = bed.submit("urgent", 0, vec![urgent(6)]);
     bed.pass();
-    bed.planner.job_record(&JobRecord::Cancelled(cancelled));
+    bed.planner
+        .apply_job_record(&JobRecord::Cancelled(cancelled));
     bed.end("urgent", EndKind::Stopped);
     flood(&mut bed, "flood");
     bed.pass();
--- a/dragonflyrun/tests/replay/planned.rs
+++ b/dragonflyrun/tests/replay/planned.rs
@@ -72,13 +72,13 @@
                 occurrences: None,
             },
         }));
-        self.bed.planner.job_record(&record);
+        self.bed.planner.apply_job_record(&record);
         self.next_pass_ms = 0;
     }
 
     fn cancel(&mut self, number: usize) {
         let record = JobRecord::Cancelled(job_name(number));
-        self.bed.planner.job_record(&record);
+        self.bed.planner.apply_job_record(&record);
         self.next_pass_ms = 0;
     }
 
--- a/dragonflyrun/tests/run_proofs.rs
+++ b/dragonflyrun/tests/run_proofs.rs
@@ -97,7 +97,7 @@
     bed.pass();
     bed.report_all();
     let (_, run) = bed.running("job")[0].clone();
-    bed.planner.job_record(&JobRecord::Cancelled(name));
+    bed.planner.apply_job_record(&JobRecord::Cancelled(name));
     let stops = |bed: &mut Bed, session: u64| {
         let orders = bed.pass().orders;
         let mut orders = orders.iter().filter(|o| o.session == session);
@@ -142,7 +142,7 @@
     bed.pass();
     for report in old {
         bed.planner
-            .report(Timestamp::from_millis(bed.now_ms), report);
+            .apply_report(Timestamp::from_millis(bed.now_ms), report);
     }
     let decisions = bed.pass();
     assert!(decisions.orders.iter().all(|o| o.order.stops.is_empty()));
@@ -262,7 +262,7 @@
     next.set_orders_end("w0", 12);
     let mut report = bed.reports[0].clone();
     report.sequence += 1;
-    next.report(now, report);
+    next.apply_report(now, report);
     let decisions = next.decide(&view);
     assert!(decisions.orders.is_empty(), "{decisions:?}");
 }
@@ -297,7 +297,7 @@
     gone.sequence += 1;
     gone.sent_ms = EPOCH_MS - 30_000;
     bed.planner
-        .stored_report(Timestamp::default(), EPOCH_MS, gone);
+        .apply_stored_report(Timestamp::default(), EPOCH_MS, gone);
     bed.submit("job", 0, vec![task(8)]);
     assert!(bed.pass().orders.is_empty());
     bed.add_worker("new", "r0");
--- a/dragonflyrun/tests/task_placement.rs
+++ b/dragonflyrun/tests/task_placement.rs
@@ -358,7 +358,7 @@
     );
     bed.pass();
     bed.planner
-        .job_record(&dragonflyrun::workload::JobRecord::Cancelled(job));
+        .apply_job_record(&dragonflyrun::workload::JobRecord::Cancelled(job));
     let decisions = bed.pass();
     assert_eq!(decisions.orders[0].order.stops.len(), 2);
     assert_eq!(
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -151,7 +151,8 @@
             },
         };
         let name = job.name.clone();
-        self.planner.job_record(&JobRecord::Accepted(Box::new(job)));
+        self.planner
+            .apply_job_record(&JobRecord::Accepted(Box::new(job)));
         name
     }
 
@@ -210,7 +211,7 @@
             .find(|r| &*r.heartbeat.worker == worker);
         if let Some(report) = report {
             report.sequence += 1;
-            self.planner.report(now, report.clone());
+            self.planner.apply_report(now, report.clone());
         }
     }
 
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -128,12 +128,12 @@
 
 fn read(world: &mut World, planner: &mut ModelPlanner) {
     for record in &world.store.jobs[planner.jobs_read..] {
-        planner.planner.job_record(record);
+        planner.planner.apply_job_record(record);
     }
     planner.jobs_read = world.store.jobs.len();
     let now = Timestamp::from_millis(world.now);
     for report in &world.store.reports[planner.reports_read..] {
-        planner.planner.report(now, report.clone());
+        planner.planner.apply_report(now, report.clone());
     }
     planner.reports_read = world.store.reports.len();
 }
