--- a/dragonflyrun/src/workload/overdue.rs
+++ b/dragonflyrun/src/workload/overdue.rs
@@ -1,8 +1,8 @@
-//! Runs that take far longer than they should, on workers that stand still or have turned slow.
+//! Runs that take far longer than expected because their worker hangs or is degraded.
 //!
-//! Load pattern answered here: a worker says that it is well, and what runs on it does not come to an
-//! end. An urgent run is stopped there and started again on a sound worker that has room; the clerk
-//! would otherwise wait for as long as the worker is sick.
+//! Such a worker reports that it is healthy, but its runs don't end. An urgent run is stopped there
+//! and restarted on a healthy worker that has room. Otherwise its caller would wait for as long as
+//! the fault lasts.
 
 use std::collections::BTreeMap;
 
@@ -13,32 +13,34 @@
         demands::Demands,
         live::LiveJob,
         pass::{Pass, elapsed_ms, expected_ms},
-        relocation::{demand_of, runs_of},
+        relocation::{demand_for_run, runs_of_demand},
     },
 };
 
-/// A run that has taken so many times its expected time is overdue, and its worker doubtful.
-const OVERDUE: f64 = 3.0;
+/// A run is overdue, and its worker suspect, once it has taken this multiple of its expected time.
+const OVERDUE_RATIO: f64 = 3.0;
 
-/// Milliseconds that a run has to be overdue at the least: short tasks scatter more.
-const OVERDUE_MS: f64 = 2_000.0;
+/// Minimum milliseconds beyond the expected time before a run is overdue, because the times of
+/// short tasks vary more.
+const MIN_OVERDUE_MS: f64 = 2_000.0;
 
-/// Learned slowness of a worker from which on a run that is overdue there is its worker's fault. Without
-/// that, or a second job that is overdue there too, the guess may have been wrong: stopping on a
-/// single late run threw 0.18 of the urgent jobs of `tests/loads/cancel.json` out of their time.
-const SLOW: f64 = 2.5;
+/// Learned slowness from which on an overdue run is blamed on its worker. Below it, and without a
+/// second job that is overdue on the worker, the estimate may be wrong: stopping runs for a single
+/// overdue one made 0.18 of the urgent jobs of `tests/loads/cancel.json` late.
+const FAULTY_SLOWNESS: f64 = 2.5;
 
-/// Returns whether a run that is expected to take `expected` milliseconds is overdue after `elapsed`.
+/// Returns whether a run that is expected to take `expected` milliseconds is overdue after
+/// `elapsed`.
 pub(super) fn is_overdue(expected: f64, elapsed: f64) -> bool {
-    elapsed > (expected * OVERDUE).max(expected + OVERDUE_MS)
+    elapsed > (expected * OVERDUE_RATIO).max(expected + MIN_OVERDUE_MS)
 }
 
-/// Returns the overdue runs of urgent work that could start at once on sound workers: a whole gang, or
-/// a task that stands alone.
+/// Returns the overdue runs of urgent work that could restart at once on healthy workers: whole
+/// gangs or single tasks.
 ///
-/// Each task is moved once only: where its second run is overdue as well, it is the task that is
-/// long, and stopping it again would never let it come to an end.
-pub(super) fn to_move(
+/// Each task is moved only once. If its second run is overdue too, the task itself is long, and
+/// stopping it again would never let it complete.
+pub(super) fn runs_to_stop(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
     demands: &Demands<'_, '_>,
@@ -46,24 +48,24 @@
 ) -> Vec<(Name, RunId)> {
     let mut found = Vec::new();
     for (worker, state) in fleet.workers() {
-        let late = overdue_runs(jobs, demands, state);
-        let mut late_jobs: Vec<&Name> = late.iter().map(|run| &run.task.job).collect();
-        late_jobs.dedup();
-        if late_jobs.len() < 2 && demands.times.slowness(worker) < SLOW {
+        let overdue = overdue_runs(jobs, demands, state);
+        let mut overdue_jobs: Vec<&Name> = overdue.iter().map(|run| &run.task.job).collect();
+        overdue_jobs.dedup();
+        if overdue_jobs.len() < 2 && demands.times.slowness(worker) < FAULTY_SLOWNESS {
             continue;
         }
-        for run in late {
+        for run in overdue {
             let live = jobs.get(&run.task.job);
             let urgent = live.filter(|l| l.job.priority == 0 && !l.moved.contains(&run.task));
             let Some(live) = urgent else {
                 continue;
             };
-            let Some(mut demand) = demand_of(live, run, demands) else {
+            let Some(mut demand) = demand_for_run(live, run, demands) else {
                 continue;
             };
             demand.avoid.push(worker.clone());
-            if pass.has_sound_room(&demand) {
-                found.extend(runs_of(fleet, &demand, run));
+            if pass.has_healthy_room(&demand) {
+                found.extend(runs_of_demand(fleet, &demand, run));
             }
         }
     }
@@ -80,9 +82,9 @@
 ) -> Vec<&'f RunId> {
     let under_way = worker.runs.iter();
     let under_way = under_way.filter(|(_, state)| state.running_since.is_some() && !state.stopping);
-    let late = under_way.filter(|(run, state)| {
+    let overdue = under_way.filter(|(run, state)| {
         let expected = expected_ms(jobs, demands.times, run) as f64;
         is_overdue(expected, elapsed_ms(state, demands.view) as f64)
     });
-    late.map(|(run, _)| run).collect()
+    overdue.map(|(run, _)| run).collect()
 }
--- a/dragonflyrun/src/workload/planner/settle.rs
+++ b/dragonflyrun/src/workload/planner/run_ends.rs
@@ -1,5 +1,5 @@
-//! What follows from a run that is over: ends of tasks, gangs and jobs, and stops of what must not
-//! run any more.
+//! Consequences of a run that is over: the ends of tasks, gangs and jobs, and stops of runs that
+//! are no longer wanted.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
     workload::{
         Outcome, RunId, RunOver, RunOverReason,
         planner::{Planner, View},
-        trust::Failure,
+        recent_failures::Failure,
     },
 };
 
-/// Milliseconds in which the ends of a gang's other members are reported after the first one.
-const ENDS_FOLLOW_MS: u64 = 2_000;
+/// Milliseconds after a completed gang's first reported end in which the other members report
+/// theirs.
+const GANG_END_REPORTS_MS: u64 = 2_000;
 
 impl Planner {
-    /// Takes note that a run is over.
+    /// Applies the end of a run to its task and its job.
     pub(super) fn run_over(&mut self, now: Timestamp, over: RunOver) {
         let RunOver {
             run,
@@ -36,7 +37,7 @@
             return;
         };
         log::info!(
-            job:% = run.task.job, run:% = run, worker:% = worker, why:% = kind_name(&why),
+            job:% = run.task.job, run:% = run, worker:% = worker, why:% = reason_label(&why),
             ran_ms = running_since.map_or(0, |s| now.since(s).as_millis() as u64);
             "run_over"
         );
@@ -47,8 +48,8 @@
         let leader = if shape.gang { numbers.start } else { number };
         let task = live.plan.tasks.entry(number).or_default();
         let current = task.run == run.number;
-        let here = task.place.as_ref().is_some_and(|p| p.worker == worker);
-        if current && here {
+        let is_here = task.place.as_ref().is_some_and(|p| p.worker == worker);
+        if current && is_here {
             task.place = None;
         }
         if current && !checkpoint.is_empty() {
@@ -68,7 +69,7 @@
             if matches!(why, RunOverReason::Refused(StartOutcome::NoTicket)) {
                 let task = &run.task;
                 let tickets = self.tickets.get_mut();
-                tickets.refused(&task.job, task.occurrence, task.step, &worker);
+                tickets.drop_ticket(&task.job, task.occurrence, task.step, &worker);
             }
             if matches!(why, RunOverReason::Refused(StartOutcome::Unhealthy)) {
                 live.failed_on.push(worker);
@@ -88,9 +89,9 @@
                 }
                 if let Some(placed_at) = whole_since {
                     let took_ms = now.since(placed_at).as_millis() as f64;
-                    let guess_ms = shape.estimate_ms;
+                    let caller_estimate_ms = shape.estimate_ms;
                     self.run_times
-                        .learn(&live.job.queue, &worker, guess_ms, took_ms);
+                        .learn(&live.job.queue, &worker, caller_estimate_ms, took_ms);
                 }
             }
             EndKind::Failed => {
@@ -100,13 +101,13 @@
                     counted.failed += 1;
                 }
                 live.failed_at = Some(now);
-                let in_a_row = self.fleet.get(&worker).map_or(1, |w| w.failures);
+                let consecutive = self.fleet.get(&worker).map_or(1, |w| w.failures);
                 self.failures.add(Failure {
                     at: now,
                     worker: worker.clone(),
                     job: run.task.job.clone(),
                     ran: running_since.map_or(Duration::ZERO, |since| now.since(since)),
-                    in_a_row,
+                    consecutive,
                 });
                 live.failed_on.push(worker);
             }
@@ -118,8 +119,9 @@
         }
     }
 
-    /// Ends jobs that have come to their end, and stops what must not run any more.
-    pub(super) fn settle_jobs(&mut self, view: &View<'_>) {
+    /// Ends the jobs that are complete, failed or cancelled, and stops runs that are no longer
+    /// wanted.
+    pub(super) fn finish_jobs(&mut self, view: &View<'_>) {
         for (name, live) in &mut self.jobs {
             if live.plan.outcome.is_none() {
                 let outcome = live.outcome();
@@ -137,12 +139,12 @@
         self.stop_unwanted(view);
     }
 
-    /// Orders stops of all runs that no plan wants.
+    /// Orders stops of all runs that aren't part of any plan.
     fn stop_unwanted(&mut self, view: &View<'_>) {
         let mut stops = Vec::new();
         for (name, worker) in self.fleet.workers() {
             for (run, state) in &worker.runs {
-                // An order that is still on its way is stopped once it stands.
+                // A run whose start order isn't stored yet is stopped once it is.
                 if !state.stopping && state.ordered.is_some() && !self.is_wanted(view, name, run) {
                     stops.push((name.clone(), run.clone()));
                 }
@@ -172,9 +174,9 @@
             return false;
         };
         match live.plan.outcome {
-            // The members of a gang end together; the ends of the others are on their way.
+            // The members of a gang end together, so the ends of the others will be reported soon.
             Some(Outcome::Completed) => {
-                return view.unix_ms < live.plan.ended_ms + ENDS_FOLLOW_MS;
+                return view.unix_ms < live.plan.ended_ms + GANG_END_REPORTS_MS;
             }
             Some(Outcome::Failed | Outcome::Cancelled) => return false,
             None => {}
@@ -185,15 +187,15 @@
         let Some(task) = live.plan.tasks.get(&number) else {
             return false;
         };
-        let here = task.place.as_ref().is_some_and(|p| p.worker == *worker);
-        if !(here && task.run == run.number) {
+        let is_here = task.place.as_ref().is_some_and(|p| p.worker == *worker);
+        if !(is_here && task.run == run.number) {
             return false;
         }
         let shape = &live.job.request.steps[run.task.step as usize];
         if !shape.gang {
             return !task.done;
         }
-        // A gang of which one member is over can't come to an end any more.
+        // A gang can't complete once one of its members is over.
         let mut members = live.job.numbers(run.task.occurrence, run.task.step);
         let whole = members.all(|m| {
             let member = live.plan.tasks.get(&m);
@@ -203,7 +205,7 @@
     }
 }
 
-fn kind_name(why: &RunOverReason) -> String {
+fn reason_label(why: &RunOverReason) -> String {
     match why {
         RunOverReason::Ended(end) => format!("{:?}", end.kind),
         RunOverReason::Refused(outcome) => format!("refused:{outcome:?}"),
