--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -12,7 +12,7 @@
     port::{Configuration, Heartbeat, Queue},
     utils::HashSet,
     workload::{
-        Book, Decisions, Job, JobRecord, JobRequest, Planner, PlannerBounds, Report, Resources,
+        Decisions, Job, JobRecord, JobRequest, JobTable, Planner, PlannerBounds, Report, Resources,
         Step, View,
     },
 };
@@ -54,7 +54,7 @@
             checkpoint_every: Duration::from_secs(2),
         };
         let mut bed = Self {
-            planner: Planner::take_over(bounds, &Book::default(), Timestamp::default()),
+            planner: Planner::take_over(bounds, &JobTable::default(), Timestamp::default()),
             configuration: Configuration {
                 version: 1,
                 queues: (0..queues).map(queue).collect(),
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -287,7 +287,7 @@
             let asked = {
                 let mut table = lock(&self.table);
                 let worker = table.worker();
-                worker.and_then(|(worker, _)| Some((worker, table.ask_lists()?)))
+                worker.and_then(|(worker, _)| Some((worker, table.request_lists()?)))
             };
             let Some((worker, (asked, session, confirmed, lease))) = asked else {
                 wait_for(&self.look, IDLE_LOOK).await;
@@ -318,9 +318,9 @@
             }
             let again = {
                 let mut table = lock(&self.table);
-                let mut again = table.unanswered();
+                let mut again = table.pending_actions();
                 if again.is_empty() {
-                    again = table.stop_again();
+                    again = table.stop_leftovers();
                 }
                 again
             };
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -11,7 +11,7 @@
     },
     process::on_store::{StoreEntry, append_time},
     utils::{Name, lock},
-    workload::{Job, JobRecord, LookUp},
+    workload::{Job, JobLookup, JobRecord},
 };
 
 /// Time for one append of a caller's record.
@@ -65,7 +65,7 @@
     }
 
     pub(super) async fn cancel(&self, req: &CallerRequest, name: &Name) -> CallerAnswer {
-        let LookUp::Known(state) = self.look_up(name).await else {
+        let JobLookup::Known(state) = self.look_up(name).await else {
             return self.not_known();
         };
         if matches!(
@@ -182,7 +182,9 @@
 
     fn store_is_away(&self) -> bool {
         let state = lock(&self.state);
-        state.reach.is_away(Instant::now(), state.store_delay)
+        state
+            .reach
+            .is_unreachable(Instant::now(), state.store_delay)
     }
 
     fn not_stored(&self, doubtful: bool) -> CallerAnswer {
--- a/dragonflyrun/src/process/on_store/entrance.rs
+++ b/dragonflyrun/src/process/on_store/entrance.rs
@@ -13,7 +13,7 @@
         entry::{READY_AGE, unix_ms},
     },
     utils::{Name, lock},
-    workload::{Job, LookUp, MOST_NAME_BYTES},
+    workload::{Job, JobLookup, MAX_JOB_NAME_BYTES},
 };
 
 /// Share of the bound on revoked keys up to which an old proof still counts; the rest covers the
@@ -33,9 +33,9 @@
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
     /// Returns the state of a job; that of a running one after waiting a moment for its end.
-    async fn look_up_end(&self, req: &CallerRequest, name: &Name) -> LookUp {
+    async fn look_up_end(&self, req: &CallerRequest, name: &Name) -> JobLookup {
         let found = self.look_up(name).await;
-        if found != LookUp::Known(JobState::Running) {
+        if found != JobLookup::Known(JobState::Running) {
             return found;
         }
         let delay = lock(&self.state).store_delay;
@@ -45,7 +45,7 @@
         loop {
             let folded = watch.folded();
             let found = lock(&self.state).book.look_up(name);
-            if found != LookUp::Known(JobState::Running) {
+            if found != JobLookup::Known(JobState::Running) {
                 return found;
             }
             if timeout_at(until, folded).await.is_err() {
@@ -55,10 +55,10 @@
     }
 
     /// Returns what the book has of a job, as current as the store's answers allow.
-    pub(super) async fn look_up(&self, name: &Name) -> LookUp {
+    pub(super) async fn look_up(&self, name: &Name) -> JobLookup {
         self.catch_up().await;
         let found = lock(&self.state).book.look_up(name);
-        if found != LookUp::Unknown {
+        if found != JobLookup::Unknown {
             return found;
         }
         // Another entry may have accepted it since the read under way was answered.
@@ -126,11 +126,11 @@
                 CallerAnswer::Pending(lock(&self.state).book.pending(&admitted.queue.name))
             }
             CallerCall::Look => match self.look_up_end(&req, &name).await {
-                LookUp::Known(state) => CallerAnswer::State(state),
-                LookUp::Unknown => self.not_known(),
+                JobLookup::Known(state) => CallerAnswer::State(state),
+                JobLookup::Unknown => self.not_known(),
             },
             CallerCall::Cancel => self.cancel(&req, &name).await,
-            CallerCall::Submit(Some(job)) if job.is_sound() && is_storable(&name) => {
+            CallerCall::Submit(Some(job)) if job.is_valid() && is_storable(&name) => {
                 let job = Job {
                     name,
                     queue: admitted.queue.name.clone(),
@@ -161,5 +161,5 @@
 
 /// Returns whether records of a job with this name can be told apart in the store.
 fn is_storable(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MOST_NAME_BYTES
+    !name.is_empty() && name.len() <= MAX_JOB_NAME_BYTES
 }
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -26,7 +26,7 @@
         },
     },
     utils::{HashMap, HashSet, Name, Timestamp, lock},
-    workload::{Book, Election, JobRecord, StoreReach, Waiting},
+    workload::{Election, JobRecord, JobTable, StoreReachability, Waiting},
 };
 
 /// How long a read waits for news. An answer proves that what is known was current when the read
@@ -57,13 +57,13 @@
 
 /// What an entry knows. Guarded by one lock.
 pub(super) struct EntryState {
-    pub(super) book: Book,
+    pub(super) book: JobTable,
     pub(super) book_end: u64,
     pub(super) book_proof: Option<BootTime>,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) evacuated: Arc<HashSet<Name>>,
     pub(super) operator_proof: Option<BootTime>,
-    pub(super) reach: StoreReach,
+    pub(super) reach: StoreReachability,
     /// How long the store takes for an answer.
     pub(super) store_delay: Duration,
     pub(super) election: Election,
@@ -105,13 +105,13 @@
             advisor,
             counters,
             state: Mutex::new(EntryState {
-                book: Book::default(),
+                book: JobTable::default(),
                 book_end: 0,
                 book_proof: None,
                 configuration: None,
                 evacuated: Arc::default(),
                 operator_proof: None,
-                reach: StoreReach::default(),
+                reach: StoreReachability::default(),
                 store_delay: Duration::ZERO,
                 election,
                 plans: false,
@@ -263,7 +263,7 @@
         self.counters.latency("state_read", batch.asked.elapsed());
         let mut state = lock(&self.state);
         if regained || batch.replaces {
-            state.election.was_cut_off(now);
+            state.election.store_regained(now);
         }
         let mut changed = false;
         for record in &batch.records {
@@ -272,7 +272,7 @@
                 continue;
             };
             match &record {
-                JobRecord::Planner(term) => state.election.saw(now, term),
+                JobRecord::Planner(term) => state.election.saw_heartbeat(now, term),
                 JobRecord::Plan(..) => state.election.saw_plan(now),
                 JobRecord::Accepted(_) | JobRecord::Cancelled(_) => {}
             }
--- a/dragonflyrun/src/process/on_store/own_interface.rs
+++ b/dragonflyrun/src/process/on_store/own_interface.rs
@@ -13,7 +13,7 @@
         BootTime, DeploymentView, StepJobFile, StepJobView, StepView, StoreEntry, view::state_name,
     },
     utils::{Name, lock},
-    workload::{BookEntry, LookUp},
+    workload::{JobLookup, KnownJob},
 };
 
 /// Header of a call that hands a job in: the workspace's key.
@@ -103,10 +103,10 @@
         let mut counts = [0; 3];
         for (name, _) in state.book.jobs() {
             match state.book.look_up(name) {
-                LookUp::Known(JobState::Queued) => counts[0] += 1,
-                LookUp::Known(JobState::Running) => counts[1] += 1,
-                LookUp::Known(_) => counts[2] += 1,
-                LookUp::Unknown => {}
+                JobLookup::Known(JobState::Queued) => counts[0] += 1,
+                JobLookup::Known(JobState::Running) => counts[1] += 1,
+                JobLookup::Known(_) => counts[2] += 1,
+                JobLookup::Unknown => {}
             }
         }
         let mut out_of_service: Vec<Name> = state.evacuated.iter().cloned().collect();
@@ -132,7 +132,7 @@
 
     fn step_job(&self, name: &str) -> Option<StepJobView> {
         let state = lock(&self.state);
-        let LookUp::Known(job_state) = state.book.look_up(name) else {
+        let JobLookup::Known(job_state) = state.book.look_up(name) else {
             return None;
         };
         let entry = state.book.get(name)?;
@@ -179,10 +179,10 @@
     }
 }
 
-fn step_view(entry: &BookEntry, step: u32) -> Option<StepView> {
+fn step_view(entry: &KnownJob, step: u32) -> Option<StepView> {
     let job = entry.job.as_ref()?;
     let occurrences = 0..job.request.repeats();
-    let numbers = occurrences.flat_map(|occurrence| job.numbers(occurrence, step));
+    let numbers = occurrences.flat_map(|occurrence| job.task_numbers(occurrence, step));
     let numbers: Vec<u32> = numbers.collect();
     let known = numbers.iter().filter_map(|n| entry.plan.tasks.get(n));
     let known: Vec<_> = known.collect();
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -29,8 +29,8 @@
     },
     utils::{HashMap, HashSet, Name, Timestamp, lock},
     workload::{
-        Candidate, Decisions, JobRecord, LifeSigns, OrderMessage, Planner, PlannerBounds, Report,
-        Term, TermStep, View, WithheldChange, WithheldStarts, WorkerOrder, decode, encode,
+        Candidate, Decisions, JobRecord, OrderMessage, Planner, PlannerBounds, PlannerHeartbeat,
+        Report, Term, TermStep, View, WithheldChange, WithheldStarts, WorkerOrder, decode, encode,
     },
 };
 
@@ -87,7 +87,7 @@
     reports_since: Cell<Option<Timestamp>>,
     /// Partitions of reports that can't be read, or have not been yet.
     unread: Cell<HashSet<u32>>,
-    life: RefCell<LifeSigns>,
+    life: RefCell<PlannerHeartbeat>,
     withheld: RefCell<WithheldStarts>,
 }
 
@@ -131,7 +131,7 @@
             Err(error) => {
                 log::info!(term = term.number, reason:% = error; "term_not_won");
                 if error == AppendError::Fenced {
-                    lock(&entry.state).election.was_refused();
+                    lock(&entry.state).election.claim_refused();
                 }
                 return None;
             }
@@ -157,7 +157,7 @@
             taken_over: Cell::new(false),
             reports_since: Cell::new(None),
             unread: Cell::default(),
-            life: RefCell::new(LifeSigns::claimed(term.stale)),
+            life: RefCell::new(PlannerHeartbeat::claimed(term.stale)),
             withheld: RefCell::default(),
             term,
         }))
@@ -367,7 +367,7 @@
             {
                 return;
             }
-            self.life.borrow_mut().plan_stands();
+            self.life.borrow_mut().plan_stored();
         }
         for order in decisions.orders {
             self.send(order);
@@ -504,11 +504,11 @@
     }
     let candidate = Candidate {
         store_delay: state.store_delay,
-        proves: state.operator_proof.is_some_and(|p| p.elapsed() < FRESH),
+        has_fresh_configuration: state.operator_proof.is_some_and(|p| p.elapsed() < FRESH),
     };
     match state.election.step(now, candidate) {
         TermStep::Wait => None,
-        TermStep::Try(term) => Some((term, state.book_end)),
+        TermStep::Claim(term) => Some((term, state.book_end)),
     }
 }
 
--- a/dragonflyrun/src/workload/agent_table.rs
+++ b/dragonflyrun/src/workload/agent_table.rs
@@ -12,7 +12,7 @@
 use crate::{
     port::{CallError, End, Heartbeat, RunningTask, StartOrder, StartOutcome, WorkerLists},
     utils::{HashSet, Name},
-    workload::{Order, Report, RunId, TaskStart, pace::Paces, progress::Progresses},
+    workload::{Order, Report, RunId, TaskStart, pace::PaceTable, progress::ProgressTable},
 };
 
 /// What is to be done at the worker.
@@ -37,14 +37,14 @@
 #[derive(Clone, Debug)]
 enum Pending {
     /// The worker has not answered the start; whether a try may have been carried out unseen.
-    Asked {
+    StartSent {
         order: Box<StartOrder>,
-        doubtful: bool,
+        may_have_started: bool,
     },
     /// The worker has not answered the stop.
-    Stopping,
+    StopSent,
     /// The worker has answered; the first list asked for after that number shows what is there.
-    Settled(u64),
+    Answered(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -56,30 +56,30 @@
     refused: Vec<(RunId, StartOutcome)>,
     /// Runs that were told to stop.
     stopped: HashSet<RunId>,
-    report: u64,
+    report_sequence: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Life {
+struct Incarnation {
     heartbeat: Heartbeat,
     /// When the newest heartbeat came.
-    heard: Instant,
+    heartbeat_at: Instant,
     left: bool,
     /// Whether the worker's process is gone for certain.
-    dead: bool,
+    process_gone: bool,
     unreachable: bool,
     /// Looks in a row that had no answer.
-    unanswered: u32,
+    unanswered_checks: u32,
     /// The newest look at the worker's clock.
     clock_ms: Option<u64>,
     lease_until_ms: Option<u64>,
     running: Vec<RunningTask>,
-    paces: Paces,
-    progress: Progresses,
+    paces: PaceTable,
+    progress: ProgressTable,
     ends: Vec<End>,
     confirmed: u64,
-    lists_asked: u64,
-    lists_seen: u64,
+    lists_requested: u64,
+    lists_received: u64,
     session: Option<Session>,
 }
 
@@ -87,36 +87,36 @@
 #[derive(Debug)]
 pub struct AgentTable {
     lease: Duration,
-    checkpoint_every: Duration,
-    life: Option<Life>,
-    departed: Vec<Report>,
+    checkpoint_interval: Duration,
+    incarnation: Option<Incarnation>,
+    final_reports: Vec<Report>,
 }
 
 /// Silence of a worker that sends a heartbeat each 1.5 s after which one is missing for certain.
-const HEARTBEAT_SILENCE: Duration = Duration::from_millis(2_200);
+const MAX_HEARTBEAT_GAP: Duration = Duration::from_millis(2_200);
 
 /// Looks in a row without an answer after which a worker counts as unreachable. A single answer gets
 /// lost now and then; taken for an unreachable worker, its room would stand empty for a second.
-const UNREACHABLE_AFTER: u32 = 2;
+const UNREACHABLE_AFTER_CHECKS: u32 = 2;
 
 /// Refused starts that are kept for the report; the planner needs only the newest.
-const MOST_REFUSED: usize = 64;
+const MAX_REPORTED_REFUSALS: usize = 64;
 
 impl AgentTable {
     /// Returns the table of an agent that has heard of no worker. Leases last `lease` at most.
     pub fn new(lease: Duration) -> Self {
         Self {
             lease,
-            checkpoint_every: Duration::ZERO,
-            life: None,
-            departed: Vec::new(),
+            checkpoint_interval: Duration::ZERO,
+            incarnation: None,
+            final_reports: Vec::new(),
         }
     }
 
     /// Returns the table with the span of work after which a run saves a checkpoint.
     pub fn with_checkpoints(self, every: Duration) -> Self {
         Self {
-            checkpoint_every: every,
+            checkpoint_interval: every,
             ..self
         }
     }
@@ -126,8 +126,8 @@
     /// A heartbeat that was held up by the network may come after a new life of the worker has
     /// begun at the same address; it is older by its birth or its number and changes nothing.
     pub fn heartbeat(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
-        if let Some(life) = &mut self.life {
-            let known = &life.heartbeat;
+        if let Some(incarnation) = &mut self.incarnation {
+            let known = &incarnation.heartbeat;
             if heartbeat.born_ms < known.born_ms {
                 return false;
             }
@@ -138,238 +138,251 @@
                 let mut same = known.clone();
                 same.sequence = heartbeat.sequence;
                 let changed = same != heartbeat;
-                life.heartbeat = heartbeat;
-                life.heard = now;
+                incarnation.heartbeat = heartbeat;
+                incarnation.heartbeat_at = now;
                 return changed;
             }
         }
-        self.begin_life(heartbeat, now);
+        self.begin_incarnation(heartbeat, now);
         true
     }
 
-    fn begin_life(&mut self, heartbeat: Heartbeat, now: Instant) {
-        let old = self.life.take();
+    fn begin_incarnation(&mut self, heartbeat: Heartbeat, now: Instant) {
+        let old = self.incarnation.take();
         let replaced = old.filter(|l| l.heartbeat.worker != heartbeat.worker);
         if let Some(mut report) = replaced.and_then(|mut l| l.report()) {
             // Another worker answers at this machine now, so nothing of the old one runs.
             report.closed = true;
-            self.departed.push(report);
+            self.final_reports.push(report);
         }
-        self.life = Some(Life {
+        self.incarnation = Some(Incarnation {
             heartbeat,
-            heard: now,
+            heartbeat_at: now,
             left: false,
-            dead: false,
+            process_gone: false,
             unreachable: false,
-            unanswered: 0,
+            unanswered_checks: 0,
             clock_ms: None,
             lease_until_ms: None,
             running: Vec::new(),
-            paces: Paces::new(self.checkpoint_every),
-            progress: Progresses::default(),
+            paces: PaceTable::new(self.checkpoint_interval),
+            progress: ProgressTable::default(),
             ends: Vec::new(),
             confirmed: 0,
-            lists_asked: 0,
-            lists_seen: 0,
+            lists_requested: 0,
+            lists_received: 0,
             session: None,
         });
     }
 
     /// Takes note that the worker ends now.
     pub fn leave(&mut self, worker: &str) -> bool {
-        let life = self
-            .life
+        let incarnation = self
+            .incarnation
             .as_mut()
             .filter(|l| &*l.heartbeat.worker == worker);
-        life.is_some_and(|l| !std::mem::replace(&mut l.left, true))
+        incarnation.is_some_and(|l| !std::mem::replace(&mut l.left, true))
     }
 
-    /// Returns the worker and the start of its life.
+    /// Returns the worker and the start of its incarnation.
     pub fn worker(&self) -> Option<(Name, u64)> {
-        let life = self.life.as_ref()?;
-        Some((life.heartbeat.worker.clone(), life.heartbeat.born_ms))
+        let incarnation = self.incarnation.as_ref()?;
+        Some((
+            incarnation.heartbeat.worker.clone(),
+            incarnation.heartbeat.born_ms,
+        ))
     }
 
     /// Returns the number of the session, where one is open.
     pub fn session(&self) -> Option<u64> {
-        Some(self.life.as_ref()?.session.as_ref()?.number)
+        Some(self.incarnation.as_ref()?.session.as_ref()?.number)
     }
 
     /// Begins a session with the number that the store gave.
     pub fn begin_session(&mut self, worker: &str, born_ms: u64, number: u64) -> bool {
-        let life = self
-            .life
+        let incarnation = self
+            .incarnation
             .as_mut()
             .filter(|l| &*l.heartbeat.worker == worker && l.heartbeat.born_ms == born_ms);
-        let Some(life) = life else {
+        let Some(incarnation) = incarnation else {
             return false;
         };
-        life.lease_until_ms = None;
+        incarnation.lease_until_ms = None;
         // The first lists of the new session set its fencing token at the worker.
-        life.lists_seen = 0;
-        life.session = Some(Session {
+        incarnation.lists_received = 0;
+        incarnation.session = Some(Session {
             number,
             orders_seen: number + 1,
             fenced: false,
             pending: BTreeMap::new(),
             refused: Vec::new(),
             stopped: HashSet::default(),
-            report: 0,
+            report_sequence: 0,
         });
         true
     }
 
     /// Returns the newest look at the worker's clock: to be taken before a read of orders is sent.
     pub fn clock_ms(&self) -> Option<u64> {
-        self.life.as_ref()?.clock_ms
+        self.incarnation.as_ref()?.clock_ms
     }
 
-    /// Takes the orders up to `end`. `looked_ms` is the worker's clock as it was looked at before
+    /// Takes the orders up to `end`. `clock_read_ms` is the worker's clock as it was looked at before
     /// the read was sent.
     pub fn orders(
         &mut self,
-        looked_ms: Option<u64>,
+        clock_read_ms: Option<u64>,
         orders: Vec<Order>,
         end: u64,
     ) -> Vec<AgentAction> {
         let lease = u64::try_from(self.lease.as_millis()).unwrap_or(u64::MAX);
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return Vec::new();
         };
         let fence = orders.iter().any(|o| o.fence);
-        let Some(session) = &mut life.session else {
+        let Some(session) = &mut incarnation.session else {
             return Vec::new();
         };
         session.orders_seen = session.orders_seen.max(end);
         session.fenced |= fence;
-        if let (Some(looked), false) = (looked_ms, session.fenced) {
-            life.lease_until_ms = life.lease_until_ms.max(Some(looked + lease));
+        if let (Some(looked), false) = (clock_read_ms, session.fenced) {
+            incarnation.lease_until_ms = incarnation.lease_until_ms.max(Some(looked + lease));
         }
         let mut actions = Vec::new();
         for order in orders {
-            life.confirmed = life.confirmed.max(order.confirmed);
-            actions.extend(life.order(order));
+            incarnation.confirmed = incarnation.confirmed.max(order.confirmed);
+            actions.extend(incarnation.order(order));
         }
         if fence {
-            actions.extend(life.stop_all());
+            actions.extend(incarnation.stop_all());
         }
-        let confirmed = life.confirmed;
-        life.ends.retain(|e| e.number > confirmed);
+        let confirmed = incarnation.confirmed;
+        incarnation.ends.retain(|e| e.number > confirmed);
         actions
     }
 
     /// Takes note that orders may have been missed: what the session runs may run elsewhere soon.
     pub fn orders_lost(&mut self) -> Vec<AgentAction> {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return Vec::new();
         };
-        if let Some(session) = &mut life.session {
+        if let Some(session) = &mut incarnation.session {
             session.fenced = true;
         }
-        life.stop_all()
+        incarnation.stop_all()
     }
 
     /// Takes the answer to a start; returns whether the planner should hear of it at once.
     pub fn start_result(&mut self, run: &RunId, token: u64, result: StartResult) -> bool {
-        let Some((session, lists_asked)) = self.session_of(token) else {
+        let Some((session, lists_requested)) = self.session_of(token) else {
             return false;
         };
-        let Some(Pending::Asked { doubtful, .. }) = session.pending.get_mut(run) else {
+        let Some(Pending::StartSent {
+            may_have_started, ..
+        }) = session.pending.get_mut(run)
+        else {
             return false;
         };
         let StartResult::Answered(outcome) = result else {
-            *doubtful = true;
+            *may_have_started = true;
             return false;
         };
-        let doubtful = *doubtful;
+        let may_have_started = *may_have_started;
         if outcome == StartOutcome::Started {
             session
                 .pending
-                .insert(run.clone(), Pending::Settled(lists_asked));
+                .insert(run.clone(), Pending::Answered(lists_requested));
             return false;
         }
-        if doubtful {
+        if may_have_started {
             // An earlier try may have begun the run, or may be carried out yet. Taken for refused,
             // it would be started elsewhere and run twice; a stop settles it.
-            session.pending.insert(run.clone(), Pending::Stopping);
+            session.pending.insert(run.clone(), Pending::StopSent);
             return false;
         }
         session.pending.remove(run);
         session.refused.push((run.clone(), outcome));
-        let excess = session.refused.len().saturating_sub(MOST_REFUSED);
+        let excess = session.refused.len().saturating_sub(MAX_REPORTED_REFUSALS);
         session.refused.drain(..excess);
         true
     }
 
     /// Takes the answer to a stop.
     pub fn stop_result(&mut self, run: &RunId, token: u64, result: &Result<(), CallError>) {
-        if let (Some((session, lists_asked)), Ok(())) = (self.session_of(token), result) {
+        if let (Some((session, lists_requested)), Ok(())) = (self.session_of(token), result) {
             session
                 .pending
-                .insert(run.clone(), Pending::Settled(lists_asked));
+                .insert(run.clone(), Pending::Answered(lists_requested));
         }
     }
 
     /// Returns what is still to be done at the worker: starts and stops without an answer.
-    pub fn unanswered(&self) -> Vec<AgentAction> {
-        let session = self.life.as_ref().and_then(|l| l.session.as_ref());
+    pub fn pending_actions(&self) -> Vec<AgentAction> {
+        let session = self.incarnation.as_ref().and_then(|l| l.session.as_ref());
         let pending = session.into_iter().flat_map(|s| &s.pending);
         let open = pending.filter_map(|(run, pending)| match pending {
-            Pending::Asked { order, .. } => Some(AgentAction::Start((**order).clone())),
-            Pending::Stopping => Some(AgentAction::Stop(run.clone())),
-            Pending::Settled(_) => None,
+            Pending::StartSent { order, .. } => Some(AgentAction::Start((**order).clone())),
+            Pending::StopSent => Some(AgentAction::Stop(run.clone())),
+            Pending::Answered(_) => None,
         });
         open.collect()
     }
 
     /// Returns the number of a call that asks for the lists, and what that call is to say: the
     /// fencing token, the confirmed ends and the lease. `None` where there is no session.
-    pub fn ask_lists(&mut self) -> Option<(u64, u64, u64, Option<u64>)> {
-        let life = self.life.as_mut()?;
-        let session = life.session.as_ref()?;
-        life.lists_asked += 1;
-        let lease = life.lease_until_ms.filter(|_| !session.fenced);
-        Some((life.lists_asked, session.number, life.confirmed, lease))
+    pub fn request_lists(&mut self) -> Option<(u64, u64, u64, Option<u64>)> {
+        let incarnation = self.incarnation.as_mut()?;
+        let session = incarnation.session.as_ref()?;
+        incarnation.lists_requested += 1;
+        let lease = incarnation.lease_until_ms.filter(|_| !session.fenced);
+        Some((
+            incarnation.lists_requested,
+            session.number,
+            incarnation.confirmed,
+            lease,
+        ))
     }
 
     /// Takes the worker's lists, as the answer to call `asked` of session `token`; returns whether
     /// the planner should hear of it at once.
     pub fn lists(&mut self, asked: u64, token: u64, lists: WorkerLists) -> bool {
-        let Some(life) = self.in_session(token) else {
+        let Some(incarnation) = self.in_session(token) else {
             return false;
         };
-        let other_life = lists.born_ms.is_some_and(|b| b != life.heartbeat.born_ms);
+        let other_incarnation = lists
+            .born_ms
+            .is_some_and(|b| b != incarnation.heartbeat.born_ms);
         // Answers on two connections may overtake each other.
-        if other_life || asked < life.lists_seen {
+        if other_incarnation || asked < incarnation.lists_received {
             return false;
         }
         // The planner can use a worker, and give up its predecessor at the same address, only after
         // the first report, which would otherwise come with the next regular one, 1.2 s later.
-        let first = life.lists_seen == 0;
-        life.lists_seen = asked;
-        life.unanswered = 0;
-        life.clock_ms = life.clock_ms.max(Some(lists.clock_ms));
-        let Some(session) = &mut life.session else {
+        let first = incarnation.lists_received == 0;
+        incarnation.lists_received = asked;
+        incarnation.unanswered_checks = 0;
+        incarnation.clock_ms = incarnation.clock_ms.max(Some(lists.clock_ms));
+        let Some(session) = &mut incarnation.session else {
             return false;
         };
         session.pending.retain(|run, pending| match pending {
-            Pending::Settled(after) => *after >= asked,
-            Pending::Asked { .. } => !lists.running.iter().any(|r| r.run == *run),
-            Pending::Stopping => true,
+            Pending::Answered(after) => *after >= asked,
+            Pending::StartSent { .. } => !lists.running.iter().any(|r| r.run == *run),
+            Pending::StopSent => true,
         });
-        let confirmed = life.confirmed;
+        let confirmed = incarnation.confirmed;
         let ends: Vec<End> = lists
             .ends
             .into_iter()
             .filter(|e| e.number > confirmed)
             .collect();
         let last = |ends: &[End]| ends.iter().map(|e| e.number).max().unwrap_or(0);
-        let new_end = last(&ends) > last(&life.ends);
-        let urgent = first || new_end || std::mem::take(&mut life.unreachable);
-        life.ends = ends;
-        life.paces.look(lists.clock_ms, &lists.running);
-        life.progress.look(lists.clock_ms, &lists.running);
-        life.running = lists.running;
+        let new_end = last(&ends) > last(&incarnation.ends);
+        let urgent = first || new_end || std::mem::take(&mut incarnation.unreachable);
+        incarnation.ends = ends;
+        incarnation.paces.update(lists.clock_ms, &lists.running);
+        incarnation.progress.update(lists.clock_ms, &lists.running);
+        incarnation.running = lists.running;
         urgent
     }
 
@@ -380,47 +393,53 @@
     /// tasks need not wait for its lease. One of the two alone is no proof. A worker that has said
     /// when it leaves needs no silence beside that once the time has come.
     pub fn unreachable(&mut self, not_listening: bool, now: Instant) -> bool {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return false;
         };
-        let silent = now.saturating_duration_since(life.heard) > HEARTBEAT_SILENCE;
-        let dead = not_listening && (silent || life.was_to_leave_by(now));
-        life.unanswered += 1;
-        if !not_listening && life.unanswered < UNREACHABLE_AFTER {
+        let silent = now.saturating_duration_since(incarnation.heartbeat_at) > MAX_HEARTBEAT_GAP;
+        let process_gone = not_listening && (silent || incarnation.is_departure_due(now));
+        incarnation.unanswered_checks += 1;
+        if !not_listening && incarnation.unanswered_checks < UNREACHABLE_AFTER_CHECKS {
             return false;
         }
-        let new = !life.unreachable || (dead && !life.dead);
-        life.unreachable = true;
-        life.dead |= dead;
+        let new = !incarnation.unreachable || (process_gone && !incarnation.process_gone);
+        incarnation.unreachable = true;
+        incarnation.process_gone |= process_gone;
         new
     }
 
     /// Returns whether nothing of a fenced session is left, so that a new one may begin.
     pub fn is_closed(&self) -> bool {
-        self.life.as_ref().is_some_and(Life::is_closed)
+        self.incarnation
+            .as_ref()
+            .is_some_and(Incarnation::is_closed)
     }
 
     /// Forgets a worker that has left, once its last report is written.
     pub fn forget_departed(&mut self) {
-        let over = |l: &Life| (l.left || l.dead) && l.is_closed();
-        if self.life.as_ref().is_some_and(over) {
-            self.life = None;
+        let over = |l: &Incarnation| (l.left || l.process_gone) && l.is_closed();
+        if self.incarnation.as_ref().is_some_and(over) {
+            self.incarnation = None;
         }
     }
 
     /// Returns runs that the worker lists though no order of this session stands for them and
     /// that are to be stopped since the session is fenced.
-    pub fn stop_again(&mut self) -> Vec<AgentAction> {
-        let Some(life) = &mut self.life else {
+    pub fn stop_leftovers(&mut self) -> Vec<AgentAction> {
+        let Some(incarnation) = &mut self.incarnation else {
             return Vec::new();
         };
-        let fenced = life.session.as_ref().is_some_and(|s| s.fenced);
-        if fenced { life.stop_all() } else { Vec::new() }
+        let fenced = incarnation.session.as_ref().is_some_and(|s| s.fenced);
+        if fenced {
+            incarnation.stop_all()
+        } else {
+            Vec::new()
+        }
     }
 
     /// Returns whether anything runs or is about to.
     pub fn is_busy(&self) -> bool {
-        self.life.as_ref().is_some_and(|l| {
+        self.incarnation.as_ref().is_some_and(|l| {
             let pending = l.session.as_ref().is_some_and(|s| !s.pending.is_empty());
             pending || !l.running.is_empty() || !l.ends.is_empty()
         })
@@ -428,13 +447,15 @@
 
     /// Returns whether the worker lists ends that are not confirmed.
     pub fn has_ends(&self) -> bool {
-        self.life.as_ref().is_some_and(|l| !l.ends.is_empty())
+        self.incarnation
+            .as_ref()
+            .is_some_and(|l| !l.ends.is_empty())
     }
 
     /// Returns the next report about the worker, and about workers that it has replaced.
     pub fn reports(&mut self, unix_ms: u64) -> Vec<Report> {
-        let mut reports = std::mem::take(&mut self.departed);
-        reports.extend(self.life.as_mut().and_then(Life::report));
+        let mut reports = std::mem::take(&mut self.final_reports);
+        reports.extend(self.incarnation.as_mut().and_then(Incarnation::report));
         for report in &mut reports {
             report.sent_ms = unix_ms;
         }
@@ -443,17 +464,17 @@
 
     /// Returns the session with this token, and the number of the newest call for the lists.
     fn session_of(&mut self, token: u64) -> Option<(&mut Session, u64)> {
-        let life = self.in_session(token)?;
-        Some((life.session.as_mut()?, life.lists_asked))
+        let incarnation = self.in_session(token)?;
+        Some((incarnation.session.as_mut()?, incarnation.lists_requested))
     }
 
-    fn in_session(&mut self, token: u64) -> Option<&mut Life> {
-        let current = |l: &&mut Life| l.session.as_ref().is_some_and(|s| s.number == token);
-        self.life.as_mut().filter(current)
+    fn in_session(&mut self, token: u64) -> Option<&mut Incarnation> {
+        let current = |l: &&mut Incarnation| l.session.as_ref().is_some_and(|s| s.number == token);
+        self.incarnation.as_mut().filter(current)
     }
 }
 
-impl Life {
+impl Incarnation {
     fn order(&mut self, order: Order) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         for run in order.stops {
@@ -486,9 +507,9 @@
             token: session.number,
             ticket: start.ticket,
         };
-        let asked = Pending::Asked {
+        let asked = Pending::StartSent {
             order: Box::new(order.clone()),
-            doubtful: false,
+            may_have_started: false,
         };
         session.pending.insert(start.run, asked);
         Some(AgentAction::Start(order))
@@ -496,7 +517,7 @@
 
     fn stop(&mut self, run: RunId) -> AgentAction {
         if let Some(session) = &mut self.session {
-            session.pending.insert(run.clone(), Pending::Stopping);
+            session.pending.insert(run.clone(), Pending::StopSent);
             session.stopped.insert(run.clone());
         }
         AgentAction::Stop(run)
@@ -509,12 +530,12 @@
         // A stop takes the worker a while, in which its lists still have the run.
         let told = |run: &&RunId| {
             let pending = session.pending.get(*run);
-            let stops = matches!(pending, Some(Pending::Stopping | Pending::Settled(_)));
+            let stops = matches!(pending, Some(Pending::StopSent | Pending::Answered(_)));
             stops || session.stopped.contains(*run)
         };
         let listed = self.running.iter().map(|r| &r.run);
         let pending = session.pending.iter();
-        let asked = pending.filter(|(_, p)| matches!(p, Pending::Asked { .. }));
+        let asked = pending.filter(|(_, p)| matches!(p, Pending::StartSent { .. }));
         let runs = listed
             .chain(asked.map(|(run, _)| run))
             .filter(|run| !told(run));
@@ -523,33 +544,33 @@
     }
 
     /// Returns whether the worker has said that it leaves, and its time is up.
-    fn was_to_leave_by(&self, now: Instant) -> bool {
+    fn is_departure_due(&self, now: Instant) -> bool {
         let remaining = self.heartbeat.remaining_ms.map(Duration::from_millis);
         let leaves = remaining.filter(|_| self.heartbeat.draining);
-        leaves.is_some_and(|left| now.saturating_duration_since(self.heard) >= left)
+        leaves.is_some_and(|left| now.saturating_duration_since(self.heartbeat_at) >= left)
     }
 
     fn is_closed(&self) -> bool {
         let Some(session) = &self.session else {
             return false;
         };
-        let gone = self.dead || (self.left && self.unreachable);
-        let quiet = self.running.is_empty() && session.pending.is_empty();
-        gone || (session.fenced && quiet && self.lists_seen > 0)
+        let gone = self.process_gone || (self.left && self.unreachable);
+        let idle = self.running.is_empty() && session.pending.is_empty();
+        gone || (session.fenced && idle && self.lists_received > 0)
     }
 
     fn report(&mut self) -> Option<Report> {
         let closed = self.is_closed();
         // Before the first lists the report would deny runs that are there.
-        if self.lists_seen == 0 && !closed {
+        if self.lists_received == 0 && !closed {
             return None;
         }
         let session = self.session.as_mut()?;
-        session.report += 1;
+        session.report_sequence += 1;
         Some(Report {
             heartbeat: self.heartbeat.clone(),
             session: session.number,
-            sequence: session.report,
+            sequence: session.report_sequence,
             sent_ms: 0,
             orders_seen: session.orders_seen,
             starting: session.pending.keys().cloned().collect(),
--- a/dragonflyrun/src/workload/demands.rs
+++ b/dragonflyrun/src/workload/demands.rs
@@ -79,11 +79,11 @@
     ) {
         let objective_ms = live.objective_ms(self.times, occurrence);
         for (step, shape) in (0_u32..).zip(&live.job.request.steps) {
-            let waiting = live.waiting(occurrence, step);
+            let waiting = live.startable_tasks(occurrence, step);
             if waiting.is_empty() {
                 continue;
             }
-            let begin_ms = live.begin_ms(occurrence);
+            let begin_ms = live.waiting_since_ms(occurrence);
             let stands_still =
                 !live.plan.has_runs() && self.view.unix_ms.saturating_sub(begin_ms) > STANDING_MS;
             let caution = |index: u32| self.caution(live, occurrence, step, index);
@@ -129,9 +129,10 @@
             estimate_ms,
             slack_ms: objective_ms as i64 - self.view.unix_ms as i64 - estimate_ms as i64,
             objective_ms,
-            of_use: self.view.unix_ms + estimate_ms < live.useless_ms(objective_ms, occurrence),
+            of_use: self.view.unix_ms + estimate_ms
+                < live.useful_until_ms(objective_ms, occurrence),
             avoid: live.failed_on.clone(),
-            far_allowed: self.far_allowed(live.begin_ms(occurrence), estimate_ms),
+            far_allowed: self.far_allowed(live.waiting_since_ms(occurrence), estimate_ms),
             stands_still: false,
             only: None,
             caution: Caution::None,
@@ -145,7 +146,7 @@
             return Caution::None;
         }
         let failed = live.failed_at.map(|at| self.view.now.since(at));
-        let time_ms = live.objective_ms(self.times, occurrence) - live.begin_ms(occurrence);
+        let time_ms = live.objective_ms(self.times, occurrence) - live.waiting_since_ms(occurrence);
         let most = Duration::from_millis(time_ms / CAUTIOUS_SHARE);
         if self.sick_workers && failed.is_some_and(|ago| ago < most) {
             Caution::OnlyProven
--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -14,7 +14,7 @@
 };
 
 /// A run that has gone on for so long shows that its worker does not fail all that it starts.
-const WORKS_AFTER: Duration = Duration::from_secs(1);
+const HEALTHY_RUN_TIME: Duration = Duration::from_secs(1);
 
 /// What the planner knows of one run on a worker.
 #[derive(Clone, Debug)]
@@ -22,9 +22,9 @@
     /// What it takes up.
     pub needs: Resources,
     /// The offset of the order that starts it; none while that is being appended.
-    pub ordered: Option<u64>,
+    pub order_offset: Option<u64>,
     /// Since when that order is known to stand in the store; until then, when it was placed.
-    pub stands_since: Timestamp,
+    pub stored_since: Timestamp,
     /// Whether it has been listed as running, and since when the planner knows.
     pub running_since: Option<Timestamp>,
     /// Whether it has been told to stop.
@@ -32,7 +32,7 @@
     /// Its newest checkpoint.
     pub checkpoint: String,
     /// When the checkpoint was first seen, or the run.
-    pub saved_at: Timestamp,
+    pub checkpointed_at: Timestamp,
     /// When it was ordered, or taken over.
     pub placed_at: Timestamp,
     /// When it will be done at its pace, where that is known.
@@ -41,18 +41,18 @@
     pub total_ms: Option<u64>,
     /// Whether it does the whole task and was ordered by this planner, so that its time tells how
     /// long the task takes.
-    pub is_whole: bool,
+    pub is_full_run: bool,
 }
 
 /// How far the closing of a session is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Closing {
+pub enum SessionState {
     /// It is open.
-    No,
+    Open,
     /// The fence is to be ordered.
-    Ordered,
+    FenceOrdered,
     /// The fence stands in the store since then: no later read of the agent can miss it.
-    Stands(Timestamp),
+    Fenced(Timestamp),
     /// Nothing of the session runs any more.
     Closed,
 }
@@ -65,15 +65,15 @@
     /// The session that orders go to.
     pub session: u64,
     /// When the report came.
-    pub reported: Timestamp,
+    pub reported_at: Timestamp,
     /// Whether a report has come since this planner took over.
-    pub is_live: bool,
+    pub has_reported: bool,
     /// Since when its agent says that it does not answer.
     pub unreachable_since: Option<Timestamp>,
     /// Until when it stays at the least, where it has said that it leaves.
     pub leaves_at: Option<Timestamp>,
     /// Whether the session is being closed.
-    pub closing: Closing,
+    pub session_state: SessionState,
     /// What runs there, or may.
     pub runs: BTreeMap<RunId, WorkerRun>,
     /// The number up to which ends stand in the plan.
@@ -81,9 +81,9 @@
     /// Starts that failed there one after the other.
     pub failures: u32,
     /// When the newest run was ordered that has come to its end there, or has gone on for a while.
-    pub worked_since: Option<Timestamp>,
+    pub last_good_start: Option<Timestamp>,
     /// Until when it is left alone for its failures.
-    pub shunned_until: Timestamp,
+    pub quarantined_until: Timestamp,
 }
 
 /// Why a run is over.
@@ -111,7 +111,7 @@
     /// Since when it ran.
     pub running_since: Option<Timestamp>,
     /// When it was ordered, where its time tells how long the task takes.
-    pub whole_since: Option<Timestamp>,
+    pub full_run_since: Option<Timestamp>,
 }
 
 /// All workers.
@@ -126,16 +126,16 @@
     fn new(now: Timestamp, needs: Resources) -> Self {
         Self {
             needs,
-            ordered: None,
-            stands_since: now,
+            order_offset: None,
+            stored_since: now,
             running_since: None,
             stopping: false,
             checkpoint: String::new(),
-            saved_at: now,
+            checkpointed_at: now,
             placed_at: now,
             ends_at: None,
             total_ms: None,
-            is_whole: false,
+            is_full_run: false,
         }
     }
 }
@@ -146,25 +146,25 @@
         Self {
             report: None,
             session,
-            reported: now,
-            is_live: false,
+            reported_at: now,
+            has_reported: false,
             unreachable_since: None,
             leaves_at: None,
-            closing: Closing::No,
+            session_state: SessionState::Open,
             runs: BTreeMap::new(),
             confirmed: 0,
             failures: 0,
-            worked_since: None,
-            shunned_until: Timestamp::default(),
+            last_good_start: None,
+            quarantined_until: Timestamp::default(),
         }
     }
 
     /// Returns whether tasks may be started there, as far as its agent is concerned.
-    pub fn takes_tasks(&self) -> bool {
+    pub fn accepts_tasks(&self) -> bool {
         let report = self.report.as_ref();
         let well =
             report.is_some_and(|r| !r.heartbeat.draining && !r.closed && !r.left && !r.unreachable);
-        well && self.is_live && self.closing == Closing::No
+        well && self.has_reported && self.session_state == SessionState::Open
     }
 
     /// Returns the rack that it stands in, where it says so.
@@ -173,11 +173,11 @@
     }
 
     /// Returns since when an order to start stands that the agent has not read, by its newest report.
-    pub fn unread_since(&self) -> Option<Timestamp> {
+    pub fn unread_order_since(&self) -> Option<Timestamp> {
         let seen = self.report.as_ref()?.orders_seen;
         let unread = self.runs.values();
-        let unread = unread.filter(|run| run.ordered.is_some_and(|offset| offset >= seen));
-        unread.map(|run| run.stands_since).min()
+        let unread = unread.filter(|run| run.order_offset.is_some_and(|offset| offset >= seen));
+        unread.map(|run| run.stored_since).min()
     }
 
     /// Returns what is taken up, by all that runs or may run there.
@@ -229,10 +229,10 @@
     ///
     /// A run that an earlier planner wrote into the plan may have been ordered up to there, or not
     /// at all; an agent that has read so far and does not list it will never start it.
-    pub fn orders_end(&mut self, worker: &str, end: u64) {
+    pub fn set_orders_end(&mut self, worker: &str, end: u64) {
         if let Some(known) = self.workers.get_mut(worker) {
-            for run in known.runs.values_mut().filter(|r| r.ordered.is_none()) {
-                run.ordered = Some(end.saturating_sub(1));
+            for run in known.runs.values_mut().filter(|r| r.order_offset.is_none()) {
+                run.order_offset = Some(end.saturating_sub(1));
             }
         }
     }
@@ -249,7 +249,7 @@
         if let Some(known) = self.workers.get_mut(worker) {
             let placed = WorkerRun {
                 checkpoint: checkpoint.to_owned(),
-                is_whole: checkpoint.is_empty(),
+                is_full_run: checkpoint.is_empty(),
                 ..WorkerRun::new(now, needs)
             };
             known.runs.insert(run, placed);
@@ -275,10 +275,10 @@
         if (report.session, report.sequence) < known {
             return Vec::new();
         }
-        worker.reported = now;
+        worker.reported_at = now;
         if report.session > worker.session || worker.report.is_none() {
             worker.session = report.session;
-            worker.closing = Closing::No;
+            worker.session_state = SessionState::Open;
             let same_life = worker
                 .report
                 .as_ref()
@@ -286,9 +286,9 @@
             if !same_life {
                 worker.confirmed = 0;
                 worker.failures = 0;
-                worker.worked_since = None;
+                worker.last_good_start = None;
             }
-            worker.forget_stops();
+            worker.clear_stops();
             log::info!(
                 worker:% = name, session = report.session, same_life,
                 running = report.running.len(), ends = report.ends.len();
@@ -299,21 +299,21 @@
             true => worker.unreachable_since.or(Some(now)),
             false => None,
         };
-        worker.take_departure(now, &report);
-        let mut over = worker.take_ends(&name, &report);
+        worker.update_departure(now, &report);
+        let mut over = worker.process_ends(&name, &report);
         if !report.closed {
-            worker.take_running(now, &report, needs_of);
+            worker.update_running(now, &report, needs_of);
         }
-        over.extend(worker.take_gone(&name, &report));
+        over.extend(worker.remove_unlisted(&name, &report));
         if report.closed {
-            worker.closing = Closing::Closed;
-            over.extend(worker.all_gone(&name));
+            worker.session_state = SessionState::Closed;
+            over.extend(worker.remove_all(&name));
         }
         let address = report.heartbeat.address.clone();
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.report = Some(report);
         }
-        over.extend(self.close_predecessors(&address));
+        over.extend(self.close_replaced(&address));
         over
     }
 
@@ -323,7 +323,7 @@
     /// its predecessor would be waited for until its lease has run out, some 14 s with a lease of
     /// 10 s, and every task that it ran would stand still for so long. A new planner reads the
     /// reports in the order of the workers' names, so either may come first.
-    fn close_predecessors(&mut self, address: &Name) -> Vec<RunOver> {
+    fn close_replaced(&mut self, address: &Name) -> Vec<RunOver> {
         if address.is_empty() {
             return Vec::new();
         }
@@ -338,10 +338,10 @@
         for (name, worker) in &mut self.workers {
             let old = worker.report.as_ref().map(|r| &r.heartbeat);
             let older = old.is_some_and(|o| o.address == *address && o.born_ms < newest.born_ms);
-            if older && worker.closing != Closing::Closed {
+            if older && worker.session_state != SessionState::Closed {
                 log::info!(worker:% = name, by:% = newest.worker; "worker_replaced");
-                worker.closing = Closing::Closed;
-                over.extend(worker.all_gone(name));
+                worker.session_state = SessionState::Closed;
+                over.extend(worker.remove_all(name));
             }
         }
         over
@@ -352,17 +352,17 @@
     pub fn expire(&mut self, now: Timestamp, lease: std::time::Duration) -> Vec<RunOver> {
         let mut over = Vec::new();
         for (name, worker) in &mut self.workers {
-            let Closing::Stands(since) = worker.closing else {
+            let SessionState::Fenced(since) = worker.session_state else {
                 continue;
             };
             if now.since(since) >= lease {
-                worker.closing = Closing::Closed;
+                worker.session_state = SessionState::Closed;
                 log::warn!(
                     worker:% = name, session = worker.session, runs = worker.runs.len(),
                     fenced_ms:? = now.since(since);
                     "worker_lease_over"
                 );
-                over.extend(worker.all_gone(name));
+                over.extend(worker.remove_all(name));
             }
         }
         over
@@ -371,7 +371,9 @@
     /// Drops workers that are gone and of which nothing is left.
     pub fn forget(&mut self, now: Timestamp, after: std::time::Duration) -> Vec<Name> {
         let gone = self.workers.iter().filter(|(_, w)| {
-            w.closing == Closing::Closed && w.runs.is_empty() && now.since(w.reported) > after
+            w.session_state == SessionState::Closed
+                && w.runs.is_empty()
+                && now.since(w.reported_at) > after
         });
         let gone: Vec<Name> = gone.map(|(name, _)| name.clone()).collect();
         for name in &gone {
@@ -399,14 +401,14 @@
 impl FleetWorker {
     /// Takes the stops that an earlier session was told for not ordered: a session obeys its own orders only,
     /// and runs of the same life go on in the next one.
-    fn forget_stops(&mut self) {
+    fn clear_stops(&mut self) {
         for run in self.runs.values_mut() {
             run.stopping = false;
         }
     }
 
     /// Takes note of when the worker leaves, by its newest heartbeat. A report may repeat a heartbeat.
-    fn take_departure(&mut self, now: Timestamp, report: &Report) {
+    fn update_departure(&mut self, now: Timestamp, report: &Report) {
         let heartbeat = &report.heartbeat;
         if !heartbeat.draining {
             self.leaves_at = None;
@@ -420,12 +422,12 @@
         }
     }
 
-    fn take_ends(&mut self, name: &Name, report: &Report) -> Vec<RunOver> {
+    fn process_ends(&mut self, name: &Name, report: &Report) -> Vec<RunOver> {
         let mut over = Vec::new();
         for end in report.ends.iter().filter(|e| e.number > self.confirmed) {
             let run = self.runs.remove(&end.run);
             if end.kind == EndKind::Done {
-                self.worked_since = self.worked_since.max(run.as_ref().map(|r| r.placed_at));
+                self.last_good_start = self.last_good_start.max(run.as_ref().map(|r| r.placed_at));
             }
             over.push(RunOver {
                 run: end.run.clone(),
@@ -438,7 +440,7 @@
                     end.checkpoint.clone()
                 },
                 running_since: run.as_ref().and_then(|r| r.running_since),
-                whole_since: run.filter(|r| r.is_whole).map(|r| r.placed_at),
+                full_run_since: run.filter(|r| r.is_full_run).map(|r| r.placed_at),
                 why: RunOverReason::Ended(end.clone()),
             });
             match end.kind {
@@ -452,7 +454,7 @@
         over
     }
 
-    fn take_running(
+    fn update_running(
         &mut self,
         now: Timestamp,
         report: &Report,
@@ -462,16 +464,16 @@
             let run = self.runs.entry(listed.run.clone()).or_insert_with(|| {
                 log::warn!(worker:% = report.heartbeat.worker, run:% = listed.run; "run_not_ordered");
                 WorkerRun {
-                    ordered: Some(0),
+                    order_offset: Some(0),
                     ..WorkerRun::new(now, needs_of(&listed.run))
                 }
             });
             let since = *run.running_since.get_or_insert(now);
-            if now.since(since) >= WORKS_AFTER {
-                self.worked_since = self.worked_since.max(Some(run.placed_at));
+            if now.since(since) >= HEALTHY_RUN_TIME {
+                self.last_good_start = self.last_good_start.max(Some(run.placed_at));
             }
             if let Some(progress) = report.progress.get(i) {
-                let left = progress.left_ms.map(Duration::from_millis);
+                let left = progress.remaining_ms.map(Duration::from_millis);
                 run.ends_at = left.map(|left| now + left).or(run.ends_at);
                 run.total_ms = Some(progress.total_ms)
                     .filter(|ms| *ms > 0)
@@ -479,13 +481,13 @@
             }
             if !listed.checkpoint.is_empty() && listed.checkpoint != run.checkpoint {
                 run.checkpoint.clone_from(&listed.checkpoint);
-                run.saved_at = now;
+                run.checkpointed_at = now;
             }
         }
     }
 
     /// Takes out the runs that the agent no longer lists though it has carried out their orders.
-    fn take_gone(&mut self, name: &Name, report: &Report) -> Vec<RunOver> {
+    fn remove_unlisted(&mut self, name: &Name, report: &Report) -> Vec<RunOver> {
         let listed = |run: &RunId| {
             report.running.iter().any(|r| r.run == *run) || report.starting.contains(run)
         };
@@ -494,7 +496,7 @@
             .iter()
             .filter(|(run, state)| {
                 let seen = state
-                    .ordered
+                    .order_offset
                     .is_some_and(|offset| offset < report.orders_seen);
                 seen && !listed(run)
             })
@@ -512,7 +514,7 @@
             .collect()
     }
 
-    fn all_gone(&mut self, name: &Name) -> Vec<RunOver> {
+    fn remove_all(&mut self, name: &Name) -> Vec<RunOver> {
         let runs: Vec<RunId> = self.runs.keys().cloned().collect();
         let gone = runs.into_iter();
         gone.filter_map(|run| self.remove(name, run, RunOverReason::Gone))
@@ -527,7 +529,7 @@
             why,
             checkpoint: state.checkpoint,
             running_since: state.running_since,
-            whole_since: None,
+            full_run_since: None,
         })
     }
 }
--- a/dragonflyrun/src/workload/job.rs
+++ b/dragonflyrun/src/workload/job.rs
@@ -50,17 +50,17 @@
     }
 
     /// Returns how many tasks with `needs` fit into `self`, up to `most`.
-    pub fn count(&self, needs: &Self, most: u32) -> u32 {
-        let ways = [
+    pub fn count(&self, needs: &Self, max: u32) -> u32 {
+        let kinds = [
             (self.cpu_millis, needs.cpu_millis),
             (self.memory_mb, needs.memory_mb),
             (self.accelerators, needs.accelerators),
         ];
-        let fits = ways
+        let fits = kinds
             .iter()
             .filter_map(|(have, need)| have.checked_div(*need));
-        let fits = fits.min().unwrap_or(u64::from(most));
-        u32::try_from(fits).unwrap_or(u32::MAX).min(most)
+        let fits = fits.min().unwrap_or(u64::from(max));
+        u32::try_from(fits).unwrap_or(u32::MAX).min(max)
     }
 
     /// Returns the share of `whole` that `self` takes up, of the kind of which it takes most.
@@ -76,7 +76,7 @@
     }
 
     /// Returns core-seconds in a second of use, where an accelerator counts as so many cores.
-    pub fn weight(&self) -> f64 {
+    pub fn core_equivalents(&self) -> f64 {
         /// Cores that one accelerator stands for: what the users' price list says.
         const CORES_PER_ACCELERATOR: f64 = 8.0;
         self.cpu_millis as f64 / 1_000.0 + self.accelerators as f64 * CORES_PER_ACCELERATOR
@@ -264,24 +264,24 @@
 
     /// Returns whether the steps can be scheduled at all: they refer to earlier ones only, and
     /// their number is within bounds.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         /// Tasks of one occurrence, at the most; a plan's record holds all of them.
-        const MOST_TASKS: u32 = 4_096;
+        const MAX_TASKS: u32 = 4_096;
         /// Repetitions of a timed job, at the most.
-        const MOST_REPEATS: u32 = 1_000;
+        const MAX_OCCURRENCES: u32 = 1_000;
         let orders = self.steps.iter().enumerate();
         let mut orders = orders.map(|(i, s)| s.after.iter().all(|a| (*a as usize) < i));
         let tasks = self
             .steps
             .iter()
             .try_fold(0_u32, |n, s| n.checked_add(s.tasks));
-        orders.all(|sound| sound)
-            && tasks.is_some_and(|n| (1..=MOST_TASKS).contains(&n))
-            && (1..=MOST_REPEATS).contains(&self.repeats())
+        orders.all(|valid| valid)
+            && tasks.is_some_and(|n| (1..=MAX_TASKS).contains(&n))
+            && (1..=MAX_OCCURRENCES).contains(&self.repeats())
     }
 
     /// Returns the milliseconds of the longest chain of steps, by what each is estimated to take.
-    pub fn chain_ms(&self, estimate: impl Fn(u32, &Step) -> u64) -> u64 {
+    pub fn critical_path_ms(&self, estimate: impl Fn(u32, &Step) -> u64) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (number, step) in (0_u32..).zip(&self.steps) {
             let start = step.after.iter().filter_map(|a| ends.get(*a as usize));
--- a/dragonflyrun/src/workload/book.rs
+++ b/dragonflyrun/src/workload/job_table.rs
@@ -8,7 +8,7 @@
 
 /// A job in the book.
 #[derive(Clone, Debug, Default)]
-pub struct BookEntry {
+pub struct KnownJob {
     /// The job; none where only a later record of it has come yet.
     pub job: Option<Box<Job>>,
     /// Whether a caller has cancelled it.
@@ -19,7 +19,7 @@
 
 /// What a caller's question about a job finds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LookUp {
+pub enum JobLookup {
     /// No such job.
     Unknown,
     /// The job's state.
@@ -28,12 +28,12 @@
 
 /// All jobs and the planner's term.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    jobs: HashMap<Name, BookEntry>,
+pub struct JobTable {
+    jobs: HashMap<Name, KnownJob>,
     term: Term,
 }
 
-impl Book {
+impl JobTable {
     /// Folds a record; returns whether it changed anything. Any order and any repeat of the same
     /// records gives the same book.
     pub fn fold(&mut self, record: JobRecord) -> bool {
@@ -75,22 +75,22 @@
     }
 
     /// Returns all jobs.
-    pub fn jobs(&self) -> impl Iterator<Item = (&Name, &BookEntry)> {
+    pub fn jobs(&self) -> impl Iterator<Item = (&Name, &KnownJob)> {
         self.jobs.iter()
     }
 
     /// Returns a job's entry.
-    pub fn get(&self, name: &str) -> Option<&BookEntry> {
+    pub fn get(&self, name: &str) -> Option<&KnownJob> {
         self.jobs.get(name)
     }
 
     /// Returns a job's state as callers see it.
-    pub fn look_up(&self, name: &str) -> LookUp {
+    pub fn look_up(&self, name: &str) -> JobLookup {
         let entry = self.jobs.get(name).filter(|e| e.job.is_some());
         let Some(entry) = entry else {
-            return LookUp::Unknown;
+            return JobLookup::Unknown;
         };
-        LookUp::Known(match entry.plan.outcome {
+        JobLookup::Known(match entry.plan.outcome {
             Some(Outcome::Completed) => JobState::Completed,
             Some(Outcome::Failed) => JobState::Failed,
             Some(Outcome::Cancelled) => JobState::Cancelled,
--- a/dragonflyrun/src/workload/live.rs
+++ b/dragonflyrun/src/workload/live.rs
@@ -9,7 +9,7 @@
 };
 
 /// A job that is done later than so many times its objective is of no use to its caller.
-const OF_USE: u64 = 3;
+const USEFUL_OBJECTIVES: u64 = 3;
 
 /// A job, its plan, and what the planner remembers of its runs beside that.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     /// How often runs of it were evicted.
     pub(super) evictions: u32,
     /// Tasks of which an overdue run was stopped: the next one is left alone, however long it takes.
-    pub(super) moved: HashSet<TaskId>,
+    pub(super) overdue_stopped: HashSet<TaskId>,
     /// What the tasks take in milliseconds, by the progress of their runs and their numbers in the job.
     measured_ms: BTreeMap<u32, u64>,
     /// The longest of these of each step, by the number of its first task.
@@ -41,7 +41,7 @@
             failed_on: Vec::new(),
             failed_at: None,
             evictions: 0,
-            moved: HashSet::default(),
+            overdue_stopped: HashSet::default(),
             measured_ms: BTreeMap::new(),
             longest_ms: HashMap::default(),
         }
@@ -49,7 +49,7 @@
 
     /// Returns the tasks of a step that may be started, by their places in it: none before all
     /// steps that it waits for are done, and of a gang all or none.
-    pub(super) fn waiting(&self, occurrence: u32, step: u32) -> Vec<u32> {
+    pub(super) fn startable_tasks(&self, occurrence: u32, step: u32) -> Vec<u32> {
         let Some(shape) = self.job.request.steps.get(step as usize) else {
             return Vec::new();
         };
@@ -61,7 +61,7 @@
             let task = self.plan.tasks.get(&number);
             task.is_none_or(|t| !t.done && t.place.is_none())
         };
-        let numbers = (0_u32..).zip(self.job.numbers(occurrence, step));
+        let numbers = (0_u32..).zip(self.job.task_numbers(occurrence, step));
         let waiting = numbers.filter(|(_, n)| waits(*n)).map(|(index, _)| index);
         let waiting: Vec<u32> = waiting.collect();
         if shape.gang && waiting.len() < shape.tasks as usize {
@@ -78,19 +78,19 @@
             .steps
             .get(step as usize)
             .is_some_and(|s| s.gang);
-        let first = self.job.numbers(occurrence, step).start;
+        let first = self.job.task_numbers(occurrence, step).start;
         let counted = if gang { first } else { first + index };
         let failed = self.plan.tasks.get(&counted).map_or(0, |t| t.failed);
         failed > 0 && failed + 1 >= self.job.max_attempts
     }
 
     /// Takes note of what a task takes, by the progress of a run.
-    pub(super) fn measured(&mut self, task: &TaskId, total_ms: u64) {
-        let Some(number) = self.job.number(task) else {
+    pub(super) fn record_task_ms(&mut self, task: &TaskId, total_ms: u64) {
+        let Some(number) = self.job.task_number(task) else {
             return;
         };
         self.measured_ms.insert(number, total_ms);
-        let numbers = self.job.numbers(task.occurrence, task.step);
+        let numbers = self.job.task_numbers(task.occurrence, task.step);
         let of_step = self.measured_ms.range(numbers.clone());
         let longest = of_step.map(|(_, ms)| *ms).max().unwrap_or(total_ms);
         self.longest_ms.insert(numbers.start, longest);
@@ -106,7 +106,7 @@
         shape: &Step,
         indexes: &[u32],
     ) -> u64 {
-        let first = self.job.numbers(occurrence, step).start;
+        let first = self.job.task_numbers(occurrence, step).start;
         let measured = indexes.iter();
         let measured = measured.filter_map(|i| self.measured_ms.get(&(first + i)));
         let expected = || times.estimate_ms(&self.job.queue, shape.estimate_ms);
@@ -117,23 +117,23 @@
     pub(super) fn objective_ms(&self, times: &RunTimes, occurrence: u32) -> u64 {
         let job = &self.job;
         let estimate = |step: u32, shape: &Step| {
-            let first = job.numbers(occurrence, step).start;
+            let first = job.task_numbers(occurrence, step).start;
             let longest = self.longest_ms.get(&first).copied();
             longest.unwrap_or_else(|| times.estimate_ms(&job.queue, shape.estimate_ms))
         };
-        let chain_ms = job.request.chain_ms(estimate) as f64;
-        self.begin_ms(occurrence) + (job.stretch * chain_ms) as u64 + job.target_ms
+        let critical_path_ms = job.request.critical_path_ms(estimate) as f64;
+        self.waiting_since_ms(occurrence) + (job.stretch * critical_path_ms) as u64 + job.target_ms
     }
 
     /// Returns the Unix milliseconds from which on an occurrence with this objective is of no use to its
     /// caller.
-    pub(super) fn useless_ms(&self, objective_ms: u64, occurrence: u32) -> u64 {
-        let begin_ms = self.begin_ms(occurrence);
-        begin_ms + (objective_ms - begin_ms) * OF_USE
+    pub(super) fn useful_until_ms(&self, objective_ms: u64, occurrence: u32) -> u64 {
+        let waiting_since_ms = self.waiting_since_ms(occurrence);
+        waiting_since_ms + (objective_ms - waiting_since_ms) * USEFUL_OBJECTIVES
     }
 
     /// Returns the Unix milliseconds from which an occurrence waits.
-    pub(super) fn begin_ms(&self, occurrence: u32) -> u64 {
+    pub(super) fn waiting_since_ms(&self, occurrence: u32) -> u64 {
         self.job.accepted_ms.max(self.job.due_ms(occurrence))
     }
 
--- a/dragonflyrun/src/workload/overdue.rs
+++ b/dragonflyrun/src/workload/overdue.rs
@@ -54,7 +54,8 @@
         }
         for run in late {
             let live = jobs.get(&run.task.job);
-            let urgent = live.filter(|l| l.job.priority == 0 && !l.moved.contains(&run.task));
+            let urgent =
+                live.filter(|l| l.job.priority == 0 && !l.overdue_stopped.contains(&run.task));
             let Some(live) = urgent else {
                 continue;
             };
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -366,7 +366,7 @@
     }
     let tasks = demand.indexes.len() as f64;
     let seconds = demand.estimate_ms as f64 / 1_000.0;
-    demand.shape.needs.weight() * tasks * seconds * EVICTION_RATIO
+    demand.shape.needs.core_equivalents() * tasks * seconds * EVICTION_RATIO
 }
 
 fn rooms(
@@ -379,7 +379,7 @@
     let failing_since = learned.failures.since();
     let usable = fleet
         .workers()
-        .filter(|(_, w)| w.takes_tasks() && w.shunned_until <= view.now);
+        .filter(|(_, w)| w.accepts_tasks() && w.quarantined_until <= view.now);
     let rooms = usable.filter_map(|(name, worker)| {
         let heartbeat = &worker.report.as_ref()?.heartbeat;
         if view.evacuated.contains(&heartbeat.failure_domain) {
@@ -415,7 +415,7 @@
             serves: has_step(jobs, worker, |s| s.response_ms > 0),
             leftovers: has_step(jobs, worker, |s| s.leftovers),
             doubt: worker.failures + u32::from(overdue),
-            proven: failing_since.is_none_or(|since| worker.worked_since >= Some(since)),
+            proven: failing_since.is_none_or(|since| worker.last_good_start >= Some(since)),
             slow: schedule::slowness_step(times, name),
         })
     });
@@ -520,10 +520,10 @@
     };
     let task = &run.task;
     let estimate_ms = live.estimate_ms(times, task.occurrence, task.step, step, &[task.index]);
-    let work = step.needs.weight() * estimate_ms as f64 / 1_000.0;
-    let begin_ms = live.begin_ms(run.task.occurrence);
+    let work = step.needs.core_equivalents() * estimate_ms as f64 / 1_000.0;
+    let begin_ms = live.waiting_since_ms(run.task.occurrence);
     let objective_ms = live.objective_ms(times, run.task.occurrence);
-    let useless_ms = live.useless_ms(objective_ms, run.task.occurrence);
+    let useless_ms = live.useful_until_ms(objective_ms, run.task.occurrence);
     // It may have to wait for room as long as it did before it was started.
     let waited_ms = view
         .unix_ms
@@ -556,7 +556,7 @@
             let Some(live) = jobs.get(&run.task.job) else {
                 continue;
             };
-            if state.stopping || state.ordered.is_none() {
+            if state.stopping || state.order_offset.is_none() {
                 continue;
             }
             let step = live.job.request.steps.get(run.task.step as usize);
@@ -582,12 +582,12 @@
                     0.0
                 },
             });
-            let unsaved = view.now.since(state.saved_at).as_secs_f64();
+            let unsaved = view.now.since(state.checkpointed_at).as_secs_f64();
             // Work that was evicted before is dearer each time, so that no job is stopped over
             // and over while others are spared.
             let again = f64::from(live.evictions + 1);
-            victim.cost +=
-                unsaved * state.needs.weight() * again + lateness(live, run, state, times, view);
+            victim.cost += unsaved * state.needs.core_equivalents() * again
+                + lateness(live, run, state, times, view);
             victim.parts.push((i, run.clone(), state.needs));
         }
     }
--- a/dragonflyrun/src/workload/plan.rs
+++ b/dragonflyrun/src/workload/plan.rs
@@ -91,7 +91,7 @@
 
     /// Returns whether all tasks of a step are done.
     pub fn is_step_done(&self, job: &Job, occurrence: u32, step: u32) -> bool {
-        job.numbers(occurrence, step).all(|n| self.is_done(n))
+        job.task_numbers(occurrence, step).all(|n| self.is_done(n))
     }
 
     /// Returns whether all tasks of the job are done.
@@ -116,7 +116,7 @@
 
 impl Job {
     /// Returns the numbers of the tasks of a step.
-    pub fn numbers(&self, occurrence: u32, step: u32) -> std::ops::Range<u32> {
+    pub fn task_numbers(&self, occurrence: u32, step: u32) -> std::ops::Range<u32> {
         let before = self.request.steps.iter().take(step as usize);
         let before: u32 = before.map(|s| s.tasks).sum();
         let first = occurrence * self.request.tasks() + before;
@@ -125,11 +125,11 @@
     }
 
     /// Returns the number of a task in the job; `None` where the job has no such task.
-    pub fn number(&self, task: &TaskId) -> Option<u32> {
+    pub fn task_number(&self, task: &TaskId) -> Option<u32> {
         if task.job != self.name || task.occurrence >= self.request.repeats() {
             return None;
         }
-        let mut numbers = self.numbers(task.occurrence, task.step);
+        let mut numbers = self.task_numbers(task.occurrence, task.step);
         numbers.nth(task.index as usize)
     }
 
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -17,8 +17,8 @@
     },
     utils::{HashMap, HashSet, Name, Timestamp},
     workload::{
-        Book, Closing, Demand, Fleet, FleetWorker, Job, JobPlan, JobRecord, Order, Pace, Place,
-        Report, Room, RunId, RunTimes, TaskId, TaskPlan, TaskStart, WaitReason, Waiting,
+        Demand, Fleet, FleetWorker, Job, JobPlan, JobRecord, JobTable, Order, Pace, Place, Report,
+        Room, RunId, RunTimes, SessionState, TaskId, TaskPlan, TaskStart, WaitReason, Waiting,
         demands::Demands,
         departure,
         live::{LiveJob, guaranteed_jobs},
@@ -124,7 +124,7 @@
 
 impl Planner {
     /// Returns a planner that takes over all jobs of `book`.
-    pub fn take_over(bounds: PlannerBounds, book: &Book, now: Timestamp) -> Self {
+    pub fn take_over(bounds: PlannerBounds, book: &JobTable, now: Timestamp) -> Self {
         let mut planner = Self {
             bounds,
             jobs: BTreeMap::new(),
@@ -155,7 +155,7 @@
     ) {
         for occurrence in 0..job.request.repeats() {
             for (step, shape) in (0_u32..).zip(&job.request.steps) {
-                for (index, number) in (0_u32..).zip(job.numbers(occurrence, step)) {
+                for (index, number) in (0_u32..).zip(job.task_numbers(occurrence, step)) {
                     let Some(TaskPlan {
                         run,
                         place: Some(place),
@@ -204,7 +204,7 @@
         let worker = report.heartbeat.worker.clone();
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.is_live = true;
+            known.has_reported = true;
         }
     }
 
@@ -217,7 +217,7 @@
         let age_ms = unix_ms.abs_diff(report.sent_ms);
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.is_live |= age_ms < RECENT_MS;
+            known.has_reported |= age_ms < RECENT_MS;
         }
     }
 
@@ -247,8 +247,8 @@
             self.run_over(now, run);
         }
         if let Some(known) = self.fleet.get_mut(&worker) {
-            if known.failures >= SHUN_AFTER && known.shunned_until <= now {
-                known.shunned_until = now + SHUN_FOR;
+            if known.failures >= SHUN_AFTER && known.quarantined_until <= now {
+                known.quarantined_until = now + SHUN_FOR;
                 known.failures = SHUN_AFTER - 1;
                 log::warn!(worker:% = worker, for_ms:? = SHUN_FOR; "worker_set_aside");
             }
@@ -273,7 +273,7 @@
             if !near {
                 continue;
             }
-            let work_s = f64::from(pace.spans) * every_s;
+            let work_s = f64::from(pace.intervals) * every_s;
             let took_s = pace.took_ms as f64 / 1_000.0;
             let alone = step.is_some_and(|s| !s.gang);
             if alone || took_s < work_s * FULL_SPEED {
@@ -290,7 +290,7 @@
         for (run, state) in runs {
             let live = self.jobs.get_mut(&run.task.job);
             if let (Some(live), Some(total_ms)) = (live, state.total_ms) {
-                live.measured(&run.task, (total_ms as f64 / slowness) as u64);
+                live.record_task_ms(&run.task, (total_ms as f64 / slowness) as u64);
             }
         }
     }
@@ -302,21 +302,21 @@
         };
         for start in &order.order.starts {
             if let Some(run) = worker.runs.get_mut(&start.run) {
-                run.ordered = Some(offset);
-                run.stands_since = now;
+                run.order_offset = Some(offset);
+                run.stored_since = now;
             }
         }
         if order.order.fence
             && worker.session == order.session
-            && worker.closing == Closing::Ordered
+            && worker.session_state == SessionState::FenceOrdered
         {
-            worker.closing = Closing::Stands(now);
+            worker.session_state = SessionState::Fenced(now);
         }
     }
 
     /// Takes note that earlier planners can send no order for `worker` from offset `end` on.
     pub fn orders_end(&mut self, worker: &str, end: u64) {
-        self.fleet.orders_end(worker, end);
+        self.fleet.set_orders_end(worker, end);
     }
 
     /// Returns the workers as the planner knows them.
@@ -398,7 +398,7 @@
             self.jobs.remove(&name);
             self.tickets.get_mut().forget(&name);
             log::debug!(job:% = name; "job_forgotten");
-            records.extend(JobRecord::forget(&name));
+            records.extend(JobRecord::tombstones(&name));
         }
         records
     }
@@ -408,7 +408,7 @@
             return;
         };
         let most = self.most_silence(view, reports_since);
-        let quiet = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
+        let quiet = |w: &FleetWorker| view.now.since(w.reported_at.max(reports_since));
         let silent = self.fleet.workers().filter(|(_, w)| {
             // A worker that stays away from its agent may run on under its last lease.
             let lost = w
@@ -416,14 +416,16 @@
                 .is_some_and(|s| view.now.since(s) > self.bounds.silence);
             // One that reads no orders extends no lease: its session is closed when it has none left.
             let unread = w
-                .unread_since()
+                .unread_order_since()
                 .map(|s| view.now.since(s.max(reports_since)));
             let reads_none = unread.is_some_and(|u| u > most + self.bounds.lease_over);
-            w.closing == Closing::No && (quiet(w) > most || lost || reads_none)
+            w.session_state == SessionState::Open && (quiet(w) > most || lost || reads_none)
         });
         let mut silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         let open = self.fleet.workers();
-        let open = open.filter(|(_, w)| w.closing == Closing::No).count();
+        let open = open
+            .filter(|(_, w)| w.session_state == SessionState::Open)
+            .count();
         if silent.len() * 2 > open && !self.long_silent(view, reports_since) {
             // So many agents at once are not gone; the store is slow. Closing their sessions would
             // stop all running work. One that stays silent for a lease more is given up all the same.
@@ -432,11 +434,11 @@
         }
         for name in silent {
             if let Some(worker) = self.fleet.get_mut(&name) {
-                worker.closing = Closing::Ordered;
+                worker.session_state = SessionState::FenceOrdered;
                 log::warn!(
                     worker:% = name, session = worker.session, runs = worker.runs.len(),
-                    silent_ms = view.now.since(worker.reported).as_millis() as u64,
-                    unread_ms = worker.unread_since().map(|s| view.now.since(s).as_millis() as u64),
+                    silent_ms = view.now.since(worker.reported_at).as_millis() as u64,
+                    unread_ms = worker.unread_order_since().map(|s| view.now.since(s).as_millis() as u64),
                     most_ms = most.as_millis() as u64;
                     "worker_silent"
                 );
@@ -453,8 +455,8 @@
         let open = self
             .fleet
             .workers()
-            .filter(|(_, w)| w.closing == Closing::No);
-        let silences = open.map(|(_, w)| view.now.since(w.reported.max(reports_since)));
+            .filter(|(_, w)| w.session_state == SessionState::Open);
+        let silences = open.map(|(_, w)| view.now.since(w.reported_at.max(reports_since)));
         let mut silences: Vec<Duration> = silences.collect();
         let silence = self.bounds.silence;
         let Some(last) = silences.len().checked_sub(1) else {
@@ -466,7 +468,7 @@
 
     /// Returns whether every agent has been silent for twice the time that is allowed.
     fn long_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
-        let newest = self.fleet.workers().map(|(_, w)| w.reported).max();
+        let newest = self.fleet.workers().map(|(_, w)| w.reported_at).max();
         let heard = newest.unwrap_or_default().max(reports_since);
         view.now.since(heard) > self.bounds.silence * 2
     }
@@ -525,7 +527,7 @@
     fn move_overdue(&mut self, runs: Vec<(Name, RunId)>) {
         for (worker, run) in runs {
             if let Some(live) = self.jobs.get_mut(&run.task.job) {
-                live.moved.insert(run.task.clone());
+                live.overdue_stopped.insert(run.task.clone());
                 live.failed_on.push(worker.clone());
             }
             self.stop(&worker, &run, "overdue");
@@ -568,7 +570,7 @@
         let Some(live) = self.jobs.get_mut(&placed.job) else {
             return;
         };
-        let numbers = live.job.numbers(placed.occurrence, placed.step);
+        let numbers = live.job.task_numbers(placed.occurrence, placed.step);
         let number_of = |index: u32| numbers.start + index;
         let members = placed.members.iter().map(|(index, _)| number_of(*index));
         let run = members
--- a/dragonflyrun/src/workload/planner/settle.rs
+++ b/dragonflyrun/src/workload/planner/settle.rs
@@ -25,13 +25,13 @@
             why,
             checkpoint,
             running_since,
-            whole_since,
+            full_run_since,
         } = over;
         let Some(live) = self.jobs.get_mut(&run.task.job) else {
             log::warn!(run:% = run, worker:% = worker, why:? = why; "run_over_of_unknown_job");
             return;
         };
-        let Some(number) = live.job.number(&run.task) else {
+        let Some(number) = live.job.task_number(&run.task) else {
             log::warn!(run:% = run, worker:% = worker, why:? = why; "run_over_of_unknown_task");
             return;
         };
@@ -43,7 +43,7 @@
         self.changed.insert(run.task.job.clone());
         let step = run.task.step;
         let shape = &live.job.request.steps[step as usize];
-        let numbers = live.job.numbers(run.task.occurrence, step);
+        let numbers = live.job.task_numbers(run.task.occurrence, step);
         let leader = if shape.gang { numbers.start } else { number };
         let task = live.plan.tasks.entry(number).or_default();
         let current = task.run == run.number;
@@ -86,7 +86,7 @@
                 for member in done {
                     live.plan.tasks.entry(member).or_default().done = true;
                 }
-                if let Some(placed_at) = whole_since {
+                if let Some(placed_at) = full_run_since {
                     let took_ms = now.since(placed_at).as_millis() as f64;
                     let guess_ms = shape.estimate_ms;
                     self.run_times
@@ -143,7 +143,10 @@
         for (name, worker) in self.fleet.workers() {
             for (run, state) in &worker.runs {
                 // An order that is still on its way is stopped once it stands.
-                if !state.stopping && state.ordered.is_some() && !self.is_wanted(view, name, run) {
+                if !state.stopping
+                    && state.order_offset.is_some()
+                    && !self.is_wanted(view, name, run)
+                {
                     stops.push((name.clone(), run.clone()));
                 }
             }
@@ -179,7 +182,7 @@
             Some(Outcome::Failed | Outcome::Cancelled) => return false,
             None => {}
         }
-        let Some(number) = live.job.number(&run.task) else {
+        let Some(number) = live.job.task_number(&run.task) else {
             return false;
         };
         let Some(task) = live.plan.tasks.get(&number) else {
@@ -194,7 +197,7 @@
             return !task.done;
         }
         // A gang of which one member is over can't come to an end any more.
-        let mut members = live.job.numbers(run.task.occurrence, run.task.step);
+        let mut members = live.job.task_numbers(run.task.occurrence, run.task.step);
         let whole = members.all(|m| {
             let member = live.plan.tasks.get(&m);
             member.is_some_and(|t| t.run == run.number && t.place.is_some())
--- a/dragonflyrun/src/workload/life_signs.rs
+++ b/dragonflyrun/src/workload/planner_heartbeat.rs
@@ -6,16 +6,16 @@
 
 /// What a planner has shown of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LifeSigns {
+pub struct PlannerHeartbeat {
     /// Whether a plan is being appended.
     appending: bool,
     /// Whether one was appended since the question was last asked.
-    shown: bool,
+    plan_stored: bool,
     /// Whether the newest record says that the planner is stale.
     stale: bool,
 }
 
-impl LifeSigns {
+impl PlannerHeartbeat {
     /// Returns what has been shown by a term that was claimed as `stale` or not.
     pub fn claimed(stale: bool) -> Self {
         Self {
@@ -30,15 +30,15 @@
     }
 
     /// Takes note that the plan stands in the store.
-    pub fn plan_stands(&mut self) {
+    pub fn plan_stored(&mut self) {
         self.appending = false;
-        self.shown = true;
+        self.plan_stored = true;
     }
 
     /// Returns whether a record is due of a planner that is `stale` or not; to be asked at intervals.
     pub fn is_due(&mut self, stale: bool) -> bool {
-        let shown = std::mem::take(&mut self.shown);
-        stale != self.stale || (!self.appending && !shown)
+        let plan_stored = std::mem::take(&mut self.plan_stored);
+        stale != self.stale || (!self.appending && !plan_stored)
     }
 
     /// Takes note of a record that says whether the planner is stale.
--- a/dragonflyrun/src/workload/progress.rs
+++ b/dragonflyrun/src/workload/progress.rs
@@ -18,20 +18,20 @@
 };
 
 /// Looks that are remembered of a run: some four seconds, so that a worker that turns slow shows.
-const MOST_LOOKS: usize = 10;
+const MAX_SAMPLES: usize = 10;
 
 /// Percent that a run has to come on before its pace is told: a look rounds them down.
-const LEAST_GAIN: u32 = 4;
+const MIN_GAIN_PERCENT: u32 = 4;
 
 /// How far a run is done.
-const DONE: u32 = 100;
+const DONE_PERCENT: u32 = 100;
 
 /// How a run comes on.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Progress {
     /// Milliseconds that it has left at its pace; none where that is not known.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub left_ms: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// Milliseconds that all of its work takes at its pace; 0 where that is not known.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero_u64")]
     pub total_ms: u64,
@@ -39,28 +39,28 @@
 
 /// A look at a run.
 #[derive(Clone, Copy, Debug)]
-struct Look {
+struct Sample {
     clock_ms: u64,
     percent: u32,
 }
 
 /// The progress of a worker's runs, as its agent sees it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Progresses {
-    runs: HashMap<RunId, VecDeque<Look>>,
+pub(super) struct ProgressTable {
+    runs: HashMap<RunId, VecDeque<Sample>>,
 }
 
-impl Progresses {
+impl ProgressTable {
     /// Takes what the worker lists as running at `clock_ms` on its clock.
-    pub(super) fn look(&mut self, clock_ms: u64, running: &[RunningTask]) {
+    pub(super) fn update(&mut self, clock_ms: u64, running: &[RunningTask]) {
         self.runs
             .retain(|run, _| running.iter().any(|r| r.run == *run));
         for listed in running {
-            let looks = self.runs.entry(listed.run.clone()).or_default();
-            if looks.len() == MOST_LOOKS {
-                looks.pop_front();
+            let samples = self.runs.entry(listed.run.clone()).or_default();
+            if samples.len() == MAX_SAMPLES {
+                samples.pop_front();
             }
-            looks.push_back(Look {
+            samples.push_back(Sample {
                 clock_ms,
                 percent: listed.percent,
             });
@@ -77,20 +77,20 @@
 
 /// Returns how a run comes on that was looked at so often. It does not come on while it waits for other
 /// members of its gang or is restored, so its pace counts from the look before it first moved.
-fn progress(looks: &VecDeque<Look>) -> Progress {
-    let (Some(first), Some(last)) = (looks.front(), looks.back()) else {
+fn progress(samples: &VecDeque<Sample>) -> Progress {
+    let (Some(first), Some(last)) = (samples.front(), samples.back()) else {
         return Progress::default();
     };
-    let began = looks.iter().rev().find(|l| l.percent <= first.percent);
+    let began = samples.iter().rev().find(|l| l.percent <= first.percent);
     let began = began.unwrap_or(first);
     let gained = last.percent.saturating_sub(began.percent);
-    if gained < LEAST_GAIN || last.percent >= DONE {
+    if gained < MIN_GAIN_PERCENT || last.percent >= DONE_PERCENT {
         return Progress::default();
     }
     let took_ms = last.clock_ms.saturating_sub(began.clock_ms);
     let of_pace = |percent: u32| took_ms * u64::from(percent) / u64::from(gained);
     Progress {
-        left_ms: Some(of_pace(DONE - last.percent)),
-        total_ms: of_pace(DONE),
+        remaining_ms: Some(of_pace(DONE_PERCENT - last.percent)),
+        total_ms: of_pace(DONE_PERCENT),
     }
 }
--- a/dragonflyrun/src/workload/record.rs
+++ b/dragonflyrun/src/workload/record.rs
@@ -18,10 +18,10 @@
 const JOB_PREFIX: &str = "j/";
 
 /// Bytes that a key of the store holds at the most.
-const KEY_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// Bytes of a job's name at the most: its records are kept under keys that have it behind a prefix.
-pub const MOST_NAME_BYTES: usize = KEY_BYTES - JOB_PREFIX.len();
+pub const MAX_JOB_NAME_BYTES: usize = MAX_KEY_BYTES - JOB_PREFIX.len();
 const CANCEL_PREFIX: &str = "c/";
 const PLAN_PREFIX: &str = "p/";
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns the records that let the store forget a job altogether.
-    pub fn forget(name: &Name) -> [StoreRecord; 3] {
+    pub fn tombstones(name: &Name) -> [StoreRecord; 3] {
         [JOB_PREFIX, CANCEL_PREFIX, PLAN_PREFIX].map(|prefix| StoreRecord {
             key: format!("{prefix}{name}").into(),
             value: None,
--- a/dragonflyrun/src/workload/term.rs
+++ b/dragonflyrun/src/workload/term.rs
@@ -18,11 +18,11 @@
 
 /// Silence after which a planner is replaced on a store that answers at once: three of its signs of life,
 /// and the pause with which other entries read them. A claim fails where another one has come meanwhile.
-const SILENCE: Duration = Duration::from_millis(800);
+const MAX_SILENCE: Duration = Duration::from_millis(800);
 
 /// Silence that is allowed beside that, in delays of the store: on a slow store the planner's signs of
 /// life queue with everything else.
-const SILENCE_DELAYS: u32 = 8;
+const SILENCE_STORE_DELAYS: u32 = 8;
 
 /// How long a planner has to be stale before another entry takes over: its next sign of life may already say
 /// that it no longer is.
@@ -30,10 +30,10 @@
 
 /// How many times the silence that is allowed a candidate waits longer that can't prove the configuration:
 /// it would start nothing, and others may have the proof.
-const UNPROVED_SILENCES: u32 = 2;
+const UNVERIFIED_EXTRA_SILENCES: u32 = 2;
 
 /// Names are spread over so many places, which tells candidates apart.
-const PLACES: u32 = 1 << 10;
+const STAGGER_STEPS: u32 = 1 << 10;
 
 /// Numbers that terms of one rank are drawn from. Two candidates must not try with the same term:
 /// the store takes the second append for a repeat of the first and confirms it, and both would
@@ -46,7 +46,7 @@
     /// Nothing.
     Wait,
     /// Try to become planner, with this term.
-    Try(Term),
+    Claim(Term),
 }
 
 /// What a candidate knows of itself.
@@ -55,7 +55,7 @@
     /// How long the store takes to answer it.
     pub store_delay: Duration,
     /// Whether it can prove the configuration, so that it would start tasks.
-    pub proves: bool,
+    pub has_fresh_configuration: bool,
 }
 
 /// An entry's view of the planner.
@@ -86,7 +86,7 @@
     }
 
     /// Takes note of a sign of life.
-    pub fn saw(&mut self, now: Timestamp, term: &Term) {
+    pub fn saw_heartbeat(&mut self, now: Timestamp, term: &Term) {
         if term.number >= self.term.number {
             let since = self.stale_since.filter(|_| term.number == self.term.number);
             self.stale_since = term.stale.then(|| since.unwrap_or(now));
@@ -105,7 +105,7 @@
 
     /// Takes note that the store could not be read until now: silence counts from here, and the planner may
     /// no longer be stale.
-    pub fn was_cut_off(&mut self, now: Timestamp) {
+    pub fn store_regained(&mut self, now: Timestamp) {
         self.seen = now;
         self.stale_since = self.stale_since.map(|_| now);
     }
@@ -125,35 +125,37 @@
     /// The store remembers the number of a claim also where it did not do it, since the partition had
     /// moved on. Where that candidate then died, all others drew lower numbers for the same term over
     /// and over, and nobody planned any more.
-    pub fn was_refused(&mut self) {
+    pub fn claim_refused(&mut self) {
         self.refused += 1;
     }
 
     /// Returns what to do at `now`.
     pub fn step(&self, now: Timestamp, candidate: Candidate) -> TermStep {
-        let silence = SILENCE + candidate.store_delay * SILENCE_DELAYS;
-        let stagger = silence.mul_f64(self.place().powi(2));
-        let wait = if self.is_vacant() {
+        let silence = MAX_SILENCE + candidate.store_delay * SILENCE_STORE_DELAYS;
+        let stagger = silence.mul_f64(self.stagger_fraction().powi(2));
+        let wait = if self.has_no_planner() {
             stagger / 4
         } else {
             silence + stagger
         };
-        let handicap = match candidate.proves {
+        let extra_wait = match candidate.has_fresh_configuration {
             true => Duration::ZERO,
-            false => silence * UNPROVED_SILENCES,
+            false => silence * UNVERIFIED_EXTRA_SILENCES,
         };
-        let is_silent = now.since(self.seen) >= wait + handicap;
-        let stale = self.stale_since.filter(|_| candidate.proves);
-        let grace = STALE_GRACE + candidate.store_delay * SILENCE_DELAYS + stagger / 4;
+        let is_silent = now.since(self.seen) >= wait + extra_wait;
+        let stale = self
+            .stale_since
+            .filter(|_| candidate.has_fresh_configuration);
+        let grace = STALE_GRACE + candidate.store_delay * SILENCE_STORE_DELAYS + stagger / 4;
         let is_stale = stale.is_some_and(|since| now.since(since) >= grace);
         if !is_silent && !is_stale {
             return TermStep::Wait;
         }
-        TermStep::Try(Term {
+        TermStep::Claim(Term {
             number: (self.term.number / NONCES + 1 + self.refused) * NONCES + self.nonce,
             entry: self.entry.clone(),
             resigned: false,
-            stale: !candidate.proves,
+            stale: !candidate.has_fresh_configuration,
         })
     }
 
@@ -161,7 +163,7 @@
     ///
     /// Whoever asks does not plan, so a term in its own name is one that an earlier process of it held.
     /// After a loss of power of all hosts nobody else would notice before its silence is over.
-    fn is_vacant(&self) -> bool {
+    fn has_no_planner(&self) -> bool {
         let own = self.term.entry == self.entry;
         own || self.term.resigned || self.term.number == 0
     }
@@ -169,8 +171,9 @@
     /// Returns the place of this entry among the candidates for the next term, from 0 to 1. Its square
     /// spreads them so that the first few of many stand one after the other, and that of three the first
     /// still stands soon.
-    fn place(&self) -> f64 {
-        let place = spread(&format!("{}/{}", self.entry, self.term.number)) % u64::from(PLACES);
-        place as f64 / f64::from(PLACES)
+    fn stagger_fraction(&self) -> f64 {
+        let step =
+            spread(&format!("{}/{}", self.entry, self.term.number)) % u64::from(STAGGER_STEPS);
+        step as f64 / f64::from(STAGGER_STEPS)
     }
 }
--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -75,7 +75,7 @@
 }
 
 fn look(table: &mut AgentTable, lists: WorkerLists) {
-    let (asked, session, ..) = table.ask_lists().expect("a session");
+    let (asked, session, ..) = table.request_lists().expect("a session");
     table.lists(asked, session, lists);
 }
 
@@ -84,7 +84,7 @@
 }
 
 fn lease(table: &mut AgentTable) -> Option<u64> {
-    table.ask_lists().expect("a session").3
+    table.request_lists().expect("a session").3
 }
 
 /// An agent is frozen between its look at the worker's clock and the answer of the store. The lease
@@ -136,7 +136,7 @@
     let said = report(&mut table);
     assert!(said.refused.is_empty());
     assert_eq!(said.starting, vec![run(1)]);
-    let open = table.unanswered();
+    let open = table.pending_actions();
     assert!(matches!(&open[..], [AgentAction::Stop(stopped)] if *stopped == run(1)));
 }
 
@@ -155,7 +155,7 @@
 #[test]
 fn overtaken_lists() {
     let mut table = agent();
-    let (early, session, ..) = table.ask_lists().expect("a session");
+    let (early, session, ..) = table.request_lists().expect("a session");
     table.orders(Some(1_000), vec![start_order(1)], 9);
     table.start_result(&run(1), 7, StartResult::Answered(StartOutcome::Started));
     table.lists(early, session, lists(1_010, &[]));
@@ -225,9 +225,9 @@
     let mut table = AgentTable::new(Duration::from_secs(6));
     table.heartbeat(heartbeat("w", 5, 1), Instant::now());
     assert!(table.begin_session("w", 5, 7));
-    let (asked, token, ..) = table.ask_lists().expect("a session");
+    let (asked, token, ..) = table.request_lists().expect("a session");
     assert!(table.lists(asked, token, lists(1_000, &[])));
-    let (asked, token, ..) = table.ask_lists().expect("a session");
+    let (asked, token, ..) = table.request_lists().expect("a session");
     assert!(!table.lists(asked, token, lists(1_010, &[])));
 }
 
@@ -265,7 +265,7 @@
         look(&mut table, saved(clock_ms, (clock_ms - 1_000) / 650));
     }
     let pace = report(&mut table).paces.pop().expect("a pace");
-    assert_eq!((pace.spans, pace.took_ms), (6, 3_900));
+    assert_eq!((pace.intervals, pace.took_ms), (6, 3_900));
 }
 
 /// Looks at the worker had no answer for longer than it takes to save two checkpoints. Counted as one,
--- a/dragonflyrun/tests/ending_runs.rs
+++ b/dragonflyrun/tests/ending_runs.rs
@@ -15,7 +15,7 @@
     bed.submit("urgent", 0, vec![task(8)]);
     bed.change("w0", |report| {
         report.progress = vec![Progress {
-            left_ms: Some(left_ms),
+            remaining_ms: Some(left_ms),
             total_ms: 10_000,
         }];
     });
--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -12,12 +12,12 @@
 /// A candidate that can prove the configuration on a store that answers at once.
 const PROMPT: Candidate = Candidate {
     store_delay: Duration::ZERO,
-    proves: true,
+    has_fresh_configuration: true,
 };
 
 /// The same without that proof.
 const UNPROVED: Candidate = Candidate {
-    proves: false,
+    has_fresh_configuration: false,
     ..PROMPT
 };
 
@@ -37,7 +37,7 @@
 
 fn tried(step: TermStep) -> Term {
     match step {
-        TermStep::Try(term) => term,
+        TermStep::Claim(term) => term,
         TermStep::Wait => panic!("it should stand"),
     }
 }
@@ -49,8 +49,8 @@
     let mut one = Election::new("one".into(), 17, at(0));
     let mut other = Election::new("other".into(), 18, at(0));
     let known = term(5, "gone", false);
-    one.saw(at(0), &known);
-    other.saw(at(0), &known);
+    one.saw_heartbeat(at(0), &known);
+    other.saw_heartbeat(at(0), &known);
     let later = at(0) + LATER;
     let (one, other) = (
         tried(one.step(later, PROMPT)),
@@ -64,11 +64,14 @@
 fn silence_and_plans() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "other", false);
-    election.saw(at(1_000), &known);
+    election.saw_heartbeat(at(1_000), &known);
     assert_eq!(election.step(at(1_900), PROMPT), TermStep::Wait);
     election.saw_plan(at(2_000));
     assert_eq!(election.step(at(2_900), PROMPT), TermStep::Wait);
-    assert!(matches!(election.step(at(4_000), PROMPT), TermStep::Try(_)));
+    assert!(matches!(
+        election.step(at(4_000), PROMPT),
+        TermStep::Claim(_)
+    ));
 }
 
 /// The planner stops as planned and says so. Callers should not wait out its silence.
@@ -76,8 +79,11 @@
 fn resigned() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "other", true);
-    election.saw(at(1_000), &known);
-    assert!(matches!(election.step(at(1_100), PROMPT), TermStep::Try(_)));
+    election.saw_heartbeat(at(1_000), &known);
+    assert!(matches!(
+        election.step(at(1_100), PROMPT),
+        TermStep::Claim(_)
+    ));
 }
 
 /// The entry itself could not read for a while. What it calls silence is its own, and standing on
@@ -86,8 +92,8 @@
 fn own_outage() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "other", false);
-    election.saw(at(1_000), &known);
-    election.was_cut_off(at(9_000));
+    election.saw_heartbeat(at(1_000), &known);
+    election.store_regained(at(9_000));
     assert_eq!(election.step(at(9_500), PROMPT), TermStep::Wait);
 }
 
@@ -96,10 +102,13 @@
 fn old_term() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(9, "other", false);
-    election.saw(at(1_000), &known);
+    election.saw_heartbeat(at(1_000), &known);
     let old = term(1, "gone", false);
-    election.saw(at(3_000), &old);
-    assert!(matches!(election.step(at(4_000), PROMPT), TermStep::Try(_)));
+    election.saw_heartbeat(at(3_000), &old);
+    assert!(matches!(
+        election.step(at(4_000), PROMPT),
+        TermStep::Claim(_)
+    ));
 }
 
 /// All hosts lose power, the planner's among them, and start again. Nobody plans, and the entry that
@@ -109,7 +118,7 @@
 fn own_term() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "one", false);
-    election.saw(at(1_000), &known);
+    election.saw_heartbeat(at(1_000), &known);
     let next = tried(election.step(at(1_100), PROMPT));
     assert!(next.number > known.number);
 }
@@ -121,14 +130,14 @@
 fn refused_claim() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(3, "gone", true);
-    election.saw(at(0), &known);
+    election.saw_heartbeat(at(0), &known);
     let dead = (4 << 20) + 900;
     let first = tried(election.step(at(1_000), PROMPT));
     assert!(first.number < dead);
-    election.was_refused();
+    election.claim_refused();
     let second = tried(election.step(at(1_100), PROMPT));
     assert!(second.number > dead);
-    election.saw(
+    election.saw_heartbeat(
         at(1_200),
         &Term {
             resigned: true,
@@ -143,13 +152,13 @@
 #[test]
 fn slow_store() {
     let mut election = Election::new("one".into(), 17, at(0));
-    election.saw(at(0), &term(1, "other", false));
+    election.saw_heartbeat(at(0), &term(1, "other", false));
     let slow = Candidate {
         store_delay: Duration::from_millis(250),
         ..PROMPT
     };
     assert_eq!(election.step(at(2_700), slow), TermStep::Wait);
-    assert!(matches!(election.step(at(9_000), slow), TermStep::Try(_)));
+    assert!(matches!(election.step(at(9_000), slow), TermStep::Claim(_)));
 }
 
 /// Guards against a crowd of candidates: their claims queue on the partition that the planner writes to.
@@ -161,7 +170,7 @@
         let elections = (0..ENTRIES).map(|i| {
             let name = format!("front-{i}");
             let mut election = Election::new(name.as_str().into(), 17, at(0));
-            election.saw(at(0), &term(1, "other", false));
+            election.saw_heartbeat(at(0), &term(1, "other", false));
             election
         });
         let standing = elections.filter(|e| e.step(at(ms), PROMPT) != TermStep::Wait);
@@ -186,7 +195,7 @@
 fn stale_planner() {
     let mut election = Election::new("one".into(), 17, at(0));
     for ms in (1_000..=2_000).step_by(200) {
-        election.saw(at(ms), &stale(1, "other"));
+        election.saw_heartbeat(at(ms), &stale(1, "other"));
     }
     let next = tried(election.step(at(2_100), PROMPT));
     assert!(!next.stale);
@@ -198,7 +207,7 @@
 fn stale_everywhere() {
     let mut election = Election::new("one".into(), 17, at(0));
     for ms in (1_000..=60_000).step_by(200) {
-        election.saw(at(ms), &stale(1, "other"));
+        election.saw_heartbeat(at(ms), &stale(1, "other"));
         assert_eq!(election.step(at(ms + 100), UNPROVED), TermStep::Wait);
     }
 }
@@ -207,21 +216,21 @@
 #[test]
 fn stale_briefly() {
     let mut election = Election::new("one".into(), 17, at(0));
-    election.saw(at(1_000), &stale(1, "other"));
+    election.saw_heartbeat(at(1_000), &stale(1, "other"));
     assert_eq!(election.step(at(1_100), PROMPT), TermStep::Wait);
-    election.saw(at(1_200), &term(1, "other", false));
+    election.saw_heartbeat(at(1_200), &term(1, "other", false));
     assert_eq!(election.step(at(1_900), PROMPT), TermStep::Wait);
     // On a slow store the next sign of life comes later.
-    election.saw(at(1_950), &stale(1, "other"));
+    election.saw_heartbeat(at(1_950), &stale(1, "other"));
     let slow = Candidate {
         store_delay: Duration::from_millis(250),
         ..PROMPT
     };
     assert_eq!(election.step(at(3_900), slow), TermStep::Wait);
-    election.saw(at(3_950), &term(1, "other", false));
+    election.saw_heartbeat(at(3_950), &term(1, "other", false));
     // An entry that was cut off itself has heard of it late.
-    election.saw(at(4_000), &stale(1, "other"));
-    election.was_cut_off(at(9_000));
+    election.saw_heartbeat(at(4_000), &stale(1, "other"));
+    election.store_regained(at(9_000));
     assert_eq!(election.step(at(9_100), PROMPT), TermStep::Wait);
 }
 
@@ -231,7 +240,7 @@
 fn unproved_candidate() {
     for resigned in [false, true] {
         let mut election = Election::new("one".into(), 17, at(0));
-        election.saw(at(0), &term(1, "other", resigned));
+        election.saw_heartbeat(at(0), &term(1, "other", resigned));
         let first =
             |candidate| (0..20_000).find(|ms| election.step(at(*ms), candidate) != TermStep::Wait);
         let proved = first(PROMPT).expect("it stands");
--- a/dragonflyrun/tests/run_progress.rs
+++ b/dragonflyrun/tests/run_progress.rs
@@ -44,7 +44,7 @@
     assert!(table.heartbeat(heartbeat(), Instant::now()));
     assert!(table.begin_session("w", 5, 7));
     for (look, percent) in (0_u64..).zip(percents) {
-        let (asked, session, ..) = table.ask_lists().expect("a session");
+        let (asked, session, ..) = table.request_lists().expect("a session");
         let lists = WorkerLists {
             clock_ms: 1_000 + 400 * look,
             born_ms: Some(5),
@@ -65,7 +65,7 @@
 #[test]
 fn pace_told() {
     let progress = seen(&[20, 20, 20, 30, 40]);
-    assert_eq!(progress.left_ms, Some(2_400));
+    assert_eq!(progress.remaining_ms, Some(2_400));
     assert_eq!(progress.total_ms, 4_000);
 }
 
@@ -83,7 +83,7 @@
     let fast: Vec<u32> = (0..10).map(|look| look * 5).collect();
     let slow: Vec<u32> = (0..10).map(|look| 45 + look).collect();
     let progress = seen(&[fast, slow].concat());
-    assert!(progress.left_ms > Some(15_000), "{progress:?}");
+    assert!(progress.remaining_ms > Some(15_000), "{progress:?}");
 }
 
 /// Lets a job's run say that it has `left_ms` on a worker that stays for two seconds, and returns
@@ -101,7 +101,7 @@
     let worker = bed.running("job")[0].0.clone();
     bed.change(&worker, |report| {
         report.progress = vec![Progress {
-            left_ms: Some(left_ms),
+            remaining_ms: Some(left_ms),
             total_ms: 10_000,
         }];
         report.heartbeat.draining = true;
--- a/dragonflyrun/tests/run_proofs.rs
+++ b/dragonflyrun/tests/run_proofs.rs
@@ -7,8 +7,8 @@
     port::{EndKind, RunningTask, StartOutcome},
     utils::HashSet,
     workload::{
-        Book, Fleet, JobRecord, Outcome, Planner, Resources, RunId, RunOverReason, Step, TaskId,
-        View,
+        Fleet, JobRecord, JobTable, Outcome, Planner, Resources, RunId, RunOverReason, Step,
+        TaskId, View,
     },
 };
 use workload_tables::{Bed, EPOCH_MS, bounds, task};
@@ -225,7 +225,7 @@
         }],
     );
     bed.pass();
-    let mut book = Book::default();
+    let mut book = JobTable::default();
     let request = dragonflyrun::workload::JobRequest {
         payload: "text".into(),
         steps: vec![Step {
--- a/dragonflyrun/tests/slow_appends.rs
+++ b/dragonflyrun/tests/slow_appends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dragonflyrun::{process::on_store::append_time, workload::LifeSigns};
+use dragonflyrun::{process::on_store::append_time, workload::PlannerHeartbeat};
 
 const LEAST: Duration = Duration::from_millis(900);
 
@@ -16,13 +16,13 @@
 /// Guards against records that say nothing and keep the next plan waiting.
 #[test]
 fn plans_show_life() {
-    let mut signs = LifeSigns::default();
+    let mut signs = PlannerHeartbeat::default();
     assert!(signs.is_due(false), "nothing was shown");
     signs.plan_sent();
     for _ in 0..5 {
         assert!(!signs.is_due(false), "the plan is under way");
     }
-    signs.plan_stands();
+    signs.plan_stored();
     assert!(!signs.is_due(false), "it has just been shown");
     assert!(signs.is_due(false));
 }
@@ -30,15 +30,15 @@
 /// Guards against a planner that has turned stale and whose plans hide it.
 #[test]
 fn stale_is_told() {
-    let mut signs = LifeSigns::default();
-    signs.plan_stands();
+    let mut signs = PlannerHeartbeat::default();
+    signs.plan_stored();
     assert!(signs.is_due(true), "a plan does not tell that it is stale");
     signs.record_sent(true);
-    signs.plan_stands();
+    signs.plan_stored();
     assert!(!signs.is_due(true), "it has been told");
     signs.plan_sent();
     assert!(signs.is_due(false), "nor that it no longer is");
-    let mut claimed = LifeSigns::claimed(true);
-    claimed.plan_stands();
+    let mut claimed = PlannerHeartbeat::claimed(true);
+    claimed.plan_stored();
     assert!(claimed.is_due(false));
 }
--- a/dragonflyrun/tests/store_reach.rs
+++ b/dragonflyrun/tests/store_reach.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use dragonflyrun::workload::StoreReach;
+use dragonflyrun::workload::StoreReachability;
 
 const PROMPT: Duration = Duration::from_millis(5);
 
@@ -10,8 +10,8 @@
     Duration::from_millis(ms)
 }
 
-fn reached(at: Instant) -> StoreReach {
-    let mut reach = StoreReach::default();
+fn reached(at: Instant) -> StoreReachability {
+    let mut reach = StoreReachability::default();
     reach.answered(at);
     reach
 }
@@ -22,10 +22,13 @@
     let start = Instant::now();
     let mut reach = reached(start);
     reach.read_failed();
-    assert!(!reach.is_away(start + ms(200), PROMPT), "it is bridged");
-    assert!(reach.is_away(start + ms(400), PROMPT));
+    assert!(
+        !reach.is_unreachable(start + ms(200), PROMPT),
+        "it is bridged"
+    );
+    assert!(reach.is_unreachable(start + ms(400), PROMPT));
     reach.answered(start + ms(500));
-    assert!(!reach.is_away(start + ms(900), PROMPT));
+    assert!(!reach.is_unreachable(start + ms(900), PROMPT));
 }
 
 /// Guards against records sent into a partition, whose callers could not try elsewhere any more.
@@ -33,8 +36,8 @@
 fn silent_reads() {
     let start = Instant::now();
     let reach = reached(start);
-    assert!(!reach.is_away(start + ms(1_000), PROMPT), "no news");
-    assert!(reach.is_away(start + ms(1_400), PROMPT));
+    assert!(!reach.is_unreachable(start + ms(1_000), PROMPT), "no news");
+    assert!(reach.is_unreachable(start + ms(1_400), PROMPT));
 }
 
 /// Guards against refusing work that a slow store would still take.
@@ -42,7 +45,7 @@
 fn slow_store() {
     let start = Instant::now();
     let reach = reached(start);
-    assert!(!reach.is_away(start + ms(1_600), ms(250)));
+    assert!(!reach.is_unreachable(start + ms(1_600), ms(250)));
 }
 
 #[test]
@@ -50,9 +53,9 @@
     let start = Instant::now();
     let mut reach = reached(start);
     reach.append_unanswered(start + ms(300), ms(900));
-    assert!(!reach.is_away(start + ms(300), PROMPT));
+    assert!(!reach.is_unreachable(start + ms(300), PROMPT));
     reach.append_unanswered(start + ms(950), ms(900));
-    assert!(reach.is_away(start + ms(950), PROMPT));
+    assert!(reach.is_unreachable(start + ms(950), PROMPT));
 }
 
 /// Guards against callers that use up their few tries while an outage of some seconds lasts.
--- a/dragonflyrun/tests/worker_speeds.rs
+++ b/dragonflyrun/tests/worker_speeds.rs
@@ -16,7 +16,7 @@
     bed.change(worker, |report| {
         report.paces.push(Pace {
             run,
-            spans: 5,
+            intervals: 5,
             took_ms: 5 * step_ms,
         });
     });
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -19,7 +19,7 @@
     },
     utils::{HashSet, Name},
     workload::{
-        Book, Decisions, Job, JobPlan, JobRecord, JobRequest, Outcome, Planner, PlannerBounds,
+        Decisions, Job, JobPlan, JobRecord, JobRequest, JobTable, Outcome, Planner, PlannerBounds,
         Report, Resources, RunId, Step, View,
     },
 };
@@ -69,7 +69,7 @@
     /// Returns a planner with so many workers of 8 accelerators, three to a rack.
     pub(crate) fn new(workers: usize) -> Self {
         let mut bed = Self {
-            planner: Planner::take_over(bounds(), &Book::default(), Timestamp::default()),
+            planner: Planner::take_over(bounds(), &JobTable::default(), Timestamp::default()),
             now_ms: 0,
             configuration: configuration(),
             evacuated: HashSet::default(),
--- a/dragonflyrun/tests/workload_world/agent.rs
+++ b/dragonflyrun/tests/workload_world/agent.rs
@@ -198,7 +198,7 @@
     }
     world.agents[i].look_at = now + 60;
     let life = world.agents[i].table.worker();
-    let asked = world.agents[i].table.ask_lists();
+    let asked = world.agents[i].table.request_lists();
     if let (Some(life), Some((asked, token, confirmed, lease))) = (life, asked) {
         let call = Call::Lists {
             asked,
@@ -208,9 +208,9 @@
         };
         send(world, i, (life.0.to_string(), life.1), call);
     }
-    let again = world.agents[i].table.unanswered();
+    let again = world.agents[i].table.pending_actions();
     act(world, i, again);
-    let stops = world.agents[i].table.stop_again();
+    let stops = world.agents[i].table.stop_leftovers();
     act(world, i, stops);
 }
 
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -6,7 +6,7 @@
     Timestamp,
     port::Configuration,
     utils::HashSet,
-    workload::{Book, JobRecord, Planner, PlannerBounds, View, WorkerOrder},
+    workload::{JobRecord, JobTable, Planner, PlannerBounds, View, WorkerOrder},
 };
 use rand::Rng;
 
@@ -33,7 +33,7 @@
     /// Returns a planner that has just won the next term.
     pub(crate) fn take_over(world: &mut World) -> Self {
         world.store.term += 1;
-        let mut book = Book::default();
+        let mut book = JobTable::default();
         for record in &world.store.jobs {
             book.fold(record.clone());
         }
