--- a/dragonflyrun/src/workload/agent_table.rs
+++ b/dragonflyrun/src/workload/agent_table.rs
@@ -1,8 +1,9 @@
-//! What an agent knows of the worker beside it, and what it does about orders.
+//! An agent's state of its local worker, and how it carries out the planner's orders.
 //!
-//! The agent extends its worker's lease only by proof from the store: a read that was sent after
-//! the worker's clock was looked at, and that shows no fence. So whoever puts a fence into the
-//! store knows that every lease has run out one lease time later, whatever became of the agent.
+//! The agent extends the worker's lease only on proof from the store: a read that was sent after
+//! the worker's clock was read, and that returns no fence. The process that stores a fence
+//! therefore knows that every lease has expired one lease time later, whatever happened to the
+//! agent.
 
 use std::{
     collections::BTreeMap,
@@ -15,7 +16,7 @@
     workload::{Order, Report, RunId, TaskStart, pace::PaceTable, progress::ProgressTable},
 };
 
-/// What is to be done at the worker.
+/// A call that the agent has to make to the worker.
 #[derive(Clone, Debug)]
 pub enum AgentAction {
     /// Start a run.
@@ -24,26 +25,27 @@
     Stop(RunId),
 }
 
-/// What became of a start.
+/// The result of a start call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartResult {
     /// The worker answered.
     Answered(StartOutcome),
-    /// Nothing is known; the start is to be tried again.
+    /// The call had no answer; the start has to be retried.
     Unknown,
 }
 
-/// How far a run's start or stop is.
+/// The progress of a run's start or stop.
 #[derive(Clone, Debug)]
 enum Pending {
-    /// The worker has not answered the start; whether a try may have been carried out unseen.
+    /// The worker has not answered the start.
     StartSent {
         order: Box<StartOrder>,
+        /// Whether the worker may have carried out an earlier attempt whose answer was lost.
         may_have_started: bool,
     },
     /// The worker has not answered the stop.
     StopSent,
-    /// The worker has answered; the first list asked for after that number shows what is there.
+    /// The worker has answered. Only lists requested after the request with this number reflect it.
     Answered(u64),
 }
 
@@ -54,7 +56,7 @@
     fenced: bool,
     pending: BTreeMap<RunId, Pending>,
     refused: Vec<(RunId, StartOutcome)>,
-    /// Runs that were told to stop.
+    /// Runs that the agent has ordered to stop.
     stopped: HashSet<RunId>,
     report_sequence: u64,
 }
@@ -62,15 +64,15 @@
 #[derive(Clone, Debug)]
 struct Incarnation {
     heartbeat: Heartbeat,
-    /// When the newest heartbeat came.
+    /// When the newest heartbeat arrived.
     heartbeat_at: Instant,
     left: bool,
-    /// Whether the worker's process is gone for certain.
+    /// Whether the worker's process has certainly ended.
     process_gone: bool,
     unreachable: bool,
-    /// Looks in a row that had no answer.
+    /// The number of consecutive checks of the worker without an answer.
     unanswered_checks: u32,
-    /// The newest look at the worker's clock.
+    /// The newest reading of the worker's clock.
     clock_ms: Option<u64>,
     lease_until_ms: Option<u64>,
     running: Vec<RunningTask>,
@@ -83,7 +85,7 @@
     session: Option<Session>,
 }
 
-/// The agent's table.
+/// The agent's table of its worker, the worker's session and the runs of that session.
 #[derive(Debug)]
 pub struct AgentTable {
     lease: Duration,
@@ -92,18 +94,20 @@
     final_reports: Vec<Report>,
 }
 
-/// Silence of a worker that sends a heartbeat each 1.5 s after which one is missing for certain.
+/// Time without a heartbeat after which one is certainly missing: workers send one every 1.5 s.
 const MAX_HEARTBEAT_GAP: Duration = Duration::from_millis(2_200);
 
-/// Looks in a row without an answer after which a worker counts as unreachable. A single answer gets
-/// lost now and then; taken for an unreachable worker, its room would stand empty for a second.
+/// Consecutive checks without an answer after which a worker counts as unreachable. A single answer
+/// is lost now and then; treating that as an unreachable worker would leave its capacity unused for
+/// a second.
 const UNREACHABLE_AFTER_CHECKS: u32 = 2;
 
-/// Refused starts that are kept for the report; the planner needs only the newest.
+/// Maximum number of refused starts in a report; the planner needs only the newest ones.
 const MAX_REPORTED_REFUSALS: usize = 64;
 
 impl AgentTable {
-    /// Returns the table of an agent that has heard of no worker. Leases last `lease` at most.
+    /// Returns the table of an agent that has not yet received a heartbeat. Leases last at most
+    /// `lease`.
     pub fn new(lease: Duration) -> Self {
         Self {
             lease,
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Returns the table with the span of work after which a run saves a checkpoint.
+    /// Sets the amount of work after which a run saves a checkpoint.
     pub fn with_checkpoints(self, every: Duration) -> Self {
         Self {
             checkpoint_interval: every,
@@ -121,10 +125,10 @@
         }
     }
 
-    /// Takes a heartbeat; returns whether anything that the planner should know has changed.
+    /// Applies a heartbeat and returns whether anything has changed that the planner should know.
     ///
-    /// A heartbeat that was held up by the network may come after a new life of the worker has
-    /// begun at the same address; it is older by its birth or its number and changes nothing.
+    /// A heartbeat delayed by the network may arrive after a new incarnation of the worker has begun
+    /// at the same address. Its start time or its sequence number is older, so it is ignored.
     pub fn heartbeat(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
         if let Some(incarnation) = &mut self.incarnation {
             let known = &incarnation.heartbeat;
@@ -151,7 +155,7 @@
         let old = self.incarnation.take();
         let replaced = old.filter(|l| l.heartbeat.worker != heartbeat.worker);
         if let Some(mut report) = replaced.and_then(|mut l| l.report()) {
-            // Another worker answers at this machine now, so nothing of the old one runs.
+            // Another worker now answers on this host, so no run of the old one is left.
             report.closed = true;
             self.final_reports.push(report);
         }
@@ -175,7 +179,7 @@
         });
     }
 
-    /// Takes note that the worker ends now.
+    /// Records that the worker is ending, and returns whether that is new.
     pub fn leave(&mut self, worker: &str) -> bool {
         let incarnation = self
             .incarnation
@@ -184,7 +188,7 @@
         incarnation.is_some_and(|l| !std::mem::replace(&mut l.left, true))
     }
 
-    /// Returns the worker and the start of its incarnation.
+    /// Returns the worker and the time at which its incarnation began, in Unix milliseconds.
     pub fn worker(&self) -> Option<(Name, u64)> {
         let incarnation = self.incarnation.as_ref()?;
         Some((
@@ -193,12 +197,13 @@
         ))
     }
 
-    /// Returns the number of the session, where one is open.
+    /// Returns the number of the current session, if there is one.
     pub fn session(&self) -> Option<u64> {
         Some(self.incarnation.as_ref()?.session.as_ref()?.number)
     }
 
-    /// Begins a session with the number that the store gave.
+    /// Begins a session with the number assigned by the store. Returns `false` if the worker or its
+    /// incarnation has changed in the meantime.
     pub fn begin_session(&mut self, worker: &str, born_ms: u64, number: u64) -> bool {
         let incarnation = self
             .incarnation
@@ -208,7 +213,7 @@
             return false;
         };
         incarnation.lease_until_ms = None;
-        // The first lists of the new session set its fencing token at the worker.
+        // The first request for lists in the new session hands the worker its fencing token.
         incarnation.lists_received = 0;
         incarnation.session = Some(Session {
             number,
@@ -222,13 +227,14 @@
         true
     }
 
-    /// Returns the newest look at the worker's clock: to be taken before a read of orders is sent.
+    /// Returns the newest reading of the worker's clock. Callers fetch it before they send a read of
+    /// orders.
     pub fn clock_ms(&self) -> Option<u64> {
         self.incarnation.as_ref()?.clock_ms
     }
 
-    /// Takes the orders up to `end`. `clock_read_ms` is the worker's clock as it was looked at before
-    /// the read was sent.
+    /// Applies the orders before offset `end` and returns the calls that they require.
+    /// `clock_read_ms` is the reading of the worker's clock from before the read was sent.
     pub fn orders(
         &mut self,
         clock_read_ms: Option<u64>,
@@ -245,8 +251,8 @@
         };
         session.orders_seen = session.orders_seen.max(end);
         session.fenced |= fence;
-        if let (Some(looked), false) = (clock_read_ms, session.fenced) {
-            incarnation.lease_until_ms = incarnation.lease_until_ms.max(Some(looked + lease));
+        if let (Some(read_ms), false) = (clock_read_ms, session.fenced) {
+            incarnation.lease_until_ms = incarnation.lease_until_ms.max(Some(read_ms + lease));
         }
         let mut actions = Vec::new();
         for order in orders {
@@ -261,7 +267,8 @@
         actions
     }
 
-    /// Takes note that orders may have been missed: what the session runs may run elsewhere soon.
+    /// Fences the session because orders, including a fence, may have been missed: its tasks may
+    /// soon be started elsewhere. Returns the stops of all its runs.
     pub fn orders_lost(&mut self) -> Vec<AgentAction> {
         let Some(incarnation) = &mut self.incarnation else {
             return Vec::new();
@@ -272,7 +279,7 @@
         incarnation.stop_all()
     }
 
-    /// Takes the answer to a start; returns whether the planner should hear of it at once.
+    /// Applies the result of a start and returns whether to report to the planner at once.
     pub fn start_result(&mut self, run: &RunId, token: u64, result: StartResult) -> bool {
         let Some((session, lists_requested)) = self.session_of(token) else {
             return false;
@@ -295,8 +302,8 @@
             return false;
         }
         if may_have_started {
-            // An earlier try may have begun the run, or may be carried out yet. Taken for refused,
-            // it would be started elsewhere and run twice; a stop settles it.
+            // An earlier attempt may have started the run or may still reach the worker. If the run
+            // counted as refused, it would be started elsewhere and run twice; a stop prevents that.
             session.pending.insert(run.clone(), Pending::StopSent);
             return false;
         }
@@ -307,7 +314,7 @@
         true
     }
 
-    /// Takes the answer to a stop.
+    /// Applies the result of a stop.
     pub fn stop_result(&mut self, run: &RunId, token: u64, result: &Result<(), CallError>) {
         if let (Some((session, lists_requested)), Ok(())) = (self.session_of(token), result) {
             session
@@ -316,7 +323,7 @@
         }
     }
 
-    /// Returns what is still to be done at the worker: starts and stops without an answer.
+    /// Returns the starts and stops that the worker has not answered, to be sent again.
     pub fn pending_actions(&self) -> Vec<AgentAction> {
         let session = self.incarnation.as_ref().and_then(|l| l.session.as_ref());
         let pending = session.into_iter().flat_map(|s| &s.pending);
@@ -328,8 +335,9 @@
         open.collect()
     }
 
-    /// Returns the number of a call that asks for the lists, and what that call is to say: the
-    /// fencing token, the confirmed ends and the lease. `None` where there is no session.
+    /// Returns the contents of the next request for the worker's lists: the number of the request,
+    /// the fencing token, the number of the newest confirmed end, and the lease. Returns `None`
+    /// without a session.
     pub fn request_lists(&mut self) -> Option<(u64, u64, u64, Option<u64>)> {
         let incarnation = self.incarnation.as_mut()?;
         let session = incarnation.session.as_ref()?;
@@ -343,8 +351,8 @@
         ))
     }
 
-    /// Takes the worker's lists, as the answer to call `asked` of session `token`; returns whether
-    /// the planner should hear of it at once.
+    /// Applies the worker's lists, which answer the request numbered `asked` of session `token`, and
+    /// returns whether to report to the planner at once.
     pub fn lists(&mut self, asked: u64, token: u64, lists: WorkerLists) -> bool {
         let Some(incarnation) = self.in_session(token) else {
             return false;
@@ -352,12 +360,13 @@
         let other_incarnation = lists
             .born_ms
             .is_some_and(|b| b != incarnation.heartbeat.born_ms);
-        // Answers on two connections may overtake each other.
+        // Answers on different connections may overtake each other.
         if other_incarnation || asked < incarnation.lists_received {
             return false;
         }
-        // The planner can use a worker, and give up its predecessor at the same address, only after
-        // the first report, which would otherwise come with the next regular one, 1.2 s later.
+        // The planner can use a worker, and close the session of its predecessor at the same
+        // address, only after the first report. Without this the report would wait for the next
+        // regular one, 1.2 s later.
         let first = incarnation.lists_received == 0;
         incarnation.lists_received = asked;
         incarnation.unanswered_checks = 0;
@@ -386,12 +395,12 @@
         urgent
     }
 
-    /// Takes note that the worker does not answer, and whether since nobody listens there; returns
-    /// whether that is new.
+    /// Records that the worker didn't answer, `not_listening` if no process listens at its address.
+    /// Returns whether that changes the worker's state.
     ///
-    /// A worker that neither listens nor sends heartbeats has crashed: nothing of it runs, and its
-    /// tasks need not wait for its lease. One of the two alone is no proof. A worker that has said
-    /// when it leaves needs no silence beside that once the time has come.
+    /// A worker that neither listens nor sends heartbeats has crashed: none of its runs is left, so
+    /// their tasks need not wait for the lease to expire. Neither sign alone is proof, except that a
+    /// draining worker whose announced time has passed only has to stop listening.
     pub fn unreachable(&mut self, not_listening: bool, now: Instant) -> bool {
         let Some(incarnation) = &mut self.incarnation else {
             return false;
@@ -408,14 +417,14 @@
         new
     }
 
-    /// Returns whether nothing of a fenced session is left, so that a new one may begin.
+    /// Returns whether no run of the session is left, so that a new session may begin.
     pub fn is_closed(&self) -> bool {
         self.incarnation
             .as_ref()
             .is_some_and(Incarnation::is_closed)
     }
 
-    /// Forgets a worker that has left, once its last report is written.
+    /// Removes a worker that has left or crashed; to be called once its last report is stored.
     pub fn forget_departed(&mut self) {
         let over = |l: &Incarnation| (l.left || l.process_gone) && l.is_closed();
         if self.incarnation.as_ref().is_some_and(over) {
@@ -423,8 +432,8 @@
         }
     }
 
-    /// Returns runs that the worker lists though no order of this session stands for them and
-    /// that are to be stopped since the session is fenced.
+    /// Returns the stops of runs that the worker still lists although the session is fenced, for
+    /// example runs that no order of this session has started.
     pub fn stop_leftovers(&mut self) -> Vec<AgentAction> {
         let Some(incarnation) = &mut self.incarnation else {
             return Vec::new();
@@ -437,7 +446,7 @@
         }
     }
 
-    /// Returns whether anything runs or is about to.
+    /// Returns whether the worker has runs, unanswered starts or stops, or unconfirmed ends.
     pub fn is_busy(&self) -> bool {
         self.incarnation.as_ref().is_some_and(|l| {
             let pending = l.session.as_ref().is_some_and(|s| !s.pending.is_empty());
@@ -445,14 +454,15 @@
         })
     }
 
-    /// Returns whether the worker lists ends that are not confirmed.
+    /// Returns whether the worker lists ends that the planner has not confirmed.
     pub fn has_ends(&self) -> bool {
         self.incarnation
             .as_ref()
             .is_some_and(|l| !l.ends.is_empty())
     }
 
-    /// Returns the next report about the worker, and about workers that it has replaced.
+    /// Returns the next report about the worker, preceded by the final reports about workers that it
+    /// has replaced.
     pub fn reports(&mut self, unix_ms: u64) -> Vec<Report> {
         let mut reports = std::mem::take(&mut self.final_reports);
         reports.extend(self.incarnation.as_mut().and_then(Incarnation::report));
@@ -462,7 +472,7 @@
         reports
     }
 
-    /// Returns the session with this token, and the number of the newest call for the lists.
+    /// Returns the session with this token, and the number of the newest request for the lists.
     fn session_of(&mut self, token: u64) -> Option<(&mut Session, u64)> {
         let incarnation = self.in_session(token)?;
         Some((incarnation.session.as_mut()?, incarnation.lists_requested))
@@ -507,11 +517,11 @@
             token: session.number,
             ticket: start.ticket,
         };
-        let asked = Pending::StartSent {
+        let start_sent = Pending::StartSent {
             order: Box::new(order.clone()),
             may_have_started: false,
         };
-        session.pending.insert(start.run, asked);
+        session.pending.insert(start.run, start_sent);
         Some(AgentAction::Start(order))
     }
 
@@ -527,23 +537,23 @@
         let Some(session) = &self.session else {
             return Vec::new();
         };
-        // A stop takes the worker a while, in which its lists still have the run.
-        let told = |run: &&RunId| {
+        // The worker needs a while to stop a run and lists it until then.
+        let stop_sent = |run: &&RunId| {
             let pending = session.pending.get(*run);
             let stops = matches!(pending, Some(Pending::StopSent | Pending::Answered(_)));
             stops || session.stopped.contains(*run)
         };
         let listed = self.running.iter().map(|r| &r.run);
         let pending = session.pending.iter();
-        let asked = pending.filter(|(_, p)| matches!(p, Pending::StartSent { .. }));
+        let starting = pending.filter(|(_, p)| matches!(p, Pending::StartSent { .. }));
         let runs = listed
-            .chain(asked.map(|(run, _)| run))
-            .filter(|run| !told(run));
+            .chain(starting.map(|(run, _)| run))
+            .filter(|run| !stop_sent(run));
         let runs: Vec<RunId> = runs.cloned().collect();
         runs.into_iter().map(|run| self.stop(run)).collect()
     }
 
-    /// Returns whether the worker has said that it leaves, and its time is up.
+    /// Returns whether the worker is draining and the time that it announced has passed.
     fn is_departure_due(&self, now: Instant) -> bool {
         let remaining = self.heartbeat.remaining_ms.map(Duration::from_millis);
         let leaves = remaining.filter(|_| self.heartbeat.draining);
@@ -561,7 +571,7 @@
 
     fn report(&mut self) -> Option<Report> {
         let closed = self.is_closed();
-        // Before the first lists the report would deny runs that are there.
+        // Without the first lists the report would omit runs that the worker executes.
         if self.lists_received == 0 && !closed {
             return None;
         }
--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -1,9 +1,10 @@
-//! The workers as the planner knows them: from their agents' reports and its own orders.
+//! The planner's view of the workers, built from the reports of their agents and from its own
+//! orders.
 //!
-//! A run is over only by proof: its end is listed, its agent has carried out all orders and does
-//! not list it, a new life of the worker has begun, the agent has closed its session, or the last
-//! lease that its agent can have obtained has run out. Without one of these a task is never
-//! started again, since two runs of it could work at once.
+//! The planner considers a run over only with proof: the worker has listed its end, the agent has
+//! carried out all orders and doesn't list the run, a new incarnation of the worker has begun, the
+//! agent has closed its session, or the last lease that the agent can have obtained has expired.
+//! Without such proof a task is never started again, since two runs of it could execute at once.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,87 +14,88 @@
     workload::{Report, Resources, RunId},
 };
 
-/// A run that has gone on for so long shows that its worker does not fail all that it starts.
+/// A run that has been running for this long proves that its worker doesn't fail every start.
 const HEALTHY_RUN_TIME: Duration = Duration::from_secs(1);
 
-/// What the planner knows of one run on a worker.
+/// The planner's state of one run on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerRun {
-    /// What it takes up.
+    /// The resources that the run occupies.
     pub needs: Resources,
-    /// The offset of the order that starts it; none while that is being appended.
+    /// The offset of the order that starts the run; `None` while that order is being appended.
     pub order_offset: Option<u64>,
-    /// Since when that order is known to stand in the store; until then, when it was placed.
+    /// When the planner learned that the order is stored; before that, when the run was placed.
     pub stored_since: Timestamp,
-    /// Whether it has been listed as running, and since when the planner knows.
+    /// When the planner first saw the run listed as running.
     pub running_since: Option<Timestamp>,
-    /// Whether it has been told to stop.
+    /// Whether the planner has ordered the run to stop.
     pub stopping: bool,
-    /// Its newest checkpoint.
+    /// The newest checkpoint of the run.
     pub checkpoint: String,
-    /// When the checkpoint was first seen, or the run.
+    /// When the planner first saw that checkpoint, or the run itself if it has none.
     pub checkpointed_at: Timestamp,
-    /// When it was ordered, or taken over.
+    /// When this planner ordered the run or took it over.
     pub placed_at: Timestamp,
-    /// When it will be done at its pace, where that is known.
+    /// When the run is expected to finish at its current pace, if the pace is known.
     pub ends_at: Option<Timestamp>,
-    /// Milliseconds that all of its work takes at its pace, where that is known.
+    /// The milliseconds that the run's whole work takes at its current pace, if the pace is known.
     pub total_ms: Option<u64>,
-    /// Whether it does the whole task and was ordered by this planner, so that its time tells how
-    /// long the task takes.
+    /// Whether the run executes the whole task and was ordered by this planner. Only then does its
+    /// duration measure the duration of the task.
     pub is_full_run: bool,
 }
 
-/// How far the closing of a session is.
+/// The state of an agent's session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SessionState {
-    /// It is open.
+    /// The session accepts orders.
     Open,
-    /// The fence is to be ordered.
+    /// The planner has decided to fence the session, but the order is not yet stored.
     FenceOrdered,
-    /// The fence stands in the store since then: no later read of the agent can miss it.
+    /// The fence is stored since then, so every later read of the agent returns it.
     Fenced(Timestamp),
-    /// Nothing of the session runs any more.
+    /// No run of the session exists any more.
     Closed,
 }
 
-/// A worker.
+/// The planner's state of one worker.
 #[derive(Clone, Debug)]
 pub struct FleetWorker {
-    /// Its agent's newest report; none where only the plan names the worker.
+    /// The newest report of the agent; `None` if the worker is known only from the plan.
     pub report: Option<Report>,
-    /// The session that orders go to.
+    /// The session to which orders are addressed.
     pub session: u64,
-    /// When the report came.
+    /// When the newest report arrived.
     pub reported_at: Timestamp,
-    /// Whether a report has come since this planner took over.
+    /// Whether a report has arrived since this planner took over.
     pub has_reported: bool,
-    /// Since when its agent says that it does not answer.
+    /// Since when the agent reports that the worker doesn't answer.
     pub unreachable_since: Option<Timestamp>,
-    /// Until when it stays at the least, where it has said that it leaves.
+    /// The earliest time at which a draining worker leaves.
     pub leaves_at: Option<Timestamp>,
-    /// Whether the session is being closed.
+    /// The state of the agent's session.
     pub session_state: SessionState,
-    /// What runs there, or may.
+    /// The runs that the worker executes or may execute.
     pub runs: BTreeMap<RunId, WorkerRun>,
-    /// The number up to which ends stand in the plan.
+    /// The number up to which the ends of runs are recorded in the plan.
     pub confirmed: u64,
-    /// Starts that failed there one after the other.
+    /// The number of consecutive failed runs.
     pub failures: u32,
-    /// When the newest run was ordered that has come to its end there, or has gone on for a while.
+    /// When the newest run was ordered that has finished there or has been running for
+    /// `HEALTHY_RUN_TIME`.
     pub last_good_start: Option<Timestamp>,
-    /// Until when it is left alone for its failures.
+    /// The time before which the worker gets no tasks because of its failures.
     pub quarantined_until: Timestamp,
 }
 
 /// Why a run is over.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunOverReason {
-    /// The worker lists its end.
+    /// The worker lists the end of the run.
     Ended(End),
-    /// The worker refused to start it.
+    /// The worker or its agent refused to start the run.
     Refused(StartOutcome),
-    /// It is proved that it does not run and never will.
+    /// There is proof that the run doesn't execute and never will.
     Gone,
 }
 
@@ -102,27 +104,27 @@
 pub struct RunOver {
     /// The run.
     pub run: RunId,
-    /// The worker it was on.
+    /// The worker to which the run was assigned.
     pub worker: Name,
-    /// Why.
+    /// Why the run is over.
     pub why: RunOverReason,
-    /// The newest checkpoint known of it.
+    /// The newest known checkpoint of the run.
     pub checkpoint: String,
-    /// Since when it ran.
+    /// When the planner first saw the run listed as running.
     pub running_since: Option<Timestamp>,
-    /// When it was ordered, where its time tells how long the task takes.
+    /// When the run was ordered, if its duration measures the duration of the task.
     pub full_run_since: Option<Timestamp>,
 }
 
-/// All workers.
+/// All workers known to the planner.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     workers: BTreeMap<Name, FleetWorker>,
 }
 
 impl WorkerRun {
-    /// Returns a run whose order has no known place in the store yet: it is being appended, or an
-    /// earlier planner may have sent it, whose late orders are not shut out so far.
+    /// Returns a run whose order has no known offset yet: the order is being appended, or an
+    /// earlier planner may have sent it and could still have late orders appended.
     fn new(now: Timestamp, needs: Resources) -> Self {
         Self {
             needs,
@@ -141,7 +143,7 @@
 }
 
 impl FleetWorker {
-    /// Returns a worker of which only a run in the plan is known.
+    /// Returns a worker without a report, known only from a run in the plan.
     fn unknown(session: u64, now: Timestamp) -> Self {
         Self {
             report: None,
@@ -159,20 +161,21 @@
         }
     }
 
-    /// Returns whether tasks may be started there, as far as its agent is concerned.
+    /// Returns whether tasks may be started on the worker, judging by its agent's report and session.
     pub fn accepts_tasks(&self) -> bool {
         let report = self.report.as_ref();
-        let well =
+        let available =
             report.is_some_and(|r| !r.heartbeat.draining && !r.closed && !r.left && !r.unreachable);
-        well && self.has_reported && self.session_state == SessionState::Open
+        available && self.has_reported && self.session_state == SessionState::Open
     }
 
-    /// Returns the rack that it stands in, where it says so.
+    /// Returns the rack of the worker, if its heartbeat names one.
     pub fn rack(&self) -> Option<&Name> {
         self.report.as_ref()?.heartbeat.rack.as_ref()
     }
 
-    /// Returns since when an order to start stands that the agent has not read, by its newest report.
+    /// Returns when the oldest start order was stored that the agent had not read by its newest
+    /// report.
     pub fn unread_order_since(&self) -> Option<Timestamp> {
         let seen = self.report.as_ref()?.orders_seen;
         let unread = self.runs.values();
@@ -180,13 +183,13 @@
         unread.map(|run| run.stored_since).min()
     }
 
-    /// Returns what is taken up, by all that runs or may run there.
+    /// Returns the resources occupied by all runs that the worker executes or may execute.
     pub fn used(&self) -> Resources {
         let runs = self.runs.values();
         runs.fold(Resources::default(), |sum, run| sum.plus(&run.needs))
     }
 
-    /// Returns what becomes free by stops that are under way.
+    /// Returns the resources that become free when the ordered stops are complete.
     pub fn stopping(&self) -> Resources {
         let runs = self.runs.values().filter(|r| r.stopping);
         runs.fold(Resources::default(), |sum, run| sum.plus(&run.needs))
@@ -204,12 +207,12 @@
         self.workers.get(worker)
     }
 
-    /// Returns a worker for a change.
+    /// Returns a mutable reference to a worker.
     pub fn get_mut(&mut self, worker: &str) -> Option<&mut FleetWorker> {
         self.workers.get_mut(worker)
     }
 
-    /// Takes over a run that the plan says was ordered, before any report has been read.
+    /// Adds a run that the plan lists as ordered, before any report has been read.
     pub fn adopt(
         &mut self,
         now: Timestamp,
@@ -225,10 +228,10 @@
         known.runs.insert(run, adopted);
     }
 
-    /// Takes note that orders for `worker` before offset `end` are all that earlier planners sent.
+    /// Records that earlier planners have sent all their orders for `worker` before offset `end`.
     ///
-    /// A run that an earlier planner wrote into the plan may have been ordered up to there, or not
-    /// at all; an agent that has read so far and does not list it will never start it.
+    /// A run that an earlier planner wrote into the plan may have been ordered before that offset or
+    /// not at all. An agent that has read up to there and doesn't list the run will never start it.
     pub fn set_orders_end(&mut self, worker: &str, end: u64) {
         if let Some(known) = self.workers.get_mut(worker) {
             for run in known.runs.values_mut().filter(|r| r.order_offset.is_none()) {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Takes note that a run was ordered.
+    /// Adds a run that this planner orders.
     pub fn place(
         &mut self,
         now: Timestamp,
@@ -256,10 +259,10 @@
         }
     }
 
-    /// Takes an agent's report; returns the runs that are over by it, and runs that are there
-    /// though nobody ordered them in this session.
+    /// Applies an agent's report and returns the runs that it proves to be over.
     ///
-    /// `needs_of` tells what a run takes up that the plan does not have on this worker.
+    /// A listed run that isn't known on this worker is added with the resources that `needs_of`
+    /// returns for it.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -271,7 +274,7 @@
         let worker = worker.or_insert_with(|| FleetWorker::unknown(report.session, now));
         let known = worker.report.as_ref();
         let known = known.map_or((worker.session, 0), |r| (r.session, r.sequence));
-        // Late and repeated reports say what was, and must not bring back a run that is over.
+        // Late and repeated reports are outdated and must not bring back a run that is over.
         if (report.session, report.sequence) < known {
             return Vec::new();
         }
@@ -317,12 +320,13 @@
         over
     }
 
-    /// Closes the sessions of all workers at an address but the newest.
+    /// Closes the sessions of all workers at an address except the newest one.
     ///
-    /// After a host lost power a new worker comes at its address under another name. Without this
-    /// its predecessor would be waited for until its lease has run out, some 14 s with a lease of
-    /// 10 s, and every task that it ran would stand still for so long. A new planner reads the
-    /// reports in the order of the workers' names, so either may come first.
+    /// After a host has lost power, a new worker registers at the same address under another name.
+    /// Without this rule the planner would wait until the lease of the old worker has expired, about
+    /// 14 s with a lease of 10 s, and all tasks of that worker would be delayed by as much. A new
+    /// planner reads the reports in the order of the workers' names, so either of the two may come
+    /// first.
     fn close_replaced(&mut self, address: &Name) -> Vec<RunOver> {
         if address.is_empty() {
             return Vec::new();
@@ -347,8 +351,8 @@
         over
     }
 
-    /// Returns the runs of sessions whose fence stands for longer than `lease`, or that the plan
-    /// names on workers that never reported: their leases have run out.
+    /// Closes the sessions whose fence has been stored for at least `lease`, including those of
+    /// workers that never reported, and returns their runs: their leases have expired.
     pub fn expire(&mut self, now: Timestamp, lease: std::time::Duration) -> Vec<RunOver> {
         let mut over = Vec::new();
         for (name, worker) in &mut self.workers {
@@ -368,7 +372,8 @@
         over
     }
 
-    /// Drops workers that are gone and of which nothing is left.
+    /// Removes the workers whose session is closed, that have no runs left, and that have not
+    /// reported for longer than `after`. Returns their names.
     pub fn forget(&mut self, now: Timestamp, after: std::time::Duration) -> Vec<Name> {
         let gone = self.workers.iter().filter(|(_, w)| {
             w.session_state == SessionState::Closed
@@ -382,7 +387,7 @@
         gone
     }
 
-    /// Counts the tasks of a step on each worker.
+    /// Returns the number of runs of a step on each worker that has any.
     pub fn count_step(&self, job: &str, occurrence: u32, step: u32) -> HashMap<Name, u32> {
         let mut counts = HashMap::default();
         for (name, worker) in &self.workers {
@@ -399,15 +404,17 @@
 }
 
 impl FleetWorker {
-    /// Takes the stops that an earlier session was told for not ordered: a session obeys its own orders only,
-    /// and runs of the same life go on in the next one.
+    /// Marks all runs as not being stopped, since a new session has begun: an agent obeys only the
+    /// orders of its current session, and runs of the same incarnation continue in the next session.
     fn clear_stops(&mut self) {
         for run in self.runs.values_mut() {
             run.stopping = false;
         }
     }
 
-    /// Takes note of when the worker leaves, by its newest heartbeat. A report may repeat a heartbeat.
+    /// Updates the time at which the worker leaves from its newest heartbeat.
+    ///
+    /// A report that repeats a heartbeat doesn't postpone that time.
     fn update_departure(&mut self, now: Timestamp, report: &Report) {
         let heartbeat = &report.heartbeat;
         if !heartbeat.draining {
@@ -486,7 +493,7 @@
         }
     }
 
-    /// Takes out the runs that the agent no longer lists though it has carried out their orders.
+    /// Removes the runs that the agent doesn't list although it has carried out their orders.
     fn remove_unlisted(&mut self, name: &Name, report: &Report) -> Vec<RunOver> {
         let listed = |run: &RunId| {
             report.running.iter().any(|r| r.run == *run) || report.starting.contains(run)
