--- a/dragonflyrun/src/workload/job.rs
+++ b/dragonflyrun/src/workload/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Jobs as their callers request them.
 
 use std::{fmt, sync::Arc};
 
@@ -9,7 +9,7 @@
     workload::skip::{is_false, is_zero, is_zero_u64}, //
 };
 
-/// What a task takes up on a worker, or a worker has to give.
+/// The resources that a task occupies on a worker, or that a worker offers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resources {
     /// Thousandths of a processor core.
@@ -24,14 +24,14 @@
 }
 
 impl Resources {
-    /// Returns whether `needs` fit into `self`.
+    /// Returns whether `self` covers `needs`.
     pub const fn fits(&self, needs: &Self) -> bool {
         self.cpu_millis >= needs.cpu_millis
             && self.memory_mb >= needs.memory_mb
             && self.accelerators >= needs.accelerators
     }
 
-    /// Returns what is left of `self` without `needs`; nothing of a kind where it has less.
+    /// Returns `self` without `needs`, where each resource is at least 0.
     pub const fn minus(&self, needs: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(needs.cpu_millis),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns `self` and `more` together.
+    /// Returns the sum of `self` and `more`.
     pub const fn plus(&self, more: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis + more.cpu_millis,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns how many tasks with `needs` fit into `self`, up to `most`.
+    /// Returns how many tasks with `needs` fit into `self`, at most `max`.
     pub fn count(&self, needs: &Self, max: u32) -> u32 {
         let kinds = [
             (self.cpu_millis, needs.cpu_millis),
@@ -63,7 +63,7 @@
         u32::try_from(fits).unwrap_or(u32::MAX).min(max)
     }
 
-    /// Returns the share of `whole` that `self` takes up, of the kind of which it takes most.
+    /// Returns the largest share, among the kinds of resources, that `self` has of `whole`.
     pub fn share_of(&self, whole: &Self) -> f64 {
         let kinds = [
             (self.cpu_millis, whole.cpu_millis),
@@ -75,128 +75,130 @@
         shares.fold(0.0, f64::max)
     }
 
-    /// Returns core-seconds in a second of use, where an accelerator counts as so many cores.
+    /// Returns the processor cores and the accelerators as a number of cores.
     pub fn core_equivalents(&self) -> f64 {
-        /// Cores that one accelerator stands for: what the users' price list says.
+        /// The number of cores that one accelerator is worth, as in the users' price list.
         const CORES_PER_ACCELERATOR: f64 = 8.0;
         self.cpu_millis as f64 / 1_000.0 + self.accelerators as f64 * CORES_PER_ACCELERATOR
     }
 }
 
-/// A step of a job: tasks of one shape.
+/// A step of a job: a number of tasks with the same requirements.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// What each of them takes up.
+    /// The resources that each task occupies.
     #[serde(rename = "r")]
     pub needs: Resources,
-    /// The caller's guess of a task's run time in milliseconds, which may be far off.
+    /// The caller's estimate of a task's run time in milliseconds, which may be far off.
     #[serde(rename = "e", default)]
     pub estimate_ms: u64,
-    /// Earlier steps whose tasks have to be done first.
+    /// The earlier steps whose tasks must be done first.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u32>,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks form a gang, which works only while all of them run.
     #[serde(rename = "g", default, skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// Whether they work far slower on more than one rack.
+    /// Whether the tasks are far slower when they are spread over more than one rack.
     #[serde(rename = "t", default, skip_serializing_if = "is_false")]
     pub one_rack: bool,
     /// A label that the worker must have.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub label: Option<Name>,
-    /// The rack where the data is; elsewhere the tasks work far slower.
+    /// The rack that holds the data; the tasks are far slower elsewhere.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub rack: Option<Name>,
-    /// Tasks of the step on one worker, at the most; 0 for any number.
+    /// The maximum number of tasks of the step on one worker; 0 for no limit.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub per_worker: u32,
     /// Whether the tasks save checkpoints.
     #[serde(rename = "c", default, skip_serializing_if = "is_false")]
     pub checkpoints: bool,
-    /// Whether two runs of one task may be under way at once.
+    /// Whether two runs of one task may execute at once.
     #[serde(rename = "u", default, skip_serializing_if = "is_false")]
     pub copies_allowed: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub lasting: bool,
-    /// Milliseconds below which the response times of the tasks have to stay; 0 for tasks that serve
-    /// nobody while they run.
+    /// The limit in milliseconds for the response times of the tasks; 0 for tasks that serve no
+    /// requests while they run.
     #[serde(rename = "q", default, skip_serializing_if = "is_zero_u64")]
     pub response_ms: u64,
-    /// Whether the tasks take what processor time others leave over.
+    /// Whether the tasks use only the processor time that other tasks leave idle.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub leftovers: bool,
-    /// What the tasks run; those of one image behave alike.
+    /// The image that the tasks execute; tasks with the same image behave alike.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub image: Option<Name>,
 }
 
-/// The times of a timed job.
+/// The schedule of a timed job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Occurrences {
-    /// How many.
+    /// The number of occurrences.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Unix milliseconds at which the first is due.
+    /// The Unix time in milliseconds at which the first occurrence is due.
     #[serde(rename = "f")]
     pub first_ms: u64,
-    /// Milliseconds from one to the next.
+    /// The milliseconds between two consecutive occurrences.
     #[serde(rename = "e")]
     pub every_ms: u64,
 }
 
-/// A job as it was handed in.
+/// A job as its caller submitted it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobRequest {
-    /// What its tasks are given to work on.
+    /// The input of all tasks, opaque to the scheduler.
     #[serde(rename = "p")]
     pub payload: Arc<str>,
-    /// Its steps.
+    /// The steps of the job.
     #[serde(rename = "s")]
     pub steps: Vec<Step>,
-    /// Its times, for a timed job.
+    /// The schedule, if the job is a timed one.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub occurrences: Option<Occurrences>,
 }
 
-/// An accepted job, with what its queue said when it was accepted.
+/// An accepted job, with the settings that its queue had at that time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Job {
-    /// Its name, chosen by its caller.
+    /// The job's name, chosen by its caller.
     pub name: Name,
-    /// Its queue, by which callers' requests find it.
+    /// The job's queue, by which callers' requests find it.
     #[serde(rename = "q")]
     pub queue: Name,
-    /// The service whose workers run its tasks, unless the queue has moved since.
+    /// The service whose workers run the tasks, unless the queue has been assigned to another one
+    /// since.
     #[serde(rename = "v")]
     pub service: Name,
-    /// The workspace of the key it came with.
+    /// The workspace of the key with which the job was submitted.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<Name>,
-    /// 0 comes first.
+    /// The priority; 0 is the highest.
     #[serde(rename = "i")]
     pub priority: u32,
-    /// Runs of one task that may end as failed.
+    /// The number of failed runs of one task after which the job has failed.
     #[serde(rename = "x")]
     pub max_attempts: u32,
-    /// The objective is this many times the longest chain of work, and `target_ms` more.
+    /// The objective of the job is `stretch` times the duration of its critical path plus
+    /// `target_ms`.
     #[serde(rename = "h")]
     pub stretch: f64,
-    /// See `stretch`; in milliseconds.
+    /// The constant part of the objective in milliseconds; see `stretch`.
     #[serde(rename = "t")]
     pub target_ms: u64,
-    /// Unix milliseconds on the clock of the process that took it in.
+    /// When the job was accepted, in Unix milliseconds on the clock of the accepting process.
     #[serde(rename = "a")]
     pub accepted_ms: u64,
-    /// What was handed in.
+    /// The job as its caller submitted it.
     #[serde(rename = "r")]
     pub request: JobRequest,
 }
 
-/// Sums a job up for logs.
+/// Summarizes a job for logs.
 impl fmt::Display for Job {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "queue={} priority={}", self.queue, self.priority)?;
@@ -213,7 +215,8 @@
     }
 }
 
-/// Sums a step up for logs: tasks, what each takes up, and what it asks for beside that.
+/// Summarizes a step for logs: the number of tasks, the resources of each, and the step's other
+/// requirements.
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Resources {
@@ -252,35 +255,36 @@
 }
 
 impl JobRequest {
-    /// Returns the tasks of one occurrence.
+    /// Returns the number of tasks of one occurrence.
     pub fn tasks(&self) -> u32 {
         self.steps.iter().map(|s| s.tasks).sum()
     }
 
-    /// Returns how often the steps run.
+    /// Returns the number of occurrences, which is 1 unless the job is timed.
     pub fn repeats(&self) -> u32 {
         self.occurrences.map_or(1, |o| o.count)
     }
 
-    /// Returns whether the steps can be scheduled at all: they refer to earlier ones only, and
-    /// their number is within bounds.
+    /// Returns whether the job can be scheduled: its steps depend only on earlier ones, and the
+    /// numbers of tasks and of occurrences are within bounds.
     pub fn is_valid(&self) -> bool {
-        /// Tasks of one occurrence, at the most; a plan's record holds all of them.
+        /// Maximum number of tasks of one occurrence; the record of a plan holds all of them.
         const MAX_TASKS: u32 = 4_096;
-        /// Repetitions of a timed job, at the most.
+        /// Maximum number of occurrences of a timed job.
         const MAX_OCCURRENCES: u32 = 1_000;
-        let orders = self.steps.iter().enumerate();
-        let mut orders = orders.map(|(i, s)| s.after.iter().all(|a| (*a as usize) < i));
+        let steps = self.steps.iter().enumerate();
+        let mut order_valid = steps.map(|(i, s)| s.after.iter().all(|a| (*a as usize) < i));
         let tasks = self
             .steps
             .iter()
             .try_fold(0_u32, |n, s| n.checked_add(s.tasks));
-        orders.all(|valid| valid)
+        order_valid.all(|valid| valid)
             && tasks.is_some_and(|n| (1..=MAX_TASKS).contains(&n))
             && (1..=MAX_OCCURRENCES).contains(&self.repeats())
     }
 
-    /// Returns the milliseconds of the longest chain of steps, by what each is estimated to take.
+    /// Returns the duration of the critical path through the steps in milliseconds, where `estimate`
+    /// returns the duration of a step.
     pub fn critical_path_ms(&self, estimate: impl Fn(u32, &Step) -> u64) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (number, step) in (0_u32..).zip(&self.steps) {
--- a/dragonflyrun/src/workload/live.rs
+++ b/dragonflyrun/src/workload/live.rs
@@ -1,4 +1,4 @@
-//! A job in the planner's hands.
+//! The planner's state of one job that it plans.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,34 @@
     workload::{Job, JobPlan, Outcome, RunTimes, Step, TaskId, queues::Queues},
 };
 
-/// A job that is done later than so many times its objective is of no use to its caller.
+/// An occurrence that takes longer than this multiple of the time that its objective allows is of no
+/// use to its caller.
 const USEFUL_OBJECTIVES: u64 = 3;
 
-/// A job, its plan, and what the planner remembers of its runs beside that.
+/// A job, its stored plan, and the planner's volatile state about its runs.
 #[derive(Clone, Debug)]
 pub(super) struct LiveJob {
     pub(super) job: Box<Job>,
     pub(super) cancelled: bool,
     pub(super) plan: JobPlan,
-    /// Workers on which runs of it failed.
+    /// The workers on which runs of the job have failed.
     pub(super) failed_on: Vec<Name>,
-    /// When a run of it failed last.
+    /// When a run of the job last failed.
     pub(super) failed_at: Option<Timestamp>,
-    /// How often runs of it were evicted.
+    /// The number of evictions of the job's runs.
     pub(super) evictions: u32,
-    /// Tasks of which an overdue run was stopped: the next one is left alone, however long it takes.
+    /// The tasks of which an overdue run was stopped. Their next run isn't stopped, however long it
+    /// takes.
     pub(super) overdue_stopped: HashSet<TaskId>,
-    /// What the tasks take in milliseconds, by the progress of their runs and their numbers in the job.
+    /// The durations of tasks in milliseconds, derived from the progress of their runs and keyed by
+    /// task number.
     measured_ms: BTreeMap<u32, u64>,
-    /// The longest of these of each step, by the number of its first task.
+    /// The longest measured duration of each step, keyed by the number of its first task.
     longest_ms: HashMap<u32, u64>,
 }
 
 impl LiveJob {
-    /// Returns a job of which nothing has been planned yet.
+    /// Returns a job without any plan.
     pub(super) fn new(job: Box<Job>) -> Self {
         Self {
             job,
@@ -47,8 +50,8 @@
         }
     }
 
-    /// Returns the tasks of a step that may be started, by their places in it: none before all
-    /// steps that it waits for are done, and of a gang all or none.
+    /// Returns the indexes of a step's tasks that may be started. The result is empty until all steps
+    /// that the step depends on are done, and contains either all tasks of a gang or none.
     pub(super) fn startable_tasks(&self, occurrence: u32, step: u32) -> Vec<u32> {
         let Some(shape) = self.job.request.steps.get(step as usize) else {
             return Vec::new();
@@ -70,7 +73,8 @@
         waiting
     }
 
-    /// Returns whether the next run of a task, or of its gang, is the last that may fail.
+    /// Returns whether the next run of a task, or of its gang, is a retry whose failure fails the
+    /// job.
     pub(super) fn is_last_attempt(&self, occurrence: u32, step: u32, index: u32) -> bool {
         let gang = self
             .job
@@ -84,7 +88,7 @@
         failed > 0 && failed + 1 >= self.job.max_attempts
     }
 
-    /// Takes note of what a task takes, by the progress of a run.
+    /// Records the duration of a task, as derived from the progress of one of its runs.
     pub(super) fn record_task_ms(&mut self, task: &TaskId, total_ms: u64) {
         let Some(number) = self.job.task_number(task) else {
             return;
@@ -96,8 +100,8 @@
         self.longest_ms.insert(numbers.start, longest);
     }
 
-    /// Returns the milliseconds that tasks of a step take together: as runs of them have shown, or as
-    /// is expected of their queue.
+    /// Returns the milliseconds that the given tasks of a step take when they run in parallel: the
+    /// longest measured duration, or the estimate for their queue if none is measured.
     pub(super) fn estimate_ms(
         &self,
         times: &RunTimes,
@@ -113,7 +117,7 @@
         measured.max().copied().unwrap_or_else(expected)
     }
 
-    /// Returns the Unix milliseconds by which an occurrence should be done.
+    /// Returns the Unix time in milliseconds by which an occurrence should be done.
     pub(super) fn objective_ms(&self, times: &RunTimes, occurrence: u32) -> u64 {
         let job = &self.job;
         let estimate = |step: u32, shape: &Step| {
@@ -125,19 +129,20 @@
         self.waiting_since_ms(occurrence) + (job.stretch * critical_path_ms) as u64 + job.target_ms
     }
 
-    /// Returns the Unix milliseconds from which on an occurrence with this objective is of no use to its
-    /// caller.
+    /// Returns the Unix time in milliseconds after which an occurrence with this objective is of no
+    /// use to its caller.
     pub(super) fn useful_until_ms(&self, objective_ms: u64, occurrence: u32) -> u64 {
         let waiting_since_ms = self.waiting_since_ms(occurrence);
         waiting_since_ms + (objective_ms - waiting_since_ms) * USEFUL_OBJECTIVES
     }
 
-    /// Returns the Unix milliseconds from which an occurrence waits.
+    /// Returns the Unix time in milliseconds since which an occurrence has been waiting: when the job
+    /// was accepted or, if later, when the occurrence is due.
     pub(super) fn waiting_since_ms(&self, occurrence: u32) -> u64 {
         self.job.accepted_ms.max(self.job.due_ms(occurrence))
     }
 
-    /// Returns how the job has ended, where it has.
+    /// Returns the outcome of the job if all its tasks are done, it is cancelled, or it has failed.
     pub(super) fn outcome(&self) -> Option<Outcome> {
         if self.plan.is_all_done(&self.job) {
             return Some(Outcome::Completed);
@@ -146,20 +151,21 @@
             return Some(Outcome::Cancelled);
         }
         let tasks = self.plan.tasks.values();
-        let mut hopeless = tasks.filter(|t| !t.done && t.failed >= self.job.max_attempts.max(1));
+        let mut exhausted = tasks.filter(|t| !t.done && t.failed >= self.job.max_attempts.max(1));
         let lasting = self.job.request.steps.iter().any(|s| s.lasting);
-        (!lasting && hopeless.next().is_some()).then_some(Outcome::Failed)
+        (!lasting && exhausted.next().is_some()).then_some(Outcome::Failed)
     }
 }
 
-/// Returns the service whose workers run the job: that of its queue now, or of its queue when it
-/// was accepted where the queue is gone.
+/// Returns the service whose workers run the job: the current service of its queue or, if the queue
+/// no longer exists, the service that the queue had when the job was accepted.
 pub(super) fn service_of(job: &Job, queues: &Queues<'_>) -> Name {
     let queue = queues.get(&job.queue);
     queue.map_or_else(|| job.service.clone(), |q| q.service.clone())
 }
 
-/// Returns the urgent jobs that fit into what their workspaces are guaranteed, oldest first.
+/// Returns the urgent jobs that fit into the guarantees of their workspaces. Older jobs use up a
+/// guarantee first.
 pub(super) fn guaranteed_jobs(
     jobs: &BTreeMap<Name, LiveJob>,
     configuration: &Configuration,
--- a/dragonflyrun/src/workload/pace.rs
+++ b/dragonflyrun/src/workload/pace.rs
@@ -1,8 +1,8 @@
-//! How fast runs come on, by the time from one of their checkpoints to the next.
+//! The pace of runs, measured by the time between consecutive checkpoints.
 //!
-//! A run saves a checkpoint after each fixed span of work, so the time between two of them tells how
-//! fast its worker is, exactly and within seconds; the time of a whole task tells it only against
-//! other tasks and once it is over.
+//! A run saves a checkpoint after a fixed amount of work, so the time between two checkpoints
+//! measures the speed of its worker exactly and within seconds. The duration of a whole task does so
+//! only in comparison with other tasks, and only once the task is over.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,50 +14,55 @@
     workload::RunId, //
 };
 
-/// Runs that are over of which the pace is kept.
+/// Maximum number of ended runs whose pace is kept.
 const MAX_ENDED_PACES: usize = 4;
 
-/// Milliseconds for which a run has to be timed: before that the time between two looks makes it
-/// appear a third faster or slower than it is.
+/// Minimum time in milliseconds over which a pace is measured. Over a shorter time the interval
+/// between two readings makes a run appear up to a third faster or slower than it is.
 const MIN_TIMED_MS: u64 = 1_200;
 
-/// How fast a run has come on.
+/// The measured pace of a run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pace {
     /// The run.
     #[serde(rename = "r")]
     pub run: RunId,
-    /// Spans of work between two checkpoints that it has done.
+    /// The number of checkpoint intervals that the run has completed while it was timed.
     #[serde(rename = "n")]
     pub intervals: u32,
-    /// The milliseconds on the worker's clock that these took.
+    /// The time that these intervals took, in milliseconds on the worker's clock.
     #[serde(rename = "t")]
     pub took_ms: u64,
 }
 
-/// A run that is being timed.
+/// The timing of a run. All times are in milliseconds on the worker's clock.
 #[derive(Clone, Debug)]
 struct TimedRun {
+    /// The newest checkpoint of the run.
     checkpoint: String,
+    /// When the worker's lists were last read.
     read_ms: u64,
-    /// When the first new checkpoint was seen; what was there at the first look may be old.
+    /// When the first new checkpoint was seen. The checkpoint found by the first reading doesn't
+    /// count, since it may be old.
     first_ms: Option<u64>,
+    /// When the newest checkpoint was seen.
     last_ms: u64,
+    /// The number of new checkpoints since `first_ms`.
     intervals: u32,
 }
 
-/// The runs of a worker that save checkpoints, as its agent sees them.
+/// The paces of a worker's runs, as measured by its agent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PaceTable {
-    /// The span of work from one checkpoint to the next; zero where it is not known.
+    /// The amount of work between two checkpoints, as its duration at full speed; zero if unknown.
     interval: Duration,
     runs: HashMap<RunId, TimedRun>,
-    /// The paces of runs that are over, for a planner that takes over after their end.
+    /// The paces of ended runs, oldest first, for a planner that takes over after their end.
     ended: VecDeque<Pace>,
 }
 
 impl PaceTable {
-    /// Returns a table for runs that save a checkpoint after each `every` of work.
+    /// Returns a table for runs that save a checkpoint after each `interval` of work.
     pub(super) fn new(interval: Duration) -> Self {
         Self {
             interval,
@@ -66,19 +71,19 @@
         }
     }
 
-    /// Takes what the worker lists as running at `clock_ms` on its clock.
+    /// Applies the worker's list of running tasks, read at `clock_ms` on the worker's clock.
     pub(super) fn update(&mut self, clock_ms: u64, running: &[RunningTask]) {
         let interval_ms = u64::try_from(self.interval.as_millis()).unwrap_or(u64::MAX);
         if interval_ms == 0 {
             return;
         }
-        let is_over = |run: &RunId| !running.iter().any(|r| r.run == *run);
-        let over = self.runs.iter().filter(|(run, _)| is_over(run));
-        let over = over.filter_map(|(run, timed)| timed.pace(run));
-        self.ended.extend(over);
+        let has_ended = |run: &RunId| !running.iter().any(|r| r.run == *run);
+        let ended = self.runs.iter().filter(|(run, _)| has_ended(run));
+        let ended = ended.filter_map(|(run, timed)| timed.pace(run));
+        self.ended.extend(ended);
         let excess = self.ended.len().saturating_sub(MAX_ENDED_PACES);
         self.ended.drain(..excess);
-        self.runs.retain(|run, _| !is_over(run));
+        self.runs.retain(|run, _| !has_ended(run));
         for listed in running {
             let timed = self.runs.entry(listed.run.clone());
             let timed = timed.or_insert_with(|| TimedRun {
@@ -92,10 +97,10 @@
         }
     }
 
-    /// Returns how fast the runs have come on.
+    /// Returns the paces that have been measured, those of ended runs first.
     pub(super) fn all(&self) -> Vec<Pace> {
-        let under_way = self.runs.iter().filter_map(|(run, timed)| timed.pace(run));
-        self.ended.iter().cloned().chain(under_way).collect()
+        let running = self.runs.iter().filter_map(|(run, timed)| timed.pace(run));
+        self.ended.iter().cloned().chain(running).collect()
     }
 }
 
@@ -114,7 +119,8 @@
         let since_read_ms = clock_ms.saturating_sub(self.read_ms);
         self.read_ms = clock_ms;
         if since_read_ms >= interval_ms {
-            // More than one checkpoint may have come since, and been counted as one.
+            // The run may have saved several checkpoints since the last reading, which would be
+            // counted as one. Restart the measurement.
             self.first_ms = None;
             self.intervals = 0;
             checkpoint.clone_into(&mut self.checkpoint);
--- a/dragonflyrun/src/workload/plan.rs
+++ b/dragonflyrun/src/workload/plan.rs
@@ -1,4 +1,4 @@
-//! How far a job is: what the planner keeps of it in the store.
+//! The progress of a job, as the planner keeps it in the store.
 
 use std::collections::BTreeMap;
 
@@ -18,62 +18,63 @@
 pub enum Outcome {
     /// All tasks are done.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has failed `max_attempts` times.
     Failed,
-    /// A caller cancelled it.
+    /// A caller has cancelled the job.
     Cancelled,
 }
 
-/// Where a run of a task was ordered.
+/// The worker to which a run of a task is assigned.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Place {
     /// The worker.
     #[serde(rename = "w")]
     pub worker: Name,
-    /// The session of its agent.
+    /// The session of the worker's agent.
     #[serde(rename = "s")]
     pub session: u64,
 }
 
-/// How far one task is.
+/// The progress of one task.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskPlan {
-    /// The number of its newest run; 0 before the first.
+    /// The number of the newest run; 0 before the first one.
     #[serde(rename = "n", default)]
     pub run: u32,
-    /// Its runs that ended as failed; a gang's are counted at its first task.
+    /// The number of failed runs; the failures of a gang are counted at its first task.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// The last run that was counted in `failed`, since several members of a gang may report it.
+    /// The newest run counted in `failed`. It prevents counting a run twice when several members of a
+    /// gang report its failure.
     #[serde(rename = "l", default, skip_serializing_if = "is_zero")]
     pub failed_run: u32,
-    /// Whether it is done.
+    /// Whether the task is done.
     #[serde(rename = "d", default, skip_serializing_if = "is_false")]
     pub done: bool,
-    /// Where the next run goes on; empty for the beginning.
+    /// The checkpoint from which the next run continues; empty for the beginning.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
-    /// Where the newest run is; none where it is over.
+    /// The place of the newest run; `None` once that run is over.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Place>,
 }
 
-/// How far a job is.
+/// The progress of a job.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct JobPlan {
-    /// Rises with each change, so that an older record never replaces a newer one.
+    /// Increases with each change, so that an older record never replaces a newer one.
     #[serde(rename = "v")]
     pub revision: u64,
     /// Whether any task has been ordered.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub begun: bool,
-    /// How the job ended.
+    /// How the job ended, if it has.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
-    /// Unix milliseconds of its end on the planner's clock; 0 before.
+    /// When the job ended, in Unix milliseconds on the planner's clock; 0 before that.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero_u64")]
     pub ended_ms: u64,
-    /// The tasks of which anything is known, by their number in the job.
+    /// The tasks that have a plan, keyed by task number.
     #[serde(rename = "t", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tasks: BTreeMap<u32, TaskPlan>,
 }
@@ -101,12 +102,13 @@
         done == all as usize
     }
 
-    /// Returns whether a run of any task may still be under way.
+    /// Returns whether a run of any task may still be executing.
     pub fn has_runs(&self) -> bool {
         self.tasks.values().any(|t| t.place.is_some())
     }
 
-    /// Drops what an ended job needs no more: only runs that are still to be stopped are kept.
+    /// Ends the job and drops the tasks without a run. Only runs that still have to be stopped are
+    /// kept.
     pub fn end(&mut self, outcome: Outcome, now_ms: u64) {
         self.outcome = Some(outcome);
         self.ended_ms = now_ms;
@@ -115,7 +117,7 @@
 }
 
 impl Job {
-    /// Returns the numbers of the tasks of a step.
+    /// Returns the task numbers of a step. They are consecutive within the job.
     pub fn task_numbers(&self, occurrence: u32, step: u32) -> std::ops::Range<u32> {
         let before = self.request.steps.iter().take(step as usize);
         let before: u32 = before.map(|s| s.tasks).sum();
--- a/dragonflyrun/src/workload/planner_heartbeat.rs
+++ b/dragonflyrun/src/workload/planner_heartbeat.rs
@@ -1,22 +1,22 @@
-//! When a planner has to show that it lives.
+//! Decides when a planner has to append a heartbeat.
 //!
-//! Load pattern answered here: on a slow store each append to the jobs' partition takes half a second. A
-//! plan shows that its planner lives as well as a record made for that, which would only keep the
-//! next plan waiting. Whether the planner is stale is told by such a record only.
+//! On a slow store each append to the jobs' partition takes half a second. A stored plan proves as
+//! well as a heartbeat that its planner is alive, and a heartbeat beside it would only delay the next
+//! plan. Only a heartbeat reports whether the planner is stale, so a change of that is always due.
 
-/// What a planner has shown of late.
+/// What a planner has recently appended that proves that it is alive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlannerHeartbeat {
     /// Whether a plan is being appended.
     appending: bool,
-    /// Whether one was appended since the question was last asked.
+    /// Whether a plan was stored since `is_due` was last called.
     plan_stored: bool,
-    /// Whether the newest record says that the planner is stale.
+    /// Whether the newest heartbeat reports that the planner is stale.
     stale: bool,
 }
 
 impl PlannerHeartbeat {
-    /// Returns what has been shown by a term that was claimed as `stale` or not.
+    /// Returns the state after a claim of the term, which reported whether the planner is `stale`.
     pub fn claimed(stale: bool) -> Self {
         Self {
             stale,
@@ -24,24 +24,25 @@
         }
     }
 
-    /// Takes note that a plan is sent.
+    /// Records that a plan was sent to the store.
     pub fn plan_sent(&mut self) {
         self.appending = true;
     }
 
-    /// Takes note that the plan stands in the store.
+    /// Records that the plan is stored.
     pub fn plan_stored(&mut self) {
         self.appending = false;
         self.plan_stored = true;
     }
 
-    /// Returns whether a record is due of a planner that is `stale` or not; to be asked at intervals.
+    /// Returns whether a heartbeat is due, where `stale` is the planner's current state. To be called
+    /// at regular intervals.
     pub fn is_due(&mut self, stale: bool) -> bool {
         let plan_stored = std::mem::take(&mut self.plan_stored);
         stale != self.stale || (!self.appending && !plan_stored)
     }
 
-    /// Takes note of a record that says whether the planner is stale.
+    /// Records that a heartbeat was sent, which reports whether the planner is `stale`.
     pub fn record_sent(&mut self, stale: bool) {
         self.stale = stale;
     }
--- a/dragonflyrun/src/workload/progress.rs
+++ b/dragonflyrun/src/workload/progress.rs
@@ -1,8 +1,9 @@
-//! How far runs are, and when they will be done at the pace at which they come on.
+//! The progress of runs, and the remaining time that it predicts.
 //!
-//! Load pattern answered here: callers' guesses are off by a factor of two and more, and a queue's
-//! mean says little of one task. Whom to stop, what will be free soon and what a job that begins again
-//! needs follows from how long a run has left, which its own progress tells within a second.
+//! Callers' estimates are off by a factor of two or more, and the mean of a queue says little about
+//! a single task. The planner needs the remaining time of a run to choose runs to stop, to predict
+//! which resources become free soon, and to estimate what a restarted job needs. The run's own
+//! progress predicts it within a second of measuring.
 
 use std::collections::VecDeque;
 
@@ -17,41 +18,43 @@
     },
 };
 
-/// Looks that are remembered of a run: some four seconds, so that a worker that turns slow shows.
+/// Number of samples kept of a run. They cover about four seconds, so that the prediction follows a
+/// worker that becomes slow.
 const MAX_SAMPLES: usize = 10;
 
-/// Percent that a run has to come on before its pace is told: a look rounds them down.
+/// Minimum progress between two samples, in percent points, from which a pace is derived: the
+/// worker rounds the progress down to whole percents.
 const MIN_GAIN_PERCENT: u32 = 4;
 
-/// How far a run is done.
+/// The progress of a finished run, in percent.
 const DONE_PERCENT: u32 = 100;
 
-/// How a run comes on.
+/// The predicted times of a run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Progress {
-    /// Milliseconds that it has left at its pace; none where that is not known.
+    /// The remaining time in milliseconds at the current pace; `None` if the pace is unknown.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<u64>,
-    /// Milliseconds that all of its work takes at its pace; 0 where that is not known.
+    /// The time in milliseconds of the whole work at the current pace; 0 if the pace is unknown.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero_u64")]
     pub total_ms: u64,
 }
 
-/// A look at a run.
+/// The progress of a run at one time on the worker's clock.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     clock_ms: u64,
     percent: u32,
 }
 
-/// The progress of a worker's runs, as its agent sees it.
+/// The progress of a worker's runs, as sampled by its agent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProgressTable {
     runs: HashMap<RunId, VecDeque<Sample>>,
 }
 
 impl ProgressTable {
-    /// Takes what the worker lists as running at `clock_ms` on its clock.
+    /// Applies the worker's list of running tasks, read at `clock_ms` on the worker's clock.
     pub(super) fn update(&mut self, clock_ms: u64, running: &[RunningTask]) {
         self.runs
             .retain(|run, _| running.iter().any(|r| r.run == *run));
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Returns how the runs come on, in the order of `running`.
+    /// Returns the progress of each run in `running`, in the same order.
     pub(super) fn all(&self, running: &[RunningTask]) -> Vec<Progress> {
         let of_run = |listed: &RunningTask| self.runs.get(&listed.run).map(progress);
         let all = running.iter().map(|r| of_run(r).unwrap_or_default());
@@ -75,8 +78,10 @@
     }
 }
 
-/// Returns how a run comes on that was looked at so often. It does not come on while it waits for other
-/// members of its gang or is restored, so its pace counts from the look before it first moved.
+/// Predicts the times of a run from its samples.
+///
+/// A run makes no progress while it waits for other members of its gang or is being restored from a
+/// checkpoint, so its pace counts from the last sample before its progress first increased.
 fn progress(samples: &VecDeque<Sample>) -> Progress {
     let (Some(first), Some(last)) = (samples.front(), samples.back()) else {
         return Progress::default();
--- a/dragonflyrun/src/workload/term.rs
+++ b/dragonflyrun/src/workload/term.rs
@@ -1,13 +1,15 @@
-//! Which entry is planner: one at a time, by terms in the store.
+//! The election of the planner among the entries. There is one planner at a time, determined by terms
+//! in the store.
 //!
-//! A term is won by an append that the store does only where the partition still ends where the
-//! candidate has read to; its number is the fencing token of all later appends of the planner. So
-//! of two candidates one wins, and a planner that was replaced can append nothing any more,
-//! however late its calls arrive.
+//! A candidate claims a term with an append that the store executes only if the partition still ends
+//! at the offset up to which the candidate has read. The number of the term is the fencing token of
+//! all later appends of the planner. Of two candidates therefore only one wins, and a planner that
+//! was replaced can't append any more, however late its calls arrive.
 //!
-//! A planner that lives and can't prove the configuration starts nothing, and says so in its signs of life. It
-//! goes on noting ends, so it is replaced only by an entry that has such a proof; where nobody has one, the
-//! term stays with it (`docs/incidents/planner-without-configuration.md`).
+//! A planner that is alive but can't prove that its configuration is in force is stale: it starts no
+//! tasks, and its heartbeats say so. It continues to record the ends of runs, so only an entry that
+//! has such a proof replaces it. If no entry has one, the planner keeps its term
+//! (`docs/incidents/planner-without-configuration.md`).
 
 use std::time::Duration;
 
@@ -16,64 +18,68 @@
     workload::Term,
 };
 
-/// Silence after which a planner is replaced on a store that answers at once: three of its signs of life,
-/// and the pause with which other entries read them. A claim fails where another one has come meanwhile.
+/// Time without a heartbeat after which a planner is replaced if the store answers without delay:
+/// three heartbeats and the pause between two reads of another entry. A claim fails if another one
+/// was stored in the meantime.
 const MAX_SILENCE: Duration = Duration::from_millis(800);
 
-/// Silence that is allowed beside that, in delays of the store: on a slow store the planner's signs of
-/// life queue with everything else.
+/// Additional time without a heartbeat, as a multiple of the store's delay: on a slow store the
+/// planner's heartbeats queue behind all other appends.
 const SILENCE_STORE_DELAYS: u32 = 8;
 
-/// How long a planner has to be stale before another entry takes over: its next sign of life may already say
-/// that it no longer is.
+/// How long a planner has to be stale before another entry takes over. Its next heartbeat may
+/// already report that it no longer is.
 const STALE_GRACE: Duration = Duration::from_millis(250);
 
-/// How many times the silence that is allowed a candidate waits longer that can't prove the configuration:
-/// it would start nothing, and others may have the proof.
+/// Additional wait of a candidate that can't prove its configuration, as a multiple of the allowed
+/// silence. As planner it would start no tasks, and other entries may have the proof.
 const UNVERIFIED_EXTRA_SILENCES: u32 = 2;
 
-/// Names are spread over so many places, which tells candidates apart.
+/// Number of steps into which the stagger of candidates is divided; the hash of a candidate's name
+/// selects the step.
 const STAGGER_STEPS: u32 = 1 << 10;
 
-/// Numbers that terms of one rank are drawn from. Two candidates must not try with the same term:
-/// the store takes the second append for a repeat of the first and confirms it, and both would
-/// plan. The number stays below 2^53, which every codec carries.
+/// Number of term numbers per round, from which each process draws its own. Two candidates must not
+/// claim the same number: the store would take the second append for a repeat of the first and
+/// confirm it, and both would plan. Term numbers stay below 2^53, which every codec represents
+/// exactly.
 const NONCES: u64 = 1 << 20;
 
-/// What an entry is to do about the planner's term.
+/// What an entry has to do in the election.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TermStep {
-    /// Nothing.
+    /// Do nothing.
     Wait,
-    /// Try to become planner, with this term.
+    /// Try to become planner by claiming this term.
     Claim(Term),
 }
 
-/// What a candidate knows of itself.
+/// The conditions under which a candidate would plan.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// How long the store takes to answer it.
+    /// The usual time that the store takes to answer this entry.
     pub store_delay: Duration,
-    /// Whether it can prove the configuration, so that it would start tasks.
+    /// Whether the entry can prove that its configuration is in force, so that it would start tasks.
     pub has_fresh_configuration: bool,
 }
 
-/// An entry's view of the planner.
+/// An entry's view of the planner and of the election.
 #[derive(Clone, Debug)]
 pub struct Election {
     entry: Name,
     nonce: u64,
     term: Term,
     seen: Timestamp,
-    /// Since when the planner says that it is stale.
+    /// Since when the planner has been reporting that it is stale.
     stale_since: Option<Timestamp>,
-    /// Claims that the store refused since the newest term, as lower than one that it has seen.
+    /// The number of claims since the newest term that the store refused because it had seen a higher
+    /// number.
     refused: u64,
 }
 
 impl Election {
-    /// Returns the view of an entry that has seen no planner yet. `nonce` is drawn at random at
-    /// each start of a process.
+    /// Returns the view of an entry that has seen no planner yet. `nonce` is a random number drawn at
+    /// the start of the process.
     pub fn new(entry: Name, nonce: u64, now: Timestamp) -> Self {
         Self {
             entry,
@@ -85,7 +91,7 @@
         }
     }
 
-    /// Takes note of a sign of life.
+    /// Applies a heartbeat of a planner. Those of earlier terms are ignored.
     pub fn saw_heartbeat(&mut self, now: Timestamp, term: &Term) {
         if term.number >= self.term.number {
             let since = self.stale_since.filter(|_| term.number == self.term.number);
@@ -96,15 +102,15 @@
         }
     }
 
-    /// Takes note of a plan that the planner has written: it is alive.
+    /// Records that the planner has stored a plan, which proves that it is alive.
     pub fn saw_plan(&mut self, now: Timestamp) {
         if !self.term.resigned {
             self.seen = now;
         }
     }
 
-    /// Takes note that the store could not be read until now: silence counts from here, and the planner may
-    /// no longer be stale.
+    /// Records that the store could not be read until now. The planner's silence counts from here, and
+    /// so does the time for which it has been stale, since it may no longer be.
     pub fn store_regained(&mut self, now: Timestamp) {
         self.seen = now;
         self.stale_since = self.stale_since.map(|_| now);
@@ -115,16 +121,17 @@
         &self.term
     }
 
-    /// Returns when the newest sign of life of a planner was seen.
+    /// Returns when the planner last proved that it is alive.
     pub fn seen(&self) -> Timestamp {
         self.seen
     }
 
-    /// Takes note that the store refused a claim since it has seen a higher one.
+    /// Records that the store refused a claim because it has seen a higher number. The next claim
+    /// skips a round of numbers.
     ///
-    /// The store remembers the number of a claim also where it did not do it, since the partition had
-    /// moved on. Where that candidate then died, all others drew lower numbers for the same term over
-    /// and over, and nobody planned any more.
+    /// The store remembers the number of a claim even if it doesn't execute it because the partition
+    /// has grown. If that candidate then crashed, all other candidates would claim lower numbers of
+    /// the same round again and again, and there would be no planner any more.
     pub fn claim_refused(&mut self) {
         self.refused += 1;
     }
@@ -159,18 +166,20 @@
         })
     }
 
-    /// Returns whether nobody plans.
+    /// Returns whether there is certainly no planner.
     ///
-    /// Whoever asks does not plan, so a term in its own name is one that an earlier process of it held.
-    /// After a loss of power of all hosts nobody else would notice before its silence is over.
+    /// Only entries that don't plan ask this, so a term under the entry's own name was held by an
+    /// earlier process of that entry. After a power loss of all hosts, without this rule no entry
+    /// would claim a term until the allowed silence is over.
     fn has_no_planner(&self) -> bool {
         let own = self.term.entry == self.entry;
         own || self.term.resigned || self.term.number == 0
     }
 
-    /// Returns the place of this entry among the candidates for the next term, from 0 to 1. Its square
-    /// spreads them so that the first few of many stand one after the other, and that of three the first
-    /// still stands soon.
+    /// Returns the stagger of this entry among the candidates for the next term, from 0 to 1.
+    ///
+    /// Its square spreads the waits so that the first few of many candidates claim one after the
+    /// other, while the first of only three candidates still claims soon.
     fn stagger_fraction(&self) -> f64 {
         let step =
             spread(&format!("{}/{}", self.entry, self.term.number)) % u64::from(STAGGER_STEPS);
