--- a/dragonflyrun/src/workload/job_table.rs
+++ b/dragonflyrun/src/workload/job_table.rs
@@ -1,4 +1,4 @@
-//! All jobs, folded from the jobs' topic, as every entry knows them.
+//! The table of all jobs, which every entry folds from the records of the jobs' topic.
 
 use crate::{
     port::JobState,
@@ -6,23 +6,23 @@
     workload::{Job, JobPlan, JobRecord, Outcome, Term},
 };
 
-/// A job in the book.
+/// The state of one job in the table.
 #[derive(Clone, Debug, Default)]
 pub struct KnownJob {
-    /// The job; none where only a later record of it has come yet.
+    /// The job; `None` if only later records of it have been read so far.
     pub job: Option<Box<Job>>,
-    /// Whether a caller has cancelled it.
+    /// Whether a caller has cancelled the job.
     pub cancelled: bool,
-    /// How far it is.
+    /// The progress of the job.
     pub plan: JobPlan,
 }
 
-/// What a caller's question about a job finds.
+/// The result of looking up a job for a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobLookup {
-    /// No such job.
+    /// The table has no such job.
     Unknown,
-    /// The job's state.
+    /// The job exists and has this state.
     Known(JobState),
 }
 
@@ -34,27 +34,27 @@
 }
 
 impl JobTable {
-    /// Folds a record; returns whether it changed anything. Any order and any repeat of the same
-    /// records gives the same book.
+    /// Folds a record into the table and returns whether it changed anything. The result depends
+    /// neither on the order of the records nor on repeats.
     pub fn fold(&mut self, record: JobRecord) -> bool {
         match record {
             JobRecord::Accepted(job) => {
-                let entry = self.jobs.entry(job.name.clone()).or_default();
-                let new = entry.job.is_none();
+                let known = self.jobs.entry(job.name.clone()).or_default();
+                let new = known.job.is_none();
                 if new {
-                    entry.job = Some(job);
+                    known.job = Some(job);
                 }
                 new
             }
             JobRecord::Cancelled(name) => {
-                let entry = self.jobs.entry(name).or_default();
-                !std::mem::replace(&mut entry.cancelled, true)
+                let known = self.jobs.entry(name).or_default();
+                !std::mem::replace(&mut known.cancelled, true)
             }
             JobRecord::Plan(name, Some(plan)) => {
-                let entry = self.jobs.entry(name).or_default();
-                let newer = plan.revision > entry.plan.revision;
+                let known = self.jobs.entry(name).or_default();
+                let newer = plan.revision > known.plan.revision;
                 if newer {
-                    entry.plan = *plan;
+                    known.plan = *plan;
                 }
                 newer
             }
@@ -79,28 +79,28 @@
         self.jobs.iter()
     }
 
-    /// Returns a job's entry.
+    /// Returns the state of a job.
     pub fn get(&self, name: &str) -> Option<&KnownJob> {
         self.jobs.get(name)
     }
 
-    /// Returns a job's state as callers see it.
+    /// Returns the state of a job as shown to callers.
     pub fn look_up(&self, name: &str) -> JobLookup {
-        let entry = self.jobs.get(name).filter(|e| e.job.is_some());
-        let Some(entry) = entry else {
+        let known = self.jobs.get(name).filter(|k| k.job.is_some());
+        let Some(known) = known else {
             return JobLookup::Unknown;
         };
-        JobLookup::Known(match entry.plan.outcome {
+        JobLookup::Known(match known.plan.outcome {
             Some(Outcome::Completed) => JobState::Completed,
             Some(Outcome::Failed) => JobState::Failed,
             Some(Outcome::Cancelled) => JobState::Cancelled,
-            None if entry.cancelled => JobState::Cancelled,
-            None if entry.plan.begun => JobState::Running,
+            None if known.cancelled => JobState::Cancelled,
+            None if known.plan.begun => JobState::Running,
             None => JobState::Queued,
         })
     }
 
-    /// Returns the number of a queue's jobs of which nothing has started.
+    /// Returns the number of a queue's jobs that wait and have no started task.
     pub fn pending(&self, queue: &str) -> usize {
         let waiting = self.jobs.values().filter(|e| {
             let here = e.job.as_ref().is_some_and(|j| &*j.queue == queue);
--- a/dragonflyrun/src/workload/message.rs
+++ b/dragonflyrun/src/workload/message.rs
@@ -1,4 +1,4 @@
-//! What the planner tells agents and agents tell the planner, over the store.
+//! The messages that the planner and the agents exchange through the store.
 
 use std::sync::Arc;
 
@@ -16,26 +16,26 @@
     },
 };
 
-/// A run that an agent is to start.
+/// A run that an agent has to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskStart {
-    /// Which run of which task.
+    /// The run.
     pub run: RunId,
-    /// What the caller handed in.
+    /// The input that the caller submitted.
     pub payload: Arc<str>,
-    /// Where the task goes on; empty for the beginning.
+    /// The checkpoint from which the task continues; empty for the beginning.
     pub checkpoint: String,
-    /// Proof for the queue's policy that the worker may run the step.
+    /// The ticket of the queue's policy, which proves that the worker may run the step.
     pub ticket: Option<String>,
 }
 
-/// An order to one agent.
+/// The planner's order to one agent.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Order {
-    /// Runs to stop.
+    /// The runs to stop.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub stops: Vec<RunId>,
-    /// Runs to start.
+    /// The runs to start.
     #[serde(
         rename = "s",
         default,
@@ -43,27 +43,28 @@
         with = "packed_starts"
     )]
     pub starts: Vec<TaskStart>,
-    /// Ends up to this number stand in the plan and may be confirmed to the worker.
+    /// The number up to which ends are recorded in the plan and may be confirmed to the worker.
     #[serde(rename = "n", default, skip_serializing_if = "is_zero_u64")]
     pub confirmed: u64,
-    /// Whether the agent must stop all, extend no lease any more and begin a new session: its
-    /// tasks may be started elsewhere.
+    /// Whether the session is fenced: the agent must stop all runs, must not extend the lease any more
+    /// and has to begin a new session, since the tasks may be started elsewhere.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub fence: bool,
 }
 
 impl Order {
-    /// Returns whether there is nothing to do.
+    /// Returns whether the order requires nothing.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A record of an orders' partition, which several agents may share.
+/// A record of an orders partition, which several agents may share.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum OrderMessage {
-    /// An agent begins a session. Its offset is the session's number: it rises over all processes
-    /// and lives, so it is the fencing token of the agent's calls to its worker too.
+    /// An agent begins a session. The offset of the record is the number of the session. It increases
+    /// across all processes and incarnations, so it also serves as the fencing token of the agent's
+    /// calls to its worker.
     Session {
         /// The worker.
         worker: Name,
@@ -79,49 +80,53 @@
     },
 }
 
-/// What an agent says of its worker: everything, each time, so that the newest report is enough.
+/// An agent's report about its worker. Each report holds the complete state, so that reading the
+/// newest one is enough.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// The worker's newest heartbeat.
+    /// The newest heartbeat of the worker.
     #[serde(rename = "h")]
     pub heartbeat: Heartbeat,
     /// The number of the agent's session.
     #[serde(rename = "s")]
     pub session: u64,
-    /// Rises with each report of a session.
+    /// The number of the report, which increases with each report of a session.
     #[serde(rename = "q")]
     pub sequence: u64,
-    /// Unix milliseconds on the agent's host; only a hint of the report's age, since clocks may jump.
+    /// When the report was sent, in Unix milliseconds on the agent's host. It only hints at the age of
+    /// the report, since clocks may jump.
     #[serde(rename = "a", default)]
     pub sent_ms: u64,
-    /// All orders before this offset are carried out, or stand in `starting`.
+    /// The offset before which all orders are carried out, except for the runs in `starting`.
     #[serde(rename = "o")]
     pub orders_seen: u64,
-    /// Runs whose start has had no answer yet.
+    /// The runs with a start or stop that the worker hasn't answered or whose result its lists don't
+    /// reflect yet.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub starting: Vec<RunId>,
-    /// Starts that the worker refused, or the agent, and why.
+    /// The starts that the worker or the agent refused, each with the reason.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<(RunId, StartOutcome)>,
-    /// What runs.
+    /// The running tasks.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<RunningTask>,
-    /// How it comes on, in the same order; shorter where the agent does not say so.
+    /// The progress of the running tasks, in the same order; shorter or empty if the agent doesn't
+    /// report it.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub progress: Vec<Progress>,
-    /// How fast runs that save checkpoints have come on.
+    /// The paces of runs that save checkpoints.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<Pace>,
-    /// Ends that have not been confirmed.
+    /// The ends that the planner hasn't confirmed.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ends: Vec<End>,
-    /// Whether the session has ended by a fence, and nothing of it runs any more.
+    /// Whether the session is over and no run of it is left: it was fenced, or the worker has ended.
     #[serde(rename = "z", default, skip_serializing_if = "is_false")]
     pub closed: bool,
-    /// Whether the worker has said that it ends now.
+    /// Whether the worker has announced that it is ending.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub left: bool,
-    /// Whether the worker answers its agent.
+    /// Whether the worker doesn't answer its agent.
     #[serde(rename = "u", default, skip_serializing_if = "is_false")]
     pub unreachable: bool,
 }
--- a/dragonflyrun/src/workload/mod.rs
+++ b/dragonflyrun/src/workload/mod.rs
@@ -1,9 +1,10 @@
-//! Jobs of steps and tasks: what they ask for, how far they are, and where their tasks run.
+//! Jobs with their steps and tasks: their requirements, their progress and the placement of their
+//! tasks on workers.
 //!
-//! Everything here is a table that takes the time and an event and returns typed decisions. No
-//! table holds a socket, a thread or a clock. State points to nothing that decides on it: the
-//! modules read from `job` over `plan` and `fleet` to `schedule` and `planner`.
-//! `docs/SYSTEM.md` tells the design.
+//! Each module is a table that takes the time and an event and returns typed decisions. No table
+//! holds a socket, a thread or a clock. State doesn't refer to the code that decides on it, so the
+//! modules are best read in the order `job`, `plan`, `fleet`, `schedule`, `planner`.
+//! `docs/SYSTEM.md` describes the design.
 
 mod agent_table;
 mod demands;
--- a/dragonflyrun/src/workload/progress.rs
+++ b/dragonflyrun/src/workload/progress.rs
@@ -3,7 +3,7 @@
 //! Callers' estimates are off by a factor of two or more, and the mean of a queue says little about
 //! a single task. The planner needs the remaining time of a run to choose runs to stop, to predict
 //! which resources become free soon, and to estimate what a restarted job needs. The run's own
-//! progress predicts it within a second of measuring.
+//! progress tells it within a second.
 
 use std::collections::VecDeque;
 
--- a/dragonflyrun/src/workload/record.rs
+++ b/dragonflyrun/src/workload/record.rs
@@ -1,8 +1,8 @@
-//! Records of the jobs' topic, and their encoding.
+//! The records of the jobs' topic and their encoding.
 //!
-//! Every record has a key of its own kind, so that the store keeps the newest of each: a late
-//! duplicate of a hand-in can't undo the cancelling of its job. Folding is monotone; any order of
-//! arrival and any repeat gives the same state.
+//! Each kind of record has its own keys, and the store keeps the newest record of each key. A late
+//! duplicate of a submission therefore can't undo the cancellation of its job. Folding is monotone:
+//! the state depends neither on the order of the records nor on repeats.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -12,30 +12,32 @@
     workload::{Job, JobPlan},
 };
 
-/// The key of the planner's own record.
+/// The key of the record that holds the planner's term.
 const PLANNER_KEY: &str = "planner";
 
 const JOB_PREFIX: &str = "j/";
 
-/// Bytes that a key of the store holds at the most.
+/// Maximum length of a key in the store, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Bytes of a job's name at the most: its records are kept under keys that have it behind a prefix.
+/// Maximum length of a job's name, in bytes: the keys of its records consist of a prefix and the name.
 pub const MAX_JOB_NAME_BYTES: usize = MAX_KEY_BYTES - JOB_PREFIX.len();
 const CANCEL_PREFIX: &str = "c/";
 const PLAN_PREFIX: &str = "p/";
 
-/// Which entry is planner.
+/// The term of a planner, stored as its claim and heartbeats.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Term {
-    /// Rises by one with each change; the fencing token of the planner's appends.
+    /// The number of the term, which is the fencing token of the planner's appends. It increases with
+    /// each change of the planner.
     pub number: u64,
-    /// The entry.
+    /// The entry that is planner in this term.
     pub entry: Name,
-    /// Whether it has stepped down, so that another may follow at once.
+    /// Whether the planner has resigned, so that another entry may take over at once.
     #[serde(default)]
     pub resigned: bool,
-    /// Whether it starts nothing since it can't prove the configuration: an entry that can may take over.
+    /// Whether the planner starts no tasks because it can't prove that its configuration is in force.
+    /// An entry that can prove it may take over.
     #[serde(default)]
     pub stale: bool,
 }
@@ -47,14 +49,14 @@
     Accepted(Box<Job>),
     /// A job was cancelled.
     Cancelled(Name),
-    /// How far a job is; none where it may be forgotten, which drops all its keys.
+    /// The progress of a job; `None` deletes the job with all its keys.
     Plan(Name, Option<Box<JobPlan>>),
-    /// Who is planner.
+    /// The planner's term: a claim, a heartbeat or a resignation.
     Planner(Term),
 }
 
 impl JobRecord {
-    /// Decodes a record; `None` where it can't be read or is not one of these.
+    /// Decodes a record; returns `None` if it is malformed or of another kind.
     pub fn decode(record: &StoreRecord) -> Option<Self> {
         let value = record.value.as_deref();
         if &*record.key == PLANNER_KEY {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Returns the records that let the store forget a job altogether.
+    /// Returns the records that delete a job from the store.
     pub fn tombstones(name: &Name) -> [StoreRecord; 3] {
         [JOB_PREFIX, CANCEL_PREFIX, PLAN_PREFIX].map(|prefix| StoreRecord {
             key: format!("{prefix}{name}").into(),
@@ -108,13 +110,13 @@
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut buf = Vec::new();
     if let Err(error) = ciborium::into_writer(value, &mut buf) {
-        // Writing into memory can't fail, and none of the types has a serializer that does.
+        // Writing to memory can't fail, and no serializer of the encoded types returns an error.
         log::error!(error:% = error; "encoding_failed");
     }
     buf
 }
 
-/// Decodes a value from CBOR; `None` where it can't be read.
+/// Decodes a value from CBOR; returns `None` if it is malformed.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     ciborium::from_reader(bytes).ok()
 }
--- a/dragonflyrun/src/workload/store_reachability.rs
+++ b/dragonflyrun/src/workload/store_reachability.rs
@@ -1,43 +1,45 @@
-//! Whether the store is away, as far as an entry can tell.
+//! Whether the store is reachable, as far as an entry can tell.
 //!
-//! Load pattern answered here: the store is down, or turns this host away while it serves others. A caller
-//! whose record is sent then may never hear what became of it, and cannot hand its job in again
-//! elsewhere; refused before anything is sent, it has all its time left for another entry.
+//! The store may be down, or may refuse this host while it serves others. If the entry sent a caller's
+//! record then, the caller might never learn the outcome and could not submit its job elsewhere. A
+//! caller that is refused before anything is sent has its whole time left for another entry.
 
 use std::time::{Duration, Instant};
 
-/// Silence that is bridged while reads fail: a store that refuses for a moment is not away.
+/// Time without an answer, while reads fail, up to which the store still counts as reachable: a short
+/// refusal isn't an outage.
 const MAX_FAILING_SILENCE: Duration = Duration::from_millis(300);
 
-/// Age up to which an answer shows that the store can be reached now.
+/// Maximum age of an answer that proves that the store is reachable now.
 const RECENT_ANSWER_AGE: Duration = Duration::from_millis(100);
 
-/// Silence of the store after which it is away though no read has failed: the longest wait for news,
-/// and time for an answer on another connection.
+/// Time without an answer after which the store counts as unreachable although no read has failed:
+/// the longest wait of a read for new records, and the time for an answer on another connection.
 const MAX_SILENCE: Duration = Duration::from_millis(1_300);
 
-/// When callers come back after a refusal at the earliest: the time in which a short outage ends.
+/// Minimum time after which refused callers retry: a short outage ends within it.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When they come back at the latest: only this host may be cut off, and others would serve them.
+/// Maximum time after which refused callers retry: possibly only this host is cut off, and other
+/// entries would serve them.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// How many of its usual delays the store may be silent beside that.
+/// Time added to `MAX_SILENCE`, as a multiple of the store's usual delay.
 const SILENCE_STORE_DELAYS: u32 = 4;
 
-/// What an entry has heard of the store.
+/// The recent results of an entry's calls to the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreReachability {
     /// When a call was last answered.
     answered: Option<Instant>,
-    /// Whether a read has failed since.
+    /// Whether a read has failed since then.
     failing: bool,
-    /// Whether an append has run out of time since, and no read was answered for as long.
+    /// Whether since then an append has timed out while no call was answered for the same time.
     suspect: bool,
 }
 
 impl StoreReachability {
-    /// Takes note of an answer.
+    /// Records that a call was answered.
     pub fn answered(&mut self, now: Instant) {
         *self = Self {
             answered: Some(now),
@@ -46,18 +48,18 @@
         };
     }
 
-    /// Takes note of a read without an answer, or that was refused.
+    /// Records that a read had no answer or was refused.
     pub fn read_failed(&mut self) {
         self.failing = true;
     }
 
-    /// Takes note of an append that had no answer for `within`.
+    /// Records that an append had no answer within the time `within`.
     pub fn append_unanswered(&mut self, now: Instant, within: Duration) {
         self.suspect |= self.silence(now) >= within;
     }
 
-    /// Returns whether a record that is sent now would most likely be in doubt or refused, where the
-    /// store usually takes `delay` for an answer.
+    /// Returns whether a record sent now would most likely be refused or have an unknown outcome.
+    /// `delay` is the time that the store usually takes to answer.
     pub fn is_unreachable(&self, now: Instant, delay: Duration) -> bool {
         let silence = self.silence(now);
         let refused = self.failing && silence > MAX_FAILING_SILENCE;
@@ -65,13 +67,15 @@
         self.suspect || refused || silent
     }
 
-    /// Returns when a caller that is refused should come back: an outage is expected to last as long again
-    /// as it has lasted. Callers try a few times only, and must not use up their tries while it lasts.
+    /// Returns the time after which a refused caller should retry. An outage is expected to continue
+    /// for as long as it has lasted. Callers retry only a few times and must not use up their attempts
+    /// during the outage.
     pub fn retry_after(&self, now: Instant) -> Duration {
         self.silence(now).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Returns whether the store has answered a moment ago.
+    /// Returns whether the store has answered so recently that it counts as reachable. `delay` is the
+    /// time that the store usually takes to answer.
     pub fn is_recent(&self, now: Instant, delay: Duration) -> bool {
         self.silence(now) < RECENT_ANSWER_AGE + delay
     }
--- a/dragonflyrun/src/workload/task.rs
+++ b/dragonflyrun/src/workload/task.rs
@@ -1,4 +1,4 @@
-//! Names of tasks and of their runs.
+//! Identifiers of tasks and of their runs.
 
 use std::fmt;
 
@@ -6,24 +6,25 @@
 
 use crate::utils::Name;
 
-/// A task of a job.
+/// Identifies a task of a job.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskId {
     /// The job's name, chosen by its caller.
     #[serde(rename = "j")]
     pub job: Name,
-    /// Which repetition of a timed job, from 0 on; 0 for other jobs.
+    /// The occurrence of a timed job, counted from 0; 0 for other jobs.
     #[serde(rename = "k")]
     pub occurrence: u32,
-    /// The step, from 0 on.
+    /// The index of the step in the job.
     #[serde(rename = "s")]
     pub step: u32,
-    /// The task in the step, from 0 on.
+    /// The index of the task in the step.
     #[serde(rename = "i")]
     pub index: u32,
 }
 
-/// A run of a task. A task's runs are numbered from 1 on, and the members of a gang share a number.
+/// Identifies a run of a task. The runs of a task are numbered from 1, and all members of a gang run
+/// under the same number.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RunId {
     /// The task.
--- a/dragonflyrun/src/workload/term.rs
+++ b/dragonflyrun/src/workload/term.rs
@@ -35,8 +35,8 @@
 /// silence. As planner it would start no tasks, and other entries may have the proof.
 const UNVERIFIED_EXTRA_SILENCES: u32 = 2;
 
-/// Number of steps into which the stagger of candidates is divided; the hash of a candidate's name
-/// selects the step.
+/// Number of steps of the stagger between candidates; the hash of a candidate's name and of the term
+/// selects its step.
 const STAGGER_STEPS: u32 = 1 << 10;
 
 /// Number of term numbers per round, from which each process draws its own. Two candidates must not
