--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -373,7 +373,7 @@
     }
     let tasks = demand.indexes.len() as f64;
     let seconds = demand.estimate_ms as f64 / 1_000.0;
-    demand.shape.needs.weight() * tasks * seconds * MAX_EVICTION_COST_RATIO
+    demand.shape.needs.core_equivalents() * tasks * seconds * MAX_EVICTION_COST_RATIO
 }
 
 fn rooms(
@@ -386,7 +386,7 @@
     let failing_since = learned.failures.failing_since();
     let usable = fleet
         .workers()
-        .filter(|(_, w)| w.takes_tasks() && w.shunned_until <= view.now);
+        .filter(|(_, w)| w.accepts_tasks() && w.quarantined_until <= view.now);
     let rooms = usable.filter_map(|(name, worker)| {
         let heartbeat = &worker.report.as_ref()?.heartbeat;
         if view.evacuated.contains(&heartbeat.failure_domain) {
@@ -422,7 +422,7 @@
             has_serving_tasks: runs_step_where(jobs, worker, |s| s.response_ms > 0),
             has_leftover_tasks: runs_step_where(jobs, worker, |s| s.leftovers),
             fault_count: worker.failures + u32::from(overdue),
-            proven: failing_since.is_none_or(|since| worker.worked_since >= Some(since)),
+            proven: failing_since.is_none_or(|since| worker.last_good_start >= Some(since)),
             slowness_step: schedule::slowness_step(times, name),
         })
     });
@@ -537,10 +537,10 @@
     };
     let task = &run.task;
     let estimate_ms = live.estimate_ms(times, task.occurrence, task.step, step, &[task.index]);
-    let work = step.needs.weight() * estimate_ms as f64 / 1_000.0;
-    let begin_ms = live.begin_ms(run.task.occurrence);
+    let work = step.needs.core_equivalents() * estimate_ms as f64 / 1_000.0;
+    let begin_ms = live.waiting_since_ms(run.task.occurrence);
     let objective_ms = live.objective_ms(times, run.task.occurrence);
-    let useless_ms = live.useless_ms(objective_ms, run.task.occurrence);
+    let useless_ms = live.useful_until_ms(objective_ms, run.task.occurrence);
     // The run may have to wait for room again as long as it did before its start.
     let waited_ms = view
         .unix_ms
@@ -573,7 +573,7 @@
             let Some(live) = jobs.get(&run.task.job) else {
                 continue;
             };
-            if state.stopping || state.ordered.is_none() {
+            if state.stopping || state.order_offset.is_none() {
                 continue;
             }
             let step = live.job.request.steps.get(run.task.step as usize);
@@ -600,11 +600,11 @@
                     0.0
                 },
             });
-            let unsaved = view.now.since(state.saved_at).as_secs_f64();
+            let unsaved = view.now.since(state.checkpointed_at).as_secs_f64();
             // The cost rises with each eviction of the job, so that one job isn't stopped over and
             // over while others are spared.
             let eviction_factor = f64::from(live.evictions + 1);
-            victim.cost += unsaved * state.needs.weight() * eviction_factor
+            victim.cost += unsaved * state.needs.core_equivalents() * eviction_factor
                 + lateness_cost(live, run, state, times, view);
             victim.parts.push((i, run.clone(), state.needs));
         }
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -17,8 +17,8 @@
     },
     utils::{HashMap, HashSet, Name, Timestamp},
     workload::{
-        Book, Closing, Demand, Fleet, FleetWorker, Job, JobPlan, JobRecord, Order, Pace, Place,
-        Report, Room, RunId, RunTimes, TaskId, TaskPlan, TaskStart, WaitReason, Waiting,
+        Demand, Fleet, FleetWorker, Job, JobPlan, JobRecord, JobTable, Order, Pace, Place, Report,
+        Room, RunId, RunTimes, SessionState, TaskId, TaskPlan, TaskStart, WaitReason, Waiting,
         demands::Demands,
         departure,
         live::{LiveJob, guaranteed_jobs},
@@ -126,7 +126,7 @@
 
 impl Planner {
     /// Returns a planner that takes over all jobs of `book`.
-    pub fn take_over(bounds: PlannerBounds, book: &Book, now: Timestamp) -> Self {
+    pub fn take_over(bounds: PlannerBounds, book: &JobTable, now: Timestamp) -> Self {
         let mut planner = Self {
             bounds,
             jobs: BTreeMap::new(),
@@ -157,7 +157,7 @@
     ) {
         for occurrence in 0..job.request.repeats() {
             for (step, shape) in (0_u32..).zip(&job.request.steps) {
-                for (index, number) in (0_u32..).zip(job.numbers(occurrence, step)) {
+                for (index, number) in (0_u32..).zip(job.task_numbers(occurrence, step)) {
                     let Some(TaskPlan {
                         run,
                         place: Some(place),
@@ -207,7 +207,7 @@
         let worker = report.heartbeat.worker.clone();
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.is_live = true;
+            known.has_reported = true;
         }
     }
 
@@ -220,7 +220,7 @@
         let age_ms = unix_ms.abs_diff(report.sent_ms);
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.is_live |= age_ms < RECENT_REPORT_MS;
+            known.has_reported |= age_ms < RECENT_REPORT_MS;
         }
     }
 
@@ -250,8 +250,8 @@
             self.run_over(now, run);
         }
         if let Some(known) = self.fleet.get_mut(&worker) {
-            if known.failures >= QUARANTINE_AFTER_FAILURES && known.shunned_until <= now {
-                known.shunned_until = now + QUARANTINE_TIME;
+            if known.failures >= QUARANTINE_AFTER_FAILURES && known.quarantined_until <= now {
+                known.quarantined_until = now + QUARANTINE_TIME;
                 known.failures = QUARANTINE_AFTER_FAILURES - 1;
                 log::warn!(worker:% = worker, for_ms:? = QUARANTINE_TIME; "worker_set_aside");
             }
@@ -277,7 +277,7 @@
             if !near {
                 continue;
             }
-            let work_s = f64::from(pace.spans) * every_s;
+            let work_s = f64::from(pace.intervals) * every_s;
             let took_s = pace.took_ms as f64 / 1_000.0;
             let is_single_task = step.is_some_and(|s| !s.gang);
             if is_single_task || took_s < work_s * FULL_SPEED_RATIO {
@@ -294,7 +294,7 @@
         for (run, state) in runs {
             let live = self.jobs.get_mut(&run.task.job);
             if let (Some(live), Some(total_ms)) = (live, state.total_ms) {
-                live.measured(&run.task, (total_ms as f64 / slowness) as u64);
+                live.record_task_ms(&run.task, (total_ms as f64 / slowness) as u64);
             }
         }
     }
@@ -306,21 +306,21 @@
         };
         for start in &order.order.starts {
             if let Some(run) = worker.runs.get_mut(&start.run) {
-                run.ordered = Some(offset);
-                run.stands_since = now;
+                run.order_offset = Some(offset);
+                run.stored_since = now;
             }
         }
         if order.order.fence
             && worker.session == order.session
-            && worker.closing == Closing::Ordered
+            && worker.session_state == SessionState::FenceOrdered
         {
-            worker.closing = Closing::Stands(now);
+            worker.session_state = SessionState::Fenced(now);
         }
     }
 
     /// Records that earlier planners can't store an order for `worker` at offset `end` or later.
     pub fn set_orders_end(&mut self, worker: &str, end: u64) {
-        self.fleet.orders_end(worker, end);
+        self.fleet.set_orders_end(worker, end);
     }
 
     /// Returns the workers as the planner knows them.
@@ -402,7 +402,7 @@
             self.jobs.remove(&name);
             self.tickets.get_mut().remove_job(&name);
             log::debug!(job:% = name; "job_state_removed");
-            records.extend(JobRecord::forget(&name));
+            records.extend(JobRecord::tombstones(&name));
         }
         records
     }
@@ -412,7 +412,7 @@
             return;
         };
         let allowed = self.allowed_silence(view, reports_since);
-        let silence_of = |w: &FleetWorker| view.now.since(w.reported.max(reports_since));
+        let silence_of = |w: &FleetWorker| view.now.since(w.reported_at.max(reports_since));
         let silent = self.fleet.workers().filter(|(_, w)| {
             // A worker that its agent can't reach may still run tasks under its last lease.
             let unreachable = w
@@ -421,14 +421,17 @@
             // An agent that reads no orders extends no lease. Its session is closed once all of its
             // leases must have expired.
             let unread = w
-                .unread_since()
+                .unread_order_since()
                 .map(|s| view.now.since(s.max(reports_since)));
             let reads_no_orders = unread.is_some_and(|u| u > allowed + self.bounds.lease_expiry);
-            w.closing == Closing::No && (silence_of(w) > allowed || unreachable || reads_no_orders)
+            w.session_state == SessionState::Open
+                && (silence_of(w) > allowed || unreachable || reads_no_orders)
         });
         let mut silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         let open = self.fleet.workers();
-        let open = open.filter(|(_, w)| w.closing == Closing::No).count();
+        let open = open
+            .filter(|(_, w)| w.session_state == SessionState::Open)
+            .count();
         if silent.len() * 2 > open && !self.all_silent(view, reports_since) {
             // That many agents don't fail at once, so the store is slow. Closing their sessions
             // would stop all running work. An agent that stays silent for the lease time on top of
@@ -439,11 +442,11 @@
         }
         for name in silent {
             if let Some(worker) = self.fleet.get_mut(&name) {
-                worker.closing = Closing::Ordered;
+                worker.session_state = SessionState::FenceOrdered;
                 log::warn!(
                     worker:% = name, session = worker.session, runs = worker.runs.len(),
-                    silent_ms = view.now.since(worker.reported).as_millis() as u64,
-                    unread_ms = worker.unread_since().map(|s| view.now.since(s).as_millis() as u64),
+                    silent_ms = view.now.since(worker.reported_at).as_millis() as u64,
+                    unread_ms = worker.unread_order_since().map(|s| view.now.since(s).as_millis() as u64),
                     most_ms = allowed.as_millis() as u64;
                     "worker_silent"
                 );
@@ -461,8 +464,8 @@
         let open = self
             .fleet
             .workers()
-            .filter(|(_, w)| w.closing == Closing::No);
-        let silences = open.map(|(_, w)| view.now.since(w.reported.max(reports_since)));
+            .filter(|(_, w)| w.session_state == SessionState::Open);
+        let silences = open.map(|(_, w)| view.now.since(w.reported_at.max(reports_since)));
         let mut silences: Vec<Duration> = silences.collect();
         let silence = self.bounds.max_silence;
         let Some(last) = silences.len().checked_sub(1) else {
@@ -474,7 +477,7 @@
 
     /// Returns whether all agents have been silent for more than twice the limit.
     fn all_silent(&self, view: &View<'_>, reports_since: Timestamp) -> bool {
-        let newest = self.fleet.workers().map(|(_, w)| w.reported).max();
+        let newest = self.fleet.workers().map(|(_, w)| w.reported_at).max();
         let last_report = newest.unwrap_or_default().max(reports_since);
         view.now.since(last_report) > self.bounds.max_silence * 2
     }
@@ -537,7 +540,7 @@
     fn stop_overdue(&mut self, runs: Vec<(Name, RunId)>) {
         for (worker, run) in runs {
             if let Some(live) = self.jobs.get_mut(&run.task.job) {
-                live.moved.insert(run.task.clone());
+                live.overdue_stopped.insert(run.task.clone());
                 live.failed_on.push(worker.clone());
             }
             self.stop(&worker, &run, "overdue");
@@ -580,7 +583,7 @@
         let Some(live) = self.jobs.get_mut(&placed.job) else {
             return;
         };
-        let numbers = live.job.numbers(placed.occurrence, placed.step);
+        let numbers = live.job.task_numbers(placed.occurrence, placed.step);
         let number_of = |index: u32| numbers.start + index;
         let members = placed.members.iter().map(|(index, _)| number_of(*index));
         let run = members
--- a/dragonflyrun/src/workload/progress.rs
+++ b/dragonflyrun/src/workload/progress.rs
@@ -1,8 +1,9 @@
-//! How far runs are, and when they will be done at the pace at which they come on.
+//! The progress of runs, and the remaining time that it predicts.
 //!
-//! Load pattern answered here: callers' guesses are off by a factor of two and more, and a queue's
-//! mean says little of one task. Whom to stop, what will be free soon and what a job that begins again
-//! needs follows from how long a run has left, which its own progress tells within a second.
+//! Callers' estimates are off by a factor of two or more, and the mean of a queue says little about
+//! a single task. The planner needs the remaining time of a run to choose runs to stop, to predict
+//! which resources become free soon, and to estimate what a restarted job needs. The run's own
+//! progress tells it within a second.
 
 use std::collections::VecDeque;
 
@@ -17,57 +18,59 @@
     },
 };
 
-/// Looks that are remembered of a run: some four seconds, so that a worker that turns slow shows.
-const MOST_LOOKS: usize = 10;
+/// Number of samples kept of a run. They cover about four seconds, so that the prediction follows a
+/// worker that becomes slow.
+const MAX_SAMPLES: usize = 10;
 
-/// Percent that a run has to come on before its pace is told: a look rounds them down.
-const LEAST_GAIN: u32 = 4;
+/// Minimum progress between two samples, in percent points, from which a pace is derived: the
+/// worker rounds the progress down to whole percents.
+const MIN_GAIN_PERCENT: u32 = 4;
 
-/// How far a run is done.
-const DONE: u32 = 100;
+/// The progress of a finished run, in percent.
+const DONE_PERCENT: u32 = 100;
 
-/// How a run comes on.
+/// The predicted times of a run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Progress {
-    /// Milliseconds that it has left at its pace; none where that is not known.
+    /// The remaining time in milliseconds at the current pace; `None` if the pace is unknown.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub left_ms: Option<u64>,
-    /// Milliseconds that all of its work takes at its pace; 0 where that is not known.
+    pub remaining_ms: Option<u64>,
+    /// The time in milliseconds of the whole work at the current pace; 0 if the pace is unknown.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero_u64")]
     pub total_ms: u64,
 }
 
-/// A look at a run.
+/// The progress of a run at one time on the worker's clock.
 #[derive(Clone, Copy, Debug)]
-struct Look {
+struct Sample {
     clock_ms: u64,
     percent: u32,
 }
 
-/// The progress of a worker's runs, as its agent sees it.
+/// The progress of a worker's runs, as sampled by its agent.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Progresses {
-    runs: HashMap<RunId, VecDeque<Look>>,
+pub(super) struct ProgressTable {
+    runs: HashMap<RunId, VecDeque<Sample>>,
 }
 
-impl Progresses {
-    /// Takes what the worker lists as running at `clock_ms` on its clock.
-    pub(super) fn look(&mut self, clock_ms: u64, running: &[RunningTask]) {
+impl ProgressTable {
+    /// Applies the worker's list of running tasks, read at `clock_ms` on the worker's clock.
+    pub(super) fn update(&mut self, clock_ms: u64, running: &[RunningTask]) {
         self.runs
             .retain(|run, _| running.iter().any(|r| r.run == *run));
         for listed in running {
-            let looks = self.runs.entry(listed.run.clone()).or_default();
-            if looks.len() == MOST_LOOKS {
-                looks.pop_front();
+            let samples = self.runs.entry(listed.run.clone()).or_default();
+            if samples.len() == MAX_SAMPLES {
+                samples.pop_front();
             }
-            looks.push_back(Look {
+            samples.push_back(Sample {
                 clock_ms,
                 percent: listed.percent,
             });
         }
     }
 
-    /// Returns how the runs come on, in the order of `running`.
+    /// Returns the progress of each run in `running`, in the same order.
     pub(super) fn all(&self, running: &[RunningTask]) -> Vec<Progress> {
         let of_run = |listed: &RunningTask| self.runs.get(&listed.run).map(progress);
         let all = running.iter().map(|r| of_run(r).unwrap_or_default());
@@ -75,22 +78,24 @@
     }
 }
 
-/// Returns how a run comes on that was looked at so often. It does not come on while it waits for other
-/// members of its gang or is restored, so its pace counts from the look before it first moved.
-fn progress(looks: &VecDeque<Look>) -> Progress {
-    let (Some(first), Some(last)) = (looks.front(), looks.back()) else {
+/// Predicts the times of a run from its samples.
+///
+/// A run makes no progress while it waits for other members of its gang or is being restored from a
+/// checkpoint, so its pace counts from the last sample before its progress first increased.
+fn progress(samples: &VecDeque<Sample>) -> Progress {
+    let (Some(first), Some(last)) = (samples.front(), samples.back()) else {
         return Progress::default();
     };
-    let began = looks.iter().rev().find(|l| l.percent <= first.percent);
+    let began = samples.iter().rev().find(|l| l.percent <= first.percent);
     let began = began.unwrap_or(first);
     let gained = last.percent.saturating_sub(began.percent);
-    if gained < LEAST_GAIN || last.percent >= DONE {
+    if gained < MIN_GAIN_PERCENT || last.percent >= DONE_PERCENT {
         return Progress::default();
     }
     let took_ms = last.clock_ms.saturating_sub(began.clock_ms);
     let of_pace = |percent: u32| took_ms * u64::from(percent) / u64::from(gained);
     Progress {
-        left_ms: Some(of_pace(DONE - last.percent)),
-        total_ms: of_pace(DONE),
+        remaining_ms: Some(of_pace(DONE_PERCENT - last.percent)),
+        total_ms: of_pace(DONE_PERCENT),
     }
 }
