--- a/dragonflyrun/benches/measures/simulation/policy.rs
+++ b/dragonflyrun/benches/measures/simulation/policy.rs
@@ -56,7 +56,7 @@
     }
 
     fn is_possible(&self, spec: &JobSpec) -> bool {
-        self.possible(spec).is_ok()
+        self.check_possible(spec).is_ok()
     }
 
     fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
--- a/dragonflyrun/src/job/allotment.rs
+++ b/dragonflyrun/src/job/allotment.rs
@@ -6,7 +6,7 @@
         guarantee::{GuaranteeId, Guarantees},
         inventory::Inventory,
         packing::pack,
-        placement::{Part, Seat, pick, scope_of},
+        placement::{Candidate, Part, pick, scope_of},
         slots::WorkerId,
     },
     utils::{HashMap, Name},
@@ -14,7 +14,7 @@
 };
 
 /// Workers up to which the exact search is tried.
-const SMALL_CLUSTER: usize = 64;
+const MAX_EXACT_WORKERS: usize = 64;
 
 impl Guarantees {
     /// Allots the tasks that a guarantee lacks, next to those it has; returns whether it is whole.
@@ -30,11 +30,11 @@
             ..entry.shape
         };
         let found = match entry.shares.first() {
-            None => inventory.open.find(&shape),
+            None => inventory.allottable.find(&shape),
             Some(share) => {
-                let at = inventory.open.seat(share.worker);
-                let seats = neighbours(inventory, &at, &shape);
-                pick(&seats, &shape).map(|plan| plan.parts)
+                let at = inventory.allottable.candidate(share.worker);
+                let candidates = neighbours(inventory, &at, &shape);
+                pick(&candidates, &shape).map(|plan| plan.parts)
             }
         };
         let Some(parts) = found else { return false };
@@ -56,11 +56,11 @@
         if !entry.movable() {
             return false;
         }
-        let Some(wanted) = rounded(inventory, &entry.shape, parts, size) else {
+        let Some(wanted) = round_up(inventory, &entry.shape, parts, size) else {
             return false;
         };
         let mut moved = vec![(id, self.take_back(inventory, id, |_| true))];
-        let done = self.clear(inventory, id, &wanted, &mut moved)
+        let done = self.clear_workers(inventory, id, &wanted, &mut moved)
             && {
                 self.allot(inventory, id, &wanted);
                 self.complete(inventory, id)
@@ -80,7 +80,7 @@
     }
 
     /// Takes back allotments without jobs until `wanted` is open; adds them to `moved`.
-    fn clear(
+    fn clear_workers(
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
@@ -89,7 +89,7 @@
     ) -> bool {
         let size = self.entries[id].shape.accelerators;
         wanted.iter().all(|part| {
-            while inventory.open.value(part.worker) < part.tasks * size {
+            while inventory.allottable.available(part.worker) < part.tasks * size {
                 let in_the_way = self.on(part.worker).iter().copied();
                 let movable = in_the_way.filter(|o| *o != id && self.entries[*o].movable());
                 let Some(other) = movable.min_by_key(|o| self.entries[*o].accelerators()) else {
@@ -104,13 +104,13 @@
 
     /// Moves allotments away from the workers in `changed` that can't honour them, and allots
     /// what is not allotted yet. Returns whether all guarantees are allotted.
-    pub(super) fn settle(&mut self, inventory: &mut Inventory, changed: &[WorkerId]) -> bool {
+    pub(super) fn reallot(&mut self, inventory: &mut Inventory, changed: &[WorkerId]) -> bool {
         for worker in changed {
-            self.leave(inventory, *worker);
+            self.withdraw_from(inventory, *worker);
         }
-        let lacking = self.lacking();
-        let whole = lacking.iter().all(|id| self.complete(inventory, *id));
-        whole || self.allot_anew(inventory)
+        let incomplete = self.incomplete();
+        let whole = incomplete.iter().all(|id| self.complete(inventory, *id));
+        whole || self.allot_all(inventory)
     }
 
     /// Moves allotments without jobs away from `worker`, as far as there is room for them
@@ -128,18 +128,18 @@
     }
 
     /// Returns the guarantees that the hardware in service does not permit.
-    pub(super) fn lacking(&self) -> Vec<GuaranteeId> {
-        let lacks = |id: &GuaranteeId| {
+    pub(super) fn incomplete(&self) -> Vec<GuaranteeId> {
+        let is_incomplete = |id: &GuaranteeId| {
             let entry = &self.entries[*id];
             let tasks: u32 = entry.shares.iter().map(|s| s.tasks).sum();
             tasks < entry.shape.tasks
         };
-        (0..self.entries.len()).filter(lacks).collect()
+        (0..self.entries.len()).filter(is_incomplete).collect()
     }
 
     /// Takes back what is allotted on a worker that is not usable, or has fewer accelerators than
     /// are allotted. Where a job holds its place, the rest of its allotment stays next to it.
-    fn leave(&mut self, inventory: &mut Inventory, worker: WorkerId) {
+    fn withdraw_from(&mut self, inventory: &mut Inventory, worker: WorkerId) {
         let usable = inventory.worker(worker).usable();
         if usable && !inventory.is_over_allotted(worker) {
             return;
@@ -156,7 +156,7 @@
     /// Allots all guarantees without jobs anew: those hardest to place first; if that leaves one
     /// out, by exact search; if that fails too, the hardware does not permit them all, and
     /// workspaces take turns.
-    fn allot_anew(&mut self, inventory: &mut Inventory) -> bool {
+    fn allot_all(&mut self, inventory: &mut Inventory) -> bool {
         let mut movable: Vec<GuaranteeId> = (0..self.entries.len())
             .filter(|id| self.entries[*id].movable())
             .collect();
@@ -173,15 +173,15 @@
         for id in held.collect::<Vec<_>>() {
             self.complete(inventory, id);
         }
-        let mut one_by_one = movable.iter();
-        if one_by_one.all(|id| self.complete(inventory, *id)) {
-            return self.lacking().is_empty();
+        let mut ids_in_order = movable.iter();
+        if ids_in_order.all(|id| self.complete(inventory, *id)) {
+            return self.incomplete().is_empty();
         }
         self.take_back_all(inventory, &movable);
-        if !self.allot_exactly(inventory, &movable) {
+        if !self.allot_by_search(inventory, &movable) {
             self.allot_in_turns(inventory, movable);
         }
-        self.lacking().is_empty()
+        self.incomplete().is_empty()
     }
 
     fn take_back_all(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) {
@@ -190,17 +190,17 @@
         }
     }
 
-    fn allot_exactly(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) -> bool {
-        let seats: Vec<Seat> = inventory
+    fn allot_by_search(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) -> bool {
+        let candidates: Vec<Candidate> = inventory
             .ids()
-            .map(|w| inventory.open.seat(w))
-            .filter(|s| s.value > 0)
+            .map(|w| inventory.allottable.candidate(w))
+            .filter(|s| s.available > 0)
             .collect();
-        if seats.len() > SMALL_CLUSTER {
+        if candidates.len() > MAX_EXACT_WORKERS {
             return false;
         }
         let shapes: Vec<_> = ids.iter().map(|id| self.entries[*id].shape).collect();
-        let Some(found) = pack(&seats, &shapes) else {
+        let Some(found) = pack(&candidates, &shapes) else {
             return false;
         };
         for (id, parts) in ids.iter().zip(found) {
@@ -212,7 +212,7 @@
     /// Allots one guarantee after the other, each time to the workspace that has the smallest
     /// share of what it was promised.
     fn allot_in_turns(&mut self, inventory: &mut Inventory, ids: Vec<GuaranteeId>) {
-        let mut shares: HashMap<Name, Satisfied> = HashMap::default();
+        let mut shares: HashMap<Name, WorkspaceShare> = HashMap::default();
         for (entry, id) in self.entries.iter().zip(0..) {
             let share = shares.entry(entry.workspace.clone()).or_default();
             share.promised += u64::from(entry.accelerators());
@@ -224,7 +224,9 @@
         while !left.is_empty() {
             let share = |id: &GuaranteeId| {
                 let entry = &self.entries[*id];
-                shares.get(&entry.workspace).map_or(0, Satisfied::permille)
+                shares
+                    .get(&entry.workspace)
+                    .map_or(0, WorkspaceShare::permille)
             };
             let next = (0..left.len()).min_by_key(|at| (share(&left[*at]), *at));
             let id = left.remove(next.unwrap_or(0));
@@ -239,8 +241,8 @@
 
 /// Returns the tasks of `shape` that cover `parts`, if they are near enough to each other and no
 /// more than the shape has.
-fn rounded(inventory: &Inventory, shape: &Shape, parts: &[Part], size: u32) -> Option<Vec<Part>> {
-    let scope = |p: &Part| scope_of(&inventory.open.seat(p.worker), shape.adjacency);
+fn round_up(inventory: &Inventory, shape: &Shape, parts: &[Part], size: u32) -> Option<Vec<Part>> {
+    let scope = |p: &Part| scope_of(&inventory.allottable.candidate(p.worker), shape.adjacency);
     let first = parts.first().map(scope)?;
     if parts.iter().any(|p| scope(p) != first) {
         return None;
@@ -257,27 +259,27 @@
 }
 
 /// Returns workers near enough to `at` to take the rest of `shape`, those with most room first.
-fn neighbours(inventory: &mut Inventory, at: &Seat, shape: &Shape) -> Vec<Seat> {
-    let most = shape.tasks as usize;
+fn neighbours(inventory: &mut Inventory, at: &Candidate, shape: &Shape) -> Vec<Candidate> {
+    let max_workers = shape.tasks as usize;
     match shape.adjacency {
         Adjacency::Worker => vec![*at],
-        Adjacency::Rack => inventory.open.rack_of(at.worker),
+        Adjacency::Rack => inventory.allottable.rack_members(at.worker),
         Adjacency::FailureDomain => {
-            let mut domains = inventory.open.roomiest_by_domain(most);
+            let mut domains = inventory.allottable.most_available_by_domain(max_workers);
             domains.swap_remove(at.domain)
         }
-        Adjacency::Any => inventory.open.roomiest(most),
+        Adjacency::Any => inventory.allottable.most_available(max_workers),
     }
 }
 
 /// What a workspace has of what it was promised, in accelerators.
 #[derive(Clone, Copy, Debug, Default)]
-struct Satisfied {
+struct WorkspaceShare {
     allotted: u64,
     promised: u64,
 }
 
-impl Satisfied {
+impl WorkspaceShare {
     fn permille(&self) -> u64 {
         self.allotted * 1_000 / self.promised.max(1)
     }
--- a/dragonflyrun/src/job/closing.rs
+++ b/dragonflyrun/src/job/closing.rs
@@ -12,7 +12,7 @@
         Purpose,
         UsageReport,
         planner::append,
-        starting::BLAMED_WORKERS, //
+        starting::MAX_BLAMED_WORKERS_PER_JOB, //
     },
     utils::Timestamp,
 };
@@ -138,14 +138,14 @@
     pub(super) fn rest(&mut self, now: Timestamp, job: &JobId) {
         let failures = self.jobs.get(job).map_or(0, |j| j.live.failures);
         let pause = (RETRY_PAUSE * (failures + 1)).min(LONGEST_RETRY_PAUSE);
-        self.resting.insert((now + pause, job.clone()));
+        self.delayed_jobs.insert((now + pause, job.clone()));
     }
 
     pub(super) fn wake_resting(&mut self, now: Timestamp) {
-        while let Some((at, _)) = self.resting.first()
+        while let Some((at, _)) = self.delayed_jobs.first()
             && *at <= now
         {
-            let Some((_, job)) = self.resting.pop_first() else {
+            let Some((_, job)) = self.delayed_jobs.pop_first() else {
                 return;
             };
             if let Some(planned) = self.jobs.get(&job)
@@ -164,7 +164,7 @@
 
 /// Returns how many attempts of a job may fail, where a worker is set aside after that many.
 fn failure_limit(worker_failures: u32) -> u32 {
-    let blamed = u32::try_from(BLAMED_WORKERS).unwrap_or(u32::MAX);
+    let blamed = u32::try_from(MAX_BLAMED_WORKERS_PER_JOB).unwrap_or(u32::MAX);
     worker_failures
         .saturating_mul(blamed)
         .saturating_add(SPARE_FAILURES)
--- a/dragonflyrun/src/job/covers.rs
+++ b/dragonflyrun/src/job/covers.rs
@@ -3,9 +3,9 @@
 use crate::{
     job::{
         JobId, Scheduler,
-        guarantee::{Cover, GuaranteeId},
+        guarantee::{CoverRequest, GuaranteeId},
         placement::Part,
-        queue::{Aged, Class},
+        queue::{AgeKey, Class},
         scheduler::Stage,
     },
     utils::Name,
@@ -14,15 +14,15 @@
 impl Scheduler {
     /// Sees to it that each guarantee is allotted, and that workspaces' own jobs count towards
     /// their guarantees before they count as borrowing.
-    pub(super) fn keep_guarantees(&mut self) {
+    pub(super) fn update_guarantees(&mut self) {
         let changed = std::mem::take(&mut self.changed);
         let uncovered = std::mem::take(&mut self.uncovered);
         if changed.is_empty() && uncovered.is_empty() {
             return;
         }
-        if !self.guarantees.settle(&mut self.inventory, &changed) {
+        if !self.guarantees.reallot(&mut self.inventory, &changed) {
             self.drop_reservations();
-            self.settle_without_temporary();
+            self.reallot_without_temporary();
         }
         self.clear_reserved();
         for workspace in uncovered {
@@ -32,7 +32,7 @@
 
     /// Allots the guarantees without regard to temporary ones, and puts those back that still can
     /// be had.
-    fn settle_without_temporary(&mut self) {
+    fn reallot_without_temporary(&mut self) {
         let entries = self.guarantees.entries.iter();
         let temporary = entries.filter(|e| e.temporary).flat_map(|e| &e.jobs);
         let jobs: Vec<JobId> = temporary.cloned().collect();
@@ -40,7 +40,7 @@
             self.uncover(job);
         }
         self.changed.clear();
-        self.guarantees.settle(&mut self.inventory, &[]);
+        self.guarantees.reallot(&mut self.inventory, &[]);
         for job in &jobs {
             self.protect(job);
         }
@@ -58,15 +58,15 @@
         }
         let parts = match &entry.stage {
             Stage::Pledged(parts) => parts,
-            Stage::Holds(hold) if !hold.stopping => &hold.parts,
-            Stage::Holds(_) | Stage::Waits => return,
+            Stage::Holding(hold) if !hold.stopping => &hold.parts,
+            Stage::Holding(_) | Stage::Waiting => return,
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: None,
+            except: None,
         };
         let shape = entry.spec.shape();
         entry.cover = self.guarantees.protect(&mut self.inventory, &cover, shape);
@@ -77,13 +77,13 @@
             return;
         }
         let holding = self.holding.get(workspace);
-        let jobs: Vec<Aged> = holding.into_iter().flatten().cloned().collect();
+        let jobs: Vec<AgeKey> = holding.into_iter().flatten().cloned().collect();
         for (_, job) in jobs {
             let Some(entry) = self.jobs.get(&job) else {
                 continue;
             };
             let parts = match &entry.stage {
-                Stage::Holds(hold) if entry.cover.is_none() && !hold.stopping => &hold.parts,
+                Stage::Holding(hold) if entry.cover.is_none() && !hold.stopping => &hold.parts,
                 _ => continue,
             };
             let parts = parts.clone();
@@ -98,18 +98,18 @@
         let Some(entry) = self.jobs.get_mut(job) else {
             return false;
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: None,
+            except: None,
         };
         entry.cover = self.guarantees.cover(&mut self.inventory, &cover);
         entry.cover.is_some()
     }
 
-    pub(super) fn has_room_by_guarantee(&self, class: &Class) -> bool {
+    pub(super) fn has_guaranteed_room(&self, class: &Class) -> bool {
         let room = self
             .guarantees
             .room(&self.inventory, &class.workspace, &class.shape());
@@ -122,7 +122,7 @@
     /// A burst of small jobs spills from a small guarantee into a large one. When the jobs of the
     /// small one end first, the large one stays in use although the small one could cover the
     /// rest, and a job of the large one's shape would wait.
-    pub(super) fn make_guarantee_whole(&mut self, class: &Class) -> bool {
+    pub(super) fn vacate_guarantee(&mut self, class: &Class) -> bool {
         let shape = class.shape();
         let mut in_use = self.guarantees.of(&class.workspace).to_vec();
         in_use.retain(|id| {
@@ -134,20 +134,20 @@
         }
         // Allotments may have to move into room that aged jobs have reserved.
         self.lift_reservations();
-        let whole = in_use
+        let vacated = in_use
             .into_iter()
-            .any(|id| self.cover_smaller_elsewhere(id, class));
+            .any(|id| self.cover_jobs_elsewhere(id, class));
         self.put_reservations_back();
-        whole
+        vacated
     }
 
     /// Covers the jobs in guarantee `id` elsewhere as far as that can be done; returns whether
     /// there is room for `class` then.
-    fn cover_smaller_elsewhere(&mut self, id: GuaranteeId, class: &Class) -> bool {
+    fn cover_jobs_elsewhere(&mut self, id: GuaranteeId, class: &Class) -> bool {
         for job in self.guarantees.entries[id].jobs.clone() {
             self.cover_elsewhere(&job, id);
         }
-        self.has_room_by_guarantee(class)
+        self.has_guaranteed_room(class)
     }
 
     /// Covers a job by another guarantee than `id` if that can be done. It is taken out of `id`
@@ -157,16 +157,16 @@
             return;
         };
         let parts = match &entry.stage {
-            Stage::Waits => return,
+            Stage::Waiting => return,
             Stage::Pledged(parts) => parts,
-            Stage::Holds(hold) => &hold.parts,
+            Stage::Holding(hold) => &hold.parts,
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: Some(id),
+            except: Some(id),
         };
         self.guarantees.uncover(id, job, parts, cover.size);
         self.changed.extend(parts.iter().map(|p| p.worker));
--- a/dragonflyrun/src/job/decision.rs
+++ b/dragonflyrun/src/job/decision.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     connection::Placement,
-    job::{JobId, Unreachable},
+    job::{ImpossibleReason, JobId},
 };
 
 /// Something that the planner is to carry out.
@@ -31,7 +31,7 @@
         /// The job.
         job: JobId,
         /// Why.
-        why: Unreachable,
+        why: ImpossibleReason,
     },
 }
 
--- a/dragonflyrun/src/job/estimate.rs
+++ b/dragonflyrun/src/job/estimate.rs
@@ -12,13 +12,13 @@
 };
 
 /// The share of the newest run in the learned mean, once a kind is known.
-const NEWEST_SHARE: f64 = 0.15;
+const MIN_NEWEST_SHARE: f64 = 0.15;
 
 /// Kinds that are told apart; jobs of any further kind are taken at their word.
-const MOST_KINDS: usize = 16_384;
+const MAX_KINDS: usize = 16_384;
 
 /// What is assumed of a job that declares nothing and whose kind has never run.
-const UNKNOWN_MS: f64 = 600_000.0;
+const DEFAULT_RUN_TIME_MS: f64 = 600_000.0;
 
 /// Run times learned.
 #[derive(Clone, Debug, Default)]
@@ -44,22 +44,22 @@
 impl Estimates {
     /// Takes note that a job ran for `ran_ms` in all.
     pub(super) fn learn(&mut self, spec: &JobSpec, ran_ms: u64) {
-        let value = (ran_ms.max(1) as f64 / base(spec)).ln();
+        let value = (ran_ms.max(1) as f64 / declared_or_default_ms(spec)).ln();
         let kind = Kind::of(spec);
-        if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(&kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) {
             return;
         }
         let learned = self.kinds.entry(kind).or_default();
         learned.runs = learned.runs.saturating_add(1);
-        let share = NEWEST_SHARE.max(1.0 / f64::from(learned.runs));
-        learned.log_mean += share * (value - learned.log_mean);
+        let weight = MIN_NEWEST_SHARE.max(1.0 / f64::from(learned.runs));
+        learned.log_mean += weight * (value - learned.log_mean);
     }
 
     /// Returns how long a job of this kind runs in all.
     pub(super) fn run_time(&self, spec: &JobSpec) -> Duration {
         let learned = self.kinds.get(&Kind::of(spec));
         let factor = learned.map_or(1.0, |l| l.log_mean.exp());
-        Duration::from_millis((base(spec) * factor) as u64)
+        Duration::from_millis((declared_or_default_ms(spec) * factor) as u64)
     }
 }
 
@@ -74,9 +74,9 @@
     }
 }
 
-fn base(spec: &JobSpec) -> f64 {
+fn declared_or_default_ms(spec: &JobSpec) -> f64 {
     match spec.run_time_ms {
-        0 => UNKNOWN_MS,
+        0 => DEFAULT_RUN_TIME_MS,
         ms => ms as f64,
     }
 }
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -4,9 +4,9 @@
     job::{
         Decision, JobId, Scheduler,
         pass::AGED_AFTER,
-        placement::{Part, Seat},
-        reclaim::{Eviction, Victim, cheapest, exactly},
-        scheduler::{Entry, Stage},
+        placement::{Candidate, Part},
+        reclaim::{Eviction, Victim, cheapest_evictions, cheapest_for_parts},
+        scheduler::{JobEntry, Stage},
     },
     utils::{HashSet, Timestamp},
     version::{Adjacency, Urgency},
@@ -17,7 +17,7 @@
 
 /// The share of a job's run so far that is taken to be lost by a stop, in percent: now and then a
 /// checkpoint fails.
-const LOST_PERCENT: u64 = 2;
+const EXPECTED_LOSS_PERCENT: u64 = 2;
 
 /// How much rather another job is stopped than one that is expected to end before it would have
 /// stopped and resumed.
@@ -27,20 +27,20 @@
 const URGENT_VICTIM_WEIGHT: u64 = 10;
 
 /// What the start of an urgent job is worth at once, in milliseconds of its wait.
-const URGENT_WORTH_MS: u64 = 50_000;
+const URGENT_START_VALUE_MS: u64 = 50_000;
 
 /// How much more an urgent job's wait counts than another's.
-const URGENT_WEIGHT: u64 = 10;
+const URGENT_WAIT_WEIGHT: u64 = 10;
 
 /// Scopes that are compared for an eviction, by the room that they have already.
-const COMPARED_SCOPES: usize = 16;
+const MAX_COMPARED_SCOPES: usize = 16;
 
 /// Workers of a scope that are compared for an eviction, beside one for each task.
-const COMPARED_WORKERS: usize = 64;
+const EXTRA_COMPARED_WORKERS: usize = 64;
 
 /// Why a job may evict others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Claim {
+pub(super) enum EvictionReason {
     /// Its workspace has a guarantee of about its size, which is not in use.
     Guarantee,
     /// Its workspace has a larger guarantee with unused room for it.
@@ -64,7 +64,7 @@
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
-        let Stage::Holds(hold) = &mut entry.stage else {
+        let Stage::Holding(hold) = &mut entry.stage else {
             return;
         };
         if hold.stopping {
@@ -73,7 +73,7 @@
         hold.stopping = true;
         entry.evictions += 1;
         for part in &hold.parts {
-            let held = self.inventory.worker(part.worker).of(job);
+            let held = self.inventory.worker(part.worker).held_by(job);
             self.inventory.stopping(part.worker, i64::from(held));
         }
         self.uncover(job);
@@ -99,36 +99,36 @@
         &mut self,
         now: Timestamp,
         job: &JobId,
-        claim: Claim,
+        reason: EvictionReason,
         decisions: &mut Vec<Decision>,
     ) -> bool {
         let Some(entry) = self.jobs.get(job).cloned() else {
             return false;
         };
         let shape = entry.spec.shape();
-        let mut seats = self.seats_to_compare(&entry);
-        if claim == Claim::Age {
+        let mut candidates = self.eviction_candidates(&entry);
+        if reason == EvictionReason::Age {
             // Another's reservation is respected; this job's own was taken back.
-            let closed = self.closed_to(now, &entry);
-            for seat in &mut seats {
-                let closed = closed.get(&seat.worker).copied().unwrap_or(0);
-                seat.value = seat.value.saturating_sub(closed);
+            let reserved = self.closed_to(now, &entry);
+            for candidate in &mut candidates {
+                let reserved = reserved.get(&candidate.worker).copied().unwrap_or(0);
+                candidate.available = candidate.available.saturating_sub(reserved);
             }
         }
-        let victims = self.victims(now, &entry, claim, &seats);
-        let found = cheapest(&seats, &shape, &victims);
-        let budget = Self::budget(now, &entry, claim);
-        match claim {
-            Claim::Guarantee | Claim::Part => {
+        let victims = self.victims(now, &entry, reason, &candidates);
+        let found = cheapest_evictions(&candidates, &shape, &victims);
+        let budget = Self::budget(now, &entry, reason);
+        match reason {
+            EvictionReason::Guarantee | EvictionReason::Part => {
                 for eviction in found {
                     if eviction.cost <= budget && self.cover(job, &eviction.parts) {
                         self.pledge(job, eviction, decisions);
                         return true;
                     }
                 }
-                self.take_allotment(now, job, claim, budget, decisions)
+                self.take_allotment(now, job, reason, budget, decisions)
             }
-            Claim::Urgency | Claim::Age => {
+            EvictionReason::Urgency | EvictionReason::Age => {
                 let Some(eviction) = found.into_iter().next() else {
                     return false;
                 };
@@ -149,7 +149,7 @@
         &mut self,
         now: Timestamp,
         job: &JobId,
-        claim: Claim,
+        reason: EvictionReason,
         budget: u64,
         decisions: &mut Vec<Decision>,
     ) -> bool {
@@ -162,15 +162,15 @@
             .room(&self.inventory, &entry.spec.workspace, &shape);
         let Some((_, parts)) = room else { return false };
         self.drop_borrowed_pledges(&parts);
-        let seats: Vec<Seat> = parts
+        let candidates: Vec<Candidate> = parts
             .iter()
-            .map(|part| Seat {
-                value: self.inventory.coming(part.worker),
-                ..self.inventory.free.seat(part.worker)
+            .map(|part| Candidate {
+                available: self.inventory.free_after_stops(part.worker),
+                ..self.inventory.free.candidate(part.worker)
             })
             .collect();
-        let victims = self.victims(now, &entry, claim, &seats);
-        let eviction = exactly(&seats, &parts, shape.accelerators, &victims);
+        let victims = self.victims(now, &entry, reason, &candidates);
+        let eviction = cheapest_for_parts(&candidates, &parts, shape.accelerators, &victims);
         let Some(eviction) = eviction.filter(|e| e.cost <= budget) else {
             return false;
         };
@@ -212,42 +212,52 @@
         holding.or_default().insert(aged.clone());
         self.pledged.insert(aged);
         // It may be that nothing had to be evicted any more.
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     /// Returns workers on which room could be made for a job, with what will be free of each.
     /// Those with the most room need the fewest evictions; to look at all would cost in
     /// proportion to the size of the cluster.
-    pub(super) fn seats_to_compare(&mut self, entry: &Entry) -> Vec<Seat> {
+    pub(super) fn eviction_candidates(&mut self, entry: &JobEntry) -> Vec<Candidate> {
         let spec = &entry.spec;
-        let most = spec.tasks as usize + COMPARED_WORKERS;
+        let max_workers = spec.tasks as usize + EXTRA_COMPARED_WORKERS;
         let free = &mut self.inventory.free;
-        let seats = match spec.adjacency {
+        let candidates = match spec.adjacency {
             Adjacency::Rack => free
-                .roomiest_racks(spec.accelerators, COMPARED_SCOPES)
+                .racks_with_most_slots(spec.accelerators, MAX_COMPARED_SCOPES)
                 .concat(),
-            Adjacency::FailureDomain => free.roomiest_by_domain(most).concat(),
-            Adjacency::Any | Adjacency::Worker => free.roomiest(most),
+            Adjacency::FailureDomain => free.most_available_by_domain(max_workers).concat(),
+            Adjacency::Any | Adjacency::Worker => free.most_available(max_workers),
         };
-        let coming = |seat: Seat| Seat {
-            value: self.inventory.coming(seat.worker),
-            ..seat
+        let after_stops = |candidate: Candidate| Candidate {
+            available: self.inventory.free_after_stops(candidate.worker),
+            ..candidate
         };
-        let usable = |seat: &Seat| self.inventory.worker(seat.worker).usable();
-        seats.into_iter().filter(usable).map(coming).collect()
+        let usable = |candidate: &Candidate| self.inventory.worker(candidate.worker).usable();
+        candidates
+            .into_iter()
+            .filter(usable)
+            .map(after_stops)
+            .collect()
     }
 
     /// Returns the jobs on `seats` that `entry` may evict.
-    fn victims(&self, now: Timestamp, entry: &Entry, claim: Claim, seats: &[Seat]) -> Vec<Victim> {
+    fn victims(
+        &self,
+        now: Timestamp,
+        entry: &JobEntry,
+        reason: EvictionReason,
+        candidates: &[Candidate],
+    ) -> Vec<Victim> {
         let mut seen = HashSet::default();
         let mut victims = Vec::new();
-        for seat in seats {
-            for holding in &self.inventory.worker(seat.worker).jobs {
+        for candidate in candidates {
+            for holding in &self.inventory.worker(candidate.worker).jobs {
                 if !seen.insert(&holding.job) {
                     continue;
                 }
                 if let Some(other) = self.jobs.get(&holding.job)
-                    && may_evict(entry, claim, other)
+                    && may_evict(entry, reason, other)
                     && let Some(victim) = self.victim(now, &holding.job, other)
                 {
                     victims.push(victim);
@@ -257,8 +267,8 @@
         victims
     }
 
-    fn victim(&self, now: Timestamp, job: &JobId, entry: &Entry) -> Option<Victim> {
-        let Stage::Holds(hold) = &entry.stage else {
+    fn victim(&self, now: Timestamp, job: &JobId, entry: &JobEntry) -> Option<Victim> {
+        let Stage::Holding(hold) = &entry.stage else {
             return None;
         };
         if hold.stopping {
@@ -266,7 +276,7 @@
         }
         let size = entry.spec.accelerators;
         let ran_ms = now.since(hold.since).as_millis() as u64;
-        let lost_ms = STOP_AND_RESUME_MS + ran_ms * LOST_PERCENT / 100;
+        let lost_ms = STOP_AND_RESUME_MS + ran_ms * EXPECTED_LOSS_PERCENT / 100;
         let expected_ms = self.estimates.run_time(&entry.spec).as_millis() as u64;
         let nearly_done = ran_ms < expected_ms && expected_ms - ran_ms < STOP_AND_RESUME_MS;
         let mut weight = if nearly_done { NEARLY_DONE_WEIGHT } else { 1 };
@@ -276,7 +286,7 @@
         Some(Victim {
             job: job.clone(),
             cost: lost_ms
-                .saturating_mul(bulk(entry))
+                .saturating_mul(size_weight(entry))
                 .saturating_mul(u64::from(1 + entry.evictions) * weight),
             holdings: hold
                 .parts
@@ -289,34 +299,36 @@
     /// Returns what evictions for a job may cost: as much as the job loses by waiting. The wait of
     /// an urgent one counts more, and from the start, and so does that of a job much smaller than
     /// the guarantee it claims. For a guaranteed shape there is no bound.
-    fn budget(now: Timestamp, entry: &Entry, claim: Claim) -> u64 {
+    fn budget(now: Timestamp, entry: &JobEntry, reason: EvictionReason) -> u64 {
         let waited = now.since(entry.waiting_since);
         let waited_ms = waited.as_millis() as u64;
-        let worth_ms = match claim {
-            Claim::Guarantee => return u64::MAX,
-            Claim::Part if waited >= AGED_AFTER => return u64::MAX,
-            Claim::Part | Claim::Urgency => URGENT_WORTH_MS + waited_ms * URGENT_WEIGHT,
-            Claim::Age => waited_ms,
+        let value_ms = match reason {
+            EvictionReason::Guarantee => return u64::MAX,
+            EvictionReason::Part if waited >= AGED_AFTER => return u64::MAX,
+            EvictionReason::Part | EvictionReason::Urgency => {
+                URGENT_START_VALUE_MS + waited_ms * URGENT_WAIT_WEIGHT
+            }
+            EvictionReason::Age => waited_ms,
         };
-        worth_ms.saturating_mul(bulk(entry))
+        value_ms.saturating_mul(size_weight(entry))
     }
 }
 
 /// Returns whether `entry` may evict `other`. A covered job is never evicted for
 /// another.
-pub(super) fn may_evict(entry: &Entry, claim: Claim, other: &Entry) -> bool {
+pub(super) fn may_evict(entry: &JobEntry, reason: EvictionReason, other: &JobEntry) -> bool {
     let covered = other.cover.is_some();
-    match claim {
-        Claim::Guarantee => !covered,
+    match reason {
+        EvictionReason::Guarantee => !covered,
         // A workspace gains nothing if its jobs take turns in its own guarantee.
-        Claim::Part if other.spec.workspace == entry.spec.workspace => {
+        EvictionReason::Part if other.spec.workspace == entry.spec.workspace => {
             !covered
                 && (other.spec.urgency > entry.spec.urgency
                     || other.accelerators() * 2 <= entry.accelerators())
         }
-        Claim::Part => !covered,
-        Claim::Urgency => !covered && other.spec.urgency > entry.spec.urgency,
-        Claim::Age => {
+        EvictionReason::Part => !covered,
+        EvictionReason::Urgency => !covered && other.spec.urgency > entry.spec.urgency,
+        EvictionReason::Age => {
             !covered
                 && other.spec.urgency >= entry.spec.urgency
                 && other.accepted > entry.accepted
@@ -327,6 +339,6 @@
 
 /// Returns the weight of a job in the cost of stopping it and of letting it wait. A large gang
 /// waits longer until it finds room again, so the weight grows with the square.
-fn bulk(entry: &Entry) -> u64 {
+fn size_weight(entry: &JobEntry) -> u64 {
     u64::from(entry.accelerators()).pow(2)
 }
--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -12,7 +12,7 @@
     job::{
         JobId, Shape,
         inventory::Inventory,
-        placement::{Part, Seat, pick},
+        placement::{Candidate, Part, pick},
         slots::WorkerId,
     },
     utils::{HashMap, Name},
@@ -25,14 +25,14 @@
 /// All guarantees with their allotments.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Guarantees {
-    pub(super) entries: Vec<Entry>,
+    pub(super) entries: Vec<Guarantee>,
     by_workspace: HashMap<Name, Vec<GuaranteeId>>,
     on_worker: HashMap<WorkerId, Vec<GuaranteeId>>,
 }
 
 /// One guarantee.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct Guarantee {
     pub(super) workspace: Name,
     pub(super) shape: Shape,
     /// The allotment; empty where the hardware in service does not permit one.
@@ -42,7 +42,7 @@
     /// Whether it was made for one running job, and no workspace holds it.
     pub(super) temporary: bool,
     /// Whether the document still has it.
-    wanted: bool,
+    configured: bool,
 }
 
 /// The part of an allotment on one worker.
@@ -64,7 +64,7 @@
 
 /// A job that looks for a guarantee to cover it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Cover<'a> {
+pub(super) struct CoverRequest<'a> {
     pub(super) workspace: &'a Name,
     pub(super) job: &'a JobId,
     /// Where it runs or is to run.
@@ -72,10 +72,10 @@
     /// Accelerators of each task.
     pub(super) size: u32,
     /// A guarantee that is not to cover it, because another job needs that one whole.
-    pub(super) not_by: Option<GuaranteeId>,
+    pub(super) except: Option<GuaranteeId>,
 }
 
-impl Entry {
+impl Guarantee {
     fn new(workspace: &Name, shape: Shape, temporary: bool) -> Self {
         Self {
             workspace: workspace.clone(),
@@ -83,7 +83,7 @@
             shares: Vec::new(),
             jobs: Vec::new(),
             temporary,
-            wanted: true,
+            configured: true,
         }
     }
 
@@ -103,13 +103,13 @@
     }
 
     /// Returns what is not used of each share.
-    fn seats(&self, inventory: &Inventory) -> Vec<Seat> {
-        let seat = |share: &Share| Seat {
-            value: share.tasks * self.shape.accelerators - share.used,
-            ..inventory.open.seat(share.worker)
+    fn candidates(&self, inventory: &Inventory) -> Vec<Candidate> {
+        let candidate = |share: &Share| Candidate {
+            available: share.tasks * self.shape.accelerators - share.used,
+            ..inventory.allottable.candidate(share.worker)
         };
         let usable = |share: &&Share| inventory.worker(share.worker).usable();
-        self.shares.iter().filter(usable).map(seat).collect()
+        self.shares.iter().filter(usable).map(candidate).collect()
     }
 }
 
@@ -117,7 +117,7 @@
     /// Takes over the guarantees of `version`; returns the jobs that are no longer covered.
     pub(super) fn configure(&mut self, version: &Version, inventory: &mut Inventory) -> Vec<JobId> {
         for entry in &mut self.entries {
-            entry.wanted = entry.temporary;
+            entry.configured = entry.temporary;
         }
         let mut workspaces: Vec<_> = version.workspaces().collect();
         workspaces.sort_by(|a, b| a.name.cmp(&b.name));
@@ -128,10 +128,10 @@
                     accelerators: guarantee.accelerators,
                     adjacency: guarantee.adjacency,
                 };
-                self.want(&workspace.name, shape);
+                self.add_configured(&workspace.name, shape);
             }
         }
-        self.drop_unwanted(inventory)
+        self.drop_unconfigured(inventory)
     }
 
     /// Returns the guarantees of `workspace`.
@@ -155,7 +155,7 @@
         let mut ids: Vec<_> = self.of(workspace).to_vec();
         ids.sort_by_key(|id| self.entries[*id].unused());
         ids.into_iter().find_map(|id| {
-            let plan = pick(&self.entries[id].seats(inventory), shape)?;
+            let plan = pick(&self.entries[id].candidates(inventory), shape)?;
             Some((id, plan.parts))
         })
     }
@@ -170,16 +170,18 @@
         let mut ids: Vec<_> = self.of(workspace).to_vec();
         ids.sort_by_key(|id| self.entries[*id].unused());
         ids.into_iter().find_map(|id| {
-            let mut seats = self.entries[id].seats(inventory);
-            for seat in &mut seats {
-                seat.value = seat.value.min(inventory.free.value(seat.worker));
+            let mut candidates = self.entries[id].candidates(inventory);
+            for candidate in &mut candidates {
+                candidate.available = candidate
+                    .available
+                    .min(inventory.free.available(candidate.worker));
             }
-            pick(&seats, shape).map(|plan| plan.parts)
+            pick(&candidates, shape).map(|plan| plan.parts)
         })
     }
 
     /// Returns whether a guarantee of `workspace` is of about this size and not in use.
-    pub(super) fn is_whole_for(&self, workspace: &Name, accelerators: u32) -> bool {
+    pub(super) fn has_unused_for(&self, workspace: &Name, accelerators: u32) -> bool {
         let mut ids = self.of(workspace).iter();
         ids.any(|id| {
             let entry = &self.entries[*id];
@@ -192,18 +194,18 @@
     pub(super) fn cover(
         &mut self,
         inventory: &mut Inventory,
-        cover: &Cover<'_>,
+        cover: &CoverRequest<'_>,
     ) -> Option<GuaranteeId> {
-        let Cover { parts, size, .. } = *cover;
+        let CoverRequest { parts, size, .. } = *cover;
         let mut ids: Vec<_> = self.of(cover.workspace).to_vec();
-        ids.retain(|id| cover.not_by != Some(*id));
+        ids.retain(|id| cover.except != Some(*id));
         ids.sort_by_key(|id| self.entries[*id].unused());
-        let there = ids.iter().find(|id| self.contains(**id, parts, size));
-        let id = match there {
+        let containing = ids.iter().find(|id| self.contains(**id, parts, size));
+        let id = match containing {
             Some(id) => *id,
             None => ids.into_iter().find(|id| {
-                let worth = cover.not_by.is_some() || self.is_worth_moving(*id, parts, size);
-                worth && self.move_to(inventory, *id, parts, size)
+                let may_move = cover.except.is_some() || self.is_worth_moving(*id, parts, size);
+                may_move && self.move_to(inventory, *id, parts, size)
             })?,
         };
         self.cover_by(id, cover);
@@ -224,11 +226,12 @@
     pub(super) fn protect(
         &mut self,
         inventory: &mut Inventory,
-        cover: &Cover<'_>,
+        cover: &CoverRequest<'_>,
         shape: Shape,
     ) -> Option<GuaranteeId> {
         let id = self.entries.len();
-        self.entries.push(Entry::new(cover.workspace, shape, true));
+        self.entries
+            .push(Guarantee::new(cover.workspace, shape, true));
         if !self.move_to(inventory, id, cover.parts, cover.size) {
             self.entries.pop();
             return None;
@@ -262,7 +265,7 @@
     }
 
     /// Covers a job by a guarantee whose allotment contains it.
-    pub(super) fn cover_by(&mut self, id: GuaranteeId, cover: &Cover<'_>) {
+    pub(super) fn cover_by(&mut self, id: GuaranteeId, cover: &CoverRequest<'_>) {
         let entry = &mut self.entries[id];
         entry.jobs.push(cover.job.clone());
         for part in cover.parts {
@@ -308,13 +311,13 @@
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
-        which: impl Fn(&Share) -> bool,
+        selects: impl Fn(&Share) -> bool,
     ) -> Vec<Part> {
         let entry = &mut self.entries[id];
         let size = entry.shape.accelerators;
         let mut taken = Vec::new();
         entry.shares.retain(|share| {
-            let take = which(share);
+            let take = selects(share);
             if take {
                 taken.push(Part {
                     worker: share.worker,
@@ -332,27 +335,26 @@
         taken
     }
 
-    fn want(&mut self, workspace: &Name, shape: Shape) {
-        let known = self
-            .entries
-            .iter_mut()
-            .find(|e| !e.wanted && !e.temporary && e.workspace == *workspace && e.shape == shape);
+    fn add_configured(&mut self, workspace: &Name, shape: Shape) {
+        let known = self.entries.iter_mut().find(|e| {
+            !e.configured && !e.temporary && e.workspace == *workspace && e.shape == shape
+        });
         match known {
-            Some(entry) => entry.wanted = true,
-            None => self.entries.push(Entry::new(workspace, shape, false)),
+            Some(entry) => entry.configured = true,
+            None => self.entries.push(Guarantee::new(workspace, shape, false)),
         }
     }
 
     /// Drops the guarantees that the document no longer has, and numbers the rest anew.
-    fn drop_unwanted(&mut self, inventory: &mut Inventory) -> Vec<JobId> {
+    fn drop_unconfigured(&mut self, inventory: &mut Inventory) -> Vec<JobId> {
         let mut uncovered = Vec::new();
         for id in 0..self.entries.len() {
-            if !self.entries[id].wanted {
+            if !self.entries[id].configured {
                 self.take_back(inventory, id, |_| true);
                 uncovered.append(&mut self.entries[id].jobs);
             }
         }
-        self.entries.retain(|e| e.wanted);
+        self.entries.retain(|e| e.configured);
         // Temporary ones stand at the end, where they come and go without renumbering the rest.
         self.entries.sort_by_key(|e| e.temporary);
         self.by_workspace.clear();
--- a/dragonflyrun/src/job/holding.rs
+++ b/dragonflyrun/src/job/holding.rs
@@ -4,8 +4,8 @@
     job::{
         JobId, Scheduler,
         placement::Part,
-        queue::Aged,
-        scheduler::{Entry, Hold, Stage},
+        queue::AgeKey,
+        scheduler::{Hold, JobEntry, Stage},
         slots::WorkerId,
     },
     utils::{Name, Timestamp},
@@ -16,7 +16,7 @@
     pub(super) fn used_by(&self, workspace: &Name) -> u32 {
         let jobs = self.holding.get(workspace).into_iter().flatten();
         let entries = jobs.filter_map(|(_, job)| self.jobs.get(job));
-        entries.map(Entry::accelerators).sum()
+        entries.map(JobEntry::accelerators).sum()
     }
 
     /// Gives `job` the accelerators at `parts`.
@@ -28,7 +28,7 @@
             let accelerators = part.tasks.saturating_mul(entry.spec.accelerators);
             self.inventory.hold(part.worker, job, accelerators);
         }
-        entry.stage = Stage::Holds(Hold {
+        entry.stage = Stage::Holding(Hold {
             parts,
             since: now,
             stopping: false,
@@ -41,13 +41,17 @@
     /// Holds what running gangs have on a worker that is heard for the first time.
     pub(super) fn hold_unheard(&mut self, worker: WorkerId) {
         let name = self.inventory.worker(worker).info.name.clone();
-        for (job, tasks) in self.unheard.remove(&name).unwrap_or_default() {
+        for (job, tasks) in self
+            .unknown_worker_members
+            .remove(&name)
+            .unwrap_or_default()
+        {
             // What covers it covers only the members known so far.
             self.uncover(&job);
             let Some(entry) = self.jobs.get_mut(&job) else {
                 continue;
             };
-            let Stage::Holds(hold) = &mut entry.stage else {
+            let Stage::Holding(hold) = &mut entry.stage else {
                 continue;
             };
             hold.parts.push(Part { worker, tasks });
@@ -64,7 +68,7 @@
     /// Takes back what a job holds or was pledged; it waits from then on, but outside the queue.
     pub(super) fn let_go(&mut self, job: &JobId) {
         self.uncover(job);
-        for members in self.unheard.values_mut() {
+        for members in self.unknown_worker_members.values_mut() {
             members.retain(|(other, _)| other != job);
         }
         let Some(entry) = self.jobs.get_mut(job) else {
@@ -73,8 +77,8 @@
         let size = entry.spec.accelerators;
         let aged = (entry.accepted, job.clone());
         let workspace = entry.spec.workspace.clone();
-        match std::mem::replace(&mut entry.stage, Stage::Waits) {
-            Stage::Waits => return,
+        match std::mem::replace(&mut entry.stage, Stage::Waiting) {
+            Stage::Waiting => return,
             Stage::Pledged(parts) => {
                 for part in parts {
                     let pledged = i64::from(part.tasks * size);
@@ -82,9 +86,9 @@
                 }
                 self.pledged.remove(&aged);
             }
-            Stage::Holds(hold) => {
+            Stage::Holding(hold) => {
                 for part in hold.parts {
-                    let held = self.inventory.worker(part.worker).of(job);
+                    let held = self.inventory.worker(part.worker).held_by(job);
                     if hold.stopping {
                         self.inventory.stopping(part.worker, -i64::from(held));
                     }
@@ -106,9 +110,9 @@
         let Some(id) = entry.cover.take() else { return };
         let size = entry.spec.accelerators;
         let parts = match &entry.stage {
-            Stage::Waits => return,
+            Stage::Waiting => return,
             Stage::Pledged(parts) => parts,
-            Stage::Holds(hold) => &hold.parts,
+            Stage::Holding(hold) => &hold.parts,
         };
         self.guarantees.uncover(id, job, parts, size);
         let parts = parts.clone();
@@ -130,7 +134,7 @@
 
     /// Takes back the pledges on a worker; those jobs look for room elsewhere.
     pub(super) fn drop_pledges_on(&mut self, worker: WorkerId) {
-        let jobs: Vec<Aged> = self.pledged.iter().cloned().collect();
+        let jobs: Vec<AgeKey> = self.pledged.iter().cloned().collect();
         for (_, job) in jobs {
             let parts = match self.jobs.get(&job).map(|e| &e.stage) {
                 Some(Stage::Pledged(parts)) => parts,
--- a/dragonflyrun/src/job/inventory.rs
+++ b/dragonflyrun/src/job/inventory.rs
@@ -11,7 +11,7 @@
 
 /// Accelerators of one worker that are believed, at the most. The count comes from another
 /// process, and tables are as long as it.
-const MOST_ACCELERATORS: u32 = 1_024;
+const MAX_ACCELERATORS_PER_WORKER: u32 = 1_024;
 
 /// The workers and what is held on each.
 #[derive(Clone, Debug, Default)]
@@ -22,11 +22,11 @@
     domains: HashMap<Name, usize>,
     largest_worker: u32,
     /// What each worker has, whether it is up or not.
-    whole: SlotIndex,
+    capacity: SlotIndex,
     /// What is free for whoever has no pledge.
     pub(super) free: SlotIndex,
     /// What no guarantee has been allotted and no aged job has reserved.
-    pub(super) open: SlotIndex,
+    pub(super) allottable: SlotIndex,
 }
 
 /// One worker.
@@ -38,7 +38,7 @@
     /// Whether its failure domain is in service.
     pub(super) in_service: bool,
     /// Whether it fails what it starts and is left alone.
-    pub(super) set_aside: bool,
+    pub(super) quarantined: bool,
     /// What each job holds here, jobs that are being stopped included.
     pub(super) jobs: Vec<Holding>,
     held: u32,
@@ -58,7 +58,7 @@
 impl Worker {
     /// Returns whether anything may start here.
     pub(super) fn usable(&self) -> bool {
-        self.up && self.in_service && !self.set_aside
+        self.up && self.in_service && !self.quarantined
     }
 
     /// Returns the accelerators that no job holds.
@@ -68,18 +68,18 @@
 
     /// Returns what is free for a job that has neither pledge nor reservation.
     fn free(&self) -> u32 {
-        self.unpledged().saturating_sub(self.reserved)
+        self.vacant_after_pledges().saturating_sub(self.reserved)
     }
 
     /// What jobs that are being stopped will give back goes to the pledges first.
-    fn unpledged(&self) -> u32 {
-        let unmet = self.pledged.saturating_sub(self.stopping);
-        self.vacant().saturating_sub(unmet)
+    fn vacant_after_pledges(&self) -> u32 {
+        let uncovered_pledges = self.pledged.saturating_sub(self.stopping);
+        self.vacant().saturating_sub(uncovered_pledges)
     }
 
     /// Returns what guarantees may be allotted. What aged jobs have reserved is left out, so that
     /// allotments lie elsewhere by the time a large gang could start there.
-    fn open(&self) -> u32 {
+    fn allottable(&self) -> u32 {
         let taken = self.allotted + self.reserved;
         self.info.accelerators.saturating_sub(taken)
     }
@@ -93,7 +93,7 @@
 impl Inventory {
     /// Adds a worker or changes it; returns its number.
     pub(super) fn up(&mut self, mut info: WorkerInfo, in_service: bool) -> WorkerId {
-        info.accelerators = info.accelerators.min(MOST_ACCELERATORS);
+        info.accelerators = info.accelerators.min(MAX_ACCELERATORS_PER_WORKER);
         self.largest_worker = self.largest_worker.max(info.accelerators);
         let known = self.ids.get(&info.name).copied().filter(|id| {
             let old = &self.workers[*id].info;
@@ -101,11 +101,11 @@
         });
         let id = known.unwrap_or_else(|| self.add(&info));
         let worker = &mut self.workers[id];
-        self.whole.set(id, info.accelerators);
+        self.capacity.set(id, info.accelerators);
         worker.info = info;
         worker.up = true;
         worker.in_service = in_service;
-        self.refresh(id);
+        self.update_indexes(id);
         id
     }
 
@@ -127,7 +127,7 @@
     /// Changes whether a worker is usable.
     pub(super) fn change(&mut self, id: WorkerId, change: impl FnOnce(&mut Worker)) {
         change(&mut self.workers[id]);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Takes note that `job` holds `accelerators` of a worker.
@@ -138,53 +138,53 @@
             job: job.clone(),
             accelerators,
         });
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Takes note that `job` holds nothing more of a worker.
     pub(super) fn release(&mut self, id: WorkerId, job: &JobId) {
         let worker = &mut self.workers[id];
-        let given_back: u32 = worker.of(job);
+        let given_back: u32 = worker.held_by(job);
         worker.held -= given_back;
         worker.jobs.retain(|h| h.job != *job);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Changes the accelerators of a worker that jobs being stopped will give back.
     pub(super) fn stopping(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.stopping = worker.stopping.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Changes the accelerators of a worker that are kept for jobs which wait for the rest.
     pub(super) fn pledge(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.pledged = worker.pledged.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Changes the accelerators of a worker that aged jobs have reserved.
     pub(super) fn reserve(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.reserved = worker.reserved.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Returns what is vacant of a worker for a job that may use what is reserved for others.
-    pub(super) fn with_reserved(&self, id: WorkerId) -> u32 {
+    pub(super) fn vacant_with_reserved(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
             return 0;
         }
-        worker.unpledged()
+        worker.vacant_after_pledges()
     }
 
     /// Changes the accelerators of a worker that guarantees have been allotted.
     pub(super) fn allot(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.allotted = worker.allotted.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
     /// Returns whether guarantees have been allotted more of a worker than it has.
@@ -195,7 +195,7 @@
 
     /// Returns what will be free of a worker, pledges taken off, once the jobs that are being
     /// stopped have stopped.
-    pub(super) fn coming(&self, id: WorkerId) -> u32 {
+    pub(super) fn free_after_stops(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
             return 0;
@@ -205,12 +205,12 @@
 
     /// Returns whether `shape` would fit on the workers known if all were empty and in service.
     pub(super) fn could_hold(&self, shape: &Shape) -> bool {
-        self.whole.fits(shape)
+        self.capacity.fits(shape)
     }
 
     /// Makes [`Self::could_hold`] quick for tasks of `size` accelerators.
-    pub(super) fn expect_tasks_of(&mut self, size: u32) {
-        self.whole.rack_order(size);
+    pub(super) fn index_racks_for(&mut self, size: u32) {
+        self.capacity.rack_order(size);
     }
 
     /// Returns the accelerators of the largest worker that was ever known.
@@ -230,7 +230,7 @@
         // A worker that has moved to another rack is a new one; the old one stays down.
         if let Some(old) = self.id(&info.name) {
             self.change(old, |w| w.up = false);
-            self.whole.set(old, 0);
+            self.capacity.set(old, 0);
         }
         let racks = self.racks.len();
         let rack = (info.failure_domain.clone(), info.rack.clone());
@@ -239,14 +239,14 @@
         let domain = info.failure_domain.clone();
         let domain = *self.domains.entry(domain).or_insert(domains);
         self.free.add(rack, domain);
-        self.whole.add(rack, domain);
-        let id = self.open.add(rack, domain);
+        self.capacity.add(rack, domain);
+        let id = self.allottable.add(rack, domain);
         self.ids.insert(info.name.clone(), id);
         self.workers.push(Worker {
             info: info.clone(),
             up: true,
             in_service: false,
-            set_aside: false,
+            quarantined: false,
             jobs: Vec::new(),
             held: 0,
             stopping: 0,
@@ -257,21 +257,21 @@
         id
     }
 
-    fn refresh(&mut self, id: WorkerId) {
+    fn update_indexes(&mut self, id: WorkerId) {
         let worker = &self.workers[id];
-        let (mut free, mut open) = (0, 0);
+        let (mut free, mut allottable) = (0, 0);
         if worker.usable() {
             free = worker.free();
-            open = worker.open();
+            allottable = worker.allottable();
         }
         self.free.set(id, free);
-        self.open.set(id, open);
+        self.allottable.set(id, allottable);
     }
 }
 
 impl Worker {
     /// Returns the accelerators that `job` holds here.
-    pub(super) fn of(&self, job: &JobId) -> u32 {
+    pub(super) fn held_by(&self, job: &JobId) -> u32 {
         let holdings = self.jobs.iter().filter(|h| h.job == *job);
         holdings.map(|h| h.accelerators).sum()
     }
--- a/dragonflyrun/src/job/mod.rs
+++ b/dragonflyrun/src/job/mod.rs
@@ -44,10 +44,10 @@
 pub use members::Members;
 pub use planner::{Planner, PlannerAction, PlannerView, Purpose};
 pub use renewal::{LATE, Notice, Renewals};
-pub use retention::{CARRY, Carry, Item, MEMBERSHIP_CARRY, Retention};
+pub use retention::{Item, MEMBERSHIP_REPEAT, RepeatAfter, Retention, STATE_REPEAT};
 pub use ring::Ring;
 pub use scheduler::{Allotment, Scheduler, UnmetGuarantee};
-pub use spec::{JobId, JobSpec, Shape, Unreachable, WorkerInfo};
+pub use spec::{ImpossibleReason, JobId, JobSpec, Shape, WorkerInfo};
 pub use stopping::StopReason;
 pub use take_over::JobRecord;
 pub use timing::{
--- a/dragonflyrun/src/job/packing.rs
+++ b/dragonflyrun/src/job/packing.rs
@@ -3,25 +3,25 @@
 use crate::{
     job::{
         Shape,
-        placement::{Part, Seat, scope_of},
+        placement::{Candidate, Part, scope_of},
     },
     version::Adjacency,
 };
 
 /// Steps after which the search gives up, some milliseconds' worth. It is exact on a cluster of
 /// today's size unless the shapes are many and odd; beyond that it is one more heuristic.
-const MOST_STEPS: u32 = 50_000;
+const MAX_SEARCH_STEPS: u32 = 50_000;
 
 /// Shapes up to which the search is tried at all.
-const MOST_SHAPES: usize = 64;
+const MAX_SHAPES: usize = 64;
 
 /// Finds room for all of `shapes` on `seats`, or nothing.
-pub(super) fn pack(seats: &[Seat], shapes: &[Shape]) -> Option<Vec<Vec<Part>>> {
-    if shapes.len() > MOST_SHAPES {
+pub(super) fn pack(candidates: &[Candidate], shapes: &[Shape]) -> Option<Vec<Vec<Part>>> {
+    if shapes.len() > MAX_SHAPES {
         return None;
     }
     let mut search = Search {
-        seats: seats.to_vec(),
+        candidates: candidates.to_vec(),
         shapes,
         steps: 0,
         chosen: vec![Vec::new(); shapes.len()],
@@ -30,7 +30,7 @@
 }
 
 struct Search<'a> {
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
     shapes: &'a [Shape],
     steps: u32,
     chosen: Vec<Vec<Part>>,
@@ -42,7 +42,7 @@
             return true;
         };
         let mut scopes: Vec<usize> = self
-            .seats
+            .candidates
             .iter()
             .map(|s| scope_of(s, shape.adjacency))
             .collect();
@@ -60,31 +60,31 @@
         if left == 0 {
             return self.place_shape(at + 1);
         }
-        for i in from..self.seats.len() {
+        for i in from..self.candidates.len() {
             self.steps += 1;
-            if self.steps > MOST_STEPS {
+            if self.steps > MAX_SEARCH_STEPS {
                 return false;
             }
-            let seat = self.seats[i];
-            if scope_of(&seat, shape.adjacency) != scope {
+            let candidate = self.candidates[i];
+            if scope_of(&candidate, shape.adjacency) != scope {
                 continue;
             }
-            let fit = left.min(seat.value / shape.accelerators);
+            let fit = left.min(candidate.available / shape.accelerators);
             let least = match shape.adjacency {
                 Adjacency::Worker => left,
                 _ => 1,
             };
-            for here in (least..=fit).rev() {
-                self.seats[i].value -= here * shape.accelerators;
+            for tasks_here in (least..=fit).rev() {
+                self.candidates[i].available -= tasks_here * shape.accelerators;
                 self.chosen[at].push(Part {
-                    worker: seat.worker,
-                    tasks: here,
+                    worker: candidate.worker,
+                    tasks: tasks_here,
                 });
-                if self.place_tasks(at, scope, i + 1, left - here) {
+                if self.place_tasks(at, scope, i + 1, left - tasks_here) {
                     return true;
                 }
                 self.chosen[at].pop();
-                self.seats[i].value += here * shape.accelerators;
+                self.candidates[i].available += tasks_here * shape.accelerators;
             }
         }
         false
--- a/dragonflyrun/src/job/pass.rs
+++ b/dragonflyrun/src/job/pass.rs
@@ -10,9 +10,9 @@
     connection::Placement,
     job::{
         Decision, JobId, Scheduler,
-        eviction::Claim,
+        eviction::EvictionReason,
         placement::Part,
-        queue::{Aged, Class},
+        queue::{AgeKey, Class},
         scheduler::Stage,
     },
     utils::Timestamp,
@@ -29,40 +29,40 @@
 const SMALL_AGED_AFTER: Duration = Duration::from_secs(600);
 
 /// The order in which waiting jobs are looked at, the least first.
-type Rank = (Urgency, bool, Aged, Class);
+type Rank = (Urgency, bool, AgeKey, Class);
 
 impl Scheduler {
     pub(super) fn pass(&mut self, now: Timestamp) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        self.probe_workers(now);
+        self.release_due_workers(now);
         let aging = !self.queue.is_empty() && now.since(self.last_pass) >= AGING_INTERVAL;
-        if !self.stale && !aging {
+        if !self.needs_pass && !aging {
             return decisions;
         }
-        self.stale = false;
+        self.needs_pass = false;
         self.last_pass = now;
-        self.empty_domains(&mut decisions);
-        self.keep_guarantees();
+        self.evacuate_domains(&mut decisions);
+        self.update_guarantees();
         self.start_pledged(now, &mut decisions);
-        self.look_through_queue(now, &mut decisions);
+        self.scan_queue(now, &mut decisions);
         // An eviction may have left an allotment on a worker that can't honour it.
-        self.keep_guarantees();
+        self.update_guarantees();
         self.end_impossible(&mut decisions);
         decisions
     }
 
     /// Takes workers back that have been left alone long enough.
-    fn probe_workers(&mut self, now: Timestamp) {
+    fn release_due_workers(&mut self, now: Timestamp) {
         for id in self.quarantine.due(now, &self.limits) {
-            self.inventory.change(id, |w| w.set_aside = false);
+            self.inventory.change(id, |w| w.quarantined = false);
             self.changed.push(id);
-            self.stale = true;
+            self.needs_pass = true;
         }
     }
 
     /// Evicts what runs in a failure domain that is out of service. A gang with one member there
     /// is evicted whole. It is stopped with a checkpoint and goes on elsewhere from there.
-    fn empty_domains(&mut self, decisions: &mut Vec<Decision>) {
+    fn evacuate_domains(&mut self, decisions: &mut Vec<Decision>) {
         let mut leaving = Vec::new();
         for id in &self.out_of_service {
             let jobs = &self.inventory.worker(*id).jobs;
@@ -128,14 +128,14 @@
 
     /// Looks at the first job of each class: urgent ones first, then those of workspaces below
     /// their guarantees, then the oldest.
-    fn look_through_queue(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
+    fn scan_queue(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         let classes: Vec<Class> = self.queue.classes().cloned().collect();
         let mut heads: BinaryHeap<Reverse<Rank>> = BinaryHeap::new();
         for class in classes {
             heads.extend(self.rank(class).map(Reverse));
         }
-        while let Some(Reverse((_, owner, (_, job), class))) = heads.pop() {
-            if self.try_start(now, &job, &class, !owner, decisions)
+        while let Some(Reverse((_, guaranteed, (_, job), class))) = heads.pop() {
+            if self.try_start(now, &job, &class, !guaranteed, decisions)
                 && let Some(next) = self.rank(class)
             {
                 heads.push(Reverse(next));
@@ -145,8 +145,8 @@
 
     fn rank(&mut self, class: Class) -> Option<Rank> {
         let first = self.queue.first(&class)?;
-        let owner = self.has_room_by_guarantee(&class) || self.make_guarantee_whole(&class);
-        Some((class.urgency, !owner, first, class))
+        let guaranteed = self.has_guaranteed_room(&class) || self.vacate_guarantee(&class);
+        Some((class.urgency, !guaranteed, first, class))
     }
 
     /// Starts a job or pledges it room; returns whether it has left the queue.
@@ -155,7 +155,7 @@
         now: Timestamp,
         job: &JobId,
         class: &Class,
-        owner: bool,
+        guaranteed: bool,
         decisions: &mut Vec<Decision>,
     ) -> bool {
         let Some(entry) = self.jobs.get(job) else {
@@ -173,36 +173,36 @@
         }
         let waited = now.since(entry.waiting_since);
         let reservation = self.take_reservation(job);
-        if owner && let Some(parts) = self.vacant_room(class) {
-            self.leave_queue(job);
+        if guaranteed && let Some(parts) = self.vacant_room(class) {
+            self.dequeue(job);
             self.cover(job, &parts);
             self.start(now, job, parts, decisions);
             return true;
         }
         if let Some(parts) = self.inventory.free.find(&class.shape()) {
-            self.leave_queue(job);
+            self.dequeue(job);
             self.cover(job, &parts);
             self.start(now, job, parts, decisions);
             self.protect(job);
             return true;
         }
         if let Some(parts) = self.backfill(now, job) {
-            self.leave_queue(job);
+            self.dequeue(job);
             self.start(now, job, parts, decisions);
             return true;
         }
-        let claim = if owner && self.guarantees.is_whole_for(&spec.workspace, wanted) {
-            Claim::Guarantee
-        } else if owner {
-            Claim::Part
+        let reason = if guaranteed && self.guarantees.has_unused_for(&spec.workspace, wanted) {
+            EvictionReason::Guarantee
+        } else if guaranteed {
+            EvictionReason::Part
         } else if spec.urgency == Urgency::Urgent {
-            Claim::Urgency
+            EvictionReason::Urgency
         } else if waited >= self.aged_after(wanted) {
-            Claim::Age
+            EvictionReason::Age
         } else {
             return false;
         };
-        if self.make_room(now, job, claim, decisions) {
+        if self.make_room(now, job, reason, decisions) {
             return true;
         }
         self.reserve(now, job, reservation);
@@ -216,7 +216,7 @@
         }
     }
 
-    fn leave_queue(&mut self, job: &JobId) {
+    fn dequeue(&mut self, job: &JobId) {
         if let Some(entry) = self.jobs.get(job) {
             self.queue.remove(&entry.spec, entry.accepted, job);
         }
@@ -224,21 +224,21 @@
 
     /// Ends waiting jobs that can never run.
     fn end_impossible(&mut self, decisions: &mut Vec<Decision>) {
-        if !self.settled {
+        if !self.discovered_all {
             return;
         }
         let classes: Vec<Class> = self.queue.classes().cloned().collect();
         for class in classes {
             self.inventory
-                .expect_tasks_of(class.shape().accelerators.max(1));
+                .index_racks_for(class.shape().accelerators.max(1));
             let first = self.queue.first(&class);
             let Some(entry) = first.and_then(|(_, job)| self.jobs.get(&job)) else {
                 continue;
             };
-            let Err(why) = self.possible(&entry.spec) else {
+            let Err(why) = self.check_possible(&entry.spec) else {
                 continue;
             };
-            let jobs: Vec<Aged> = self.queue.jobs(&class).cloned().collect();
+            let jobs: Vec<AgeKey> = self.queue.jobs(&class).cloned().collect();
             for (accepted, job) in jobs {
                 if let Some(entry) = self.jobs.get(&job) {
                     self.queue.remove(&entry.spec, accepted, &job);
--- a/dragonflyrun/src/job/placement.rs
+++ b/dragonflyrun/src/job/placement.rs
@@ -19,11 +19,11 @@
 
 /// A worker, where it stands, and how many of its accelerators are on offer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seat {
+pub(super) struct Candidate {
     pub(super) worker: WorkerId,
     pub(super) rack: usize,
     pub(super) domain: usize,
-    pub(super) value: u32,
+    pub(super) available: u32,
 }
 
 /// One way to place a gang.
@@ -33,65 +33,72 @@
     /// How well the workers used keep their accelerators together: the change of the sum of the
     /// squares of what is left on each. It is highest where holes are filled and lowest where a
     /// whole worker is broken.
-    pub(super) kept: i64,
+    pub(super) packing_score: i64,
 }
 
 /// Returns the best way to place `tasks` of `size` accelerators on `seats`, which are sorted by
 /// value: on one worker, or filling the fullest workers first, or the emptiest.
-pub(super) fn best_of(seats: &[Seat], tasks: u32, size: u32) -> Option<Plan> {
+pub(super) fn best_of(candidates: &[Candidate], tasks: u32, size: u32) -> Option<Plan> {
     let whole = tasks.checked_mul(size)?;
-    let single = seats.iter().find(|s| s.value >= whole);
+    let single = candidates.iter().find(|s| s.available >= whole);
     let single = single.and_then(|s| fill([s], tasks, size));
-    let fullest = fill(seats, tasks, size);
-    let emptiest = fill(seats.iter().rev(), tasks, size);
+    let fullest = fill(candidates, tasks, size);
+    let emptiest = fill(candidates.iter().rev(), tasks, size);
     let plans = [emptiest, fullest, single];
     plans
         .into_iter()
         .flatten()
-        .max_by_key(|plan| (plan.kept, std::cmp::Reverse(plan.parts.len())))
+        .max_by_key(|plan| (plan.packing_score, std::cmp::Reverse(plan.parts.len())))
 }
 
 /// Places `tasks` of `size` accelerators on `seats` in their order.
-fn fill<'a>(seats: impl IntoIterator<Item = &'a Seat>, mut tasks: u32, size: u32) -> Option<Plan> {
+fn fill<'a>(
+    candidates: impl IntoIterator<Item = &'a Candidate>,
+    mut tasks: u32,
+    size: u32,
+) -> Option<Plan> {
     let mut parts = Vec::new();
-    let mut kept = 0;
-    for seat in seats {
-        let here = tasks.min(seat.value / size);
+    let mut packing_score = 0;
+    for candidate in candidates {
+        let here = tasks.min(candidate.available / size);
         if here == 0 {
             continue;
         }
         parts.push(Part {
-            worker: seat.worker,
+            worker: candidate.worker,
             tasks: here,
         });
-        let value = i64::from(seat.value);
-        let left = i64::from(seat.value - here * size);
-        kept += left * left - value * value;
+        let available = i64::from(candidate.available);
+        let left = i64::from(candidate.available - here * size);
+        packing_score += left * left - available * available;
         tasks -= here;
         if tasks == 0 {
-            return Some(Plan { parts, kept });
+            return Some(Plan {
+                parts,
+                packing_score,
+            });
         }
     }
     None
 }
 
 /// Returns where `shape` fits best on the few `seats` given.
-pub(super) fn pick(seats: &[Seat], shape: &Shape) -> Option<Plan> {
-    let mut seats = seats.to_vec();
-    seats.sort_by_key(|s| (scope_of(s, shape.adjacency), s.value, s.worker));
-    let scopes = seats.chunk_by(|a, b| {
+pub(super) fn pick(candidates: &[Candidate], shape: &Shape) -> Option<Plan> {
+    let mut candidates = candidates.to_vec();
+    candidates.sort_by_key(|s| (scope_of(s, shape.adjacency), s.available, s.worker));
+    let scopes = candidates.chunk_by(|a, b| {
         scope_of(a, shape.adjacency) == scope_of(b, shape.adjacency) //
     });
     let plans = scopes.filter_map(|scope| best_of(scope, shape.tasks, shape.accelerators));
-    plans.max_by_key(|plan| plan.kept)
+    plans.max_by_key(|plan| plan.packing_score)
 }
 
 /// Returns the number of the scope that holds all tasks of a gang with `adjacency`.
-pub(super) fn scope_of(seat: &Seat, adjacency: Adjacency) -> usize {
+pub(super) fn scope_of(candidate: &Candidate, adjacency: Adjacency) -> usize {
     match adjacency {
         Adjacency::Any => 0,
-        Adjacency::FailureDomain => seat.domain,
-        Adjacency::Rack => seat.rack,
-        Adjacency::Worker => seat.worker,
+        Adjacency::FailureDomain => candidate.domain,
+        Adjacency::Rack => candidate.rack,
+        Adjacency::Worker => candidate.worker,
     }
 }
--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -17,6 +17,7 @@
         Gang,
         GangAction,
         GangId,
+        ImpossibleReason,
         Item,
         JobId,
         JobSpec,
@@ -26,17 +27,16 @@
         Ring,
         Scheduler,
         StopReason,
-        Unreachable,
         WorkerInfo,
         closing::Closing,
-        starting::PROVED, //
+        starting::START_CONFIRMED_AFTER, //
     },
     utils::{HashMap, HashSet, Name, Timestamp},
     version::Version,
 };
 
 /// Time between two looks at the owners of keys.
-const RING_PERIOD: Duration = Duration::from_millis(500);
+const RING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a record that the planner appends is for.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -52,7 +52,7 @@
     /// To change the owners of keys.
     Ring,
     /// To repeat a state before the log drops it.
-    Carry(Item),
+    Repeat(Item),
 }
 
 /// What is to be done for the planner.
@@ -68,7 +68,7 @@
         purpose: Purpose,
     },
     /// Repeat a state, as it is on the log now, in a record.
-    Carry(Item),
+    Repeat(Item),
 }
 
 /// What the entry knows when the planner looks at its gangs.
@@ -86,10 +86,10 @@
 
 /// A live job at the planner.
 #[derive(Debug)]
-pub(super) struct Planned {
+pub(super) struct PlannedJob {
     pub(super) live: LiveJob,
     /// The last attempt of this planner, which may not have reached the log.
-    pub(super) tried: u32,
+    pub(super) last_attempt: u32,
     pub(super) gang: Option<Gang>,
     /// How long its former attempts of this planner ran.
     pub(super) ran: Duration,
@@ -107,23 +107,23 @@
     pub(super) retention: Retention,
     pub(super) scheduler: Scheduler,
     pub(super) version: Arc<Version>,
-    pub(super) jobs: HashMap<JobId, Planned>,
+    pub(super) jobs: HashMap<JobId, PlannedJob>,
     pub(super) by_worker: HashMap<Name, HashSet<JobId>>,
     /// Agents that may get work, each of which may own keys.
     pub(super) agents: BTreeSet<Name>,
     /// Jobs whose gang is not known to run steadily.
-    pub(super) touched: HashSet<JobId>,
+    pub(super) jobs_to_tick: HashSet<JobId>,
     pub(super) closing: HashMap<JobId, Closing>,
-    pub(super) resting: BTreeSet<(Timestamp, JobId)>,
-    pub(super) proving: VecDeque<(Timestamp, GangId)>,
+    pub(super) delayed_jobs: BTreeSet<(Timestamp, JobId)>,
+    pub(super) unconfirmed_starts: VecDeque<(Timestamp, GangId)>,
     pub(super) pending: HashMap<Name, Purpose>,
 }
 
-impl Planned {
+impl PlannedJob {
     pub(super) fn new(live: &LiveJob) -> Self {
         Self {
             live: live.clone(),
-            tried: live.attempt,
+            last_attempt: live.attempt,
             gang: None,
             ran: Duration::ZERO,
             impossible_since: None,
@@ -147,10 +147,10 @@
             jobs: HashMap::default(),
             by_worker: HashMap::default(),
             agents: BTreeSet::new(),
-            touched: HashSet::default(),
+            jobs_to_tick: HashSet::default(),
             closing: HashMap::default(),
-            resting: BTreeSet::new(),
-            proving: VecDeque::new(),
+            delayed_jobs: BTreeSet::new(),
+            unconfirmed_starts: VecDeque::new(),
             pending: HashMap::default(),
         }
     }
@@ -170,8 +170,8 @@
     /// # Errors
     ///
     /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), Unreachable> {
-        self.scheduler.possible(spec)
+    pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
+        self.scheduler.check_possible(spec)
     }
 
     /// Takes note of the id of a record that was queued for `purpose`.
@@ -194,7 +194,7 @@
                 }
             }
             Some(Purpose::Close(job)) => self.close_failed(now, &job),
-            Some(Purpose::Carry(item)) => self.retention.outdated(now, item),
+            Some(Purpose::Repeat(item)) => self.retention.repeat_now(now, item),
             Some(Purpose::Ring) | None => {}
         }
     }
@@ -231,7 +231,7 @@
     /// Takes note that an agent has been silent for so long that its members count as lost.
     pub fn worker_lost(&mut self, now: Timestamp, worker: &Name) {
         for job in self.jobs_on(worker) {
-            self.touched.insert(job.clone());
+            self.jobs_to_tick.insert(job.clone());
             if let Some(gang) = self.jobs.get_mut(&job).and_then(|j| j.gang.as_mut()) {
                 gang.worker_lost(now, worker);
             }
@@ -269,7 +269,7 @@
             }
         }
         for job in absent.into_iter().filter(|_| knows_worker) {
-            self.touched.insert(job.clone());
+            self.jobs_to_tick.insert(job.clone());
             if let Some(gang) = self.jobs.get_mut(&job).and_then(|j| j.gang.as_mut()) {
                 gang.report(now, agent, None);
             }
@@ -280,7 +280,7 @@
     /// Returns what is to be done now; to be called every 100 ms.
     pub fn tick(&mut self, now: Timestamp, view: &PlannerView) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
-        self.scheduler.settle(now);
+        self.scheduler.update_discovery(now);
         if let Some(term) = self.election.tick(now, &view.election) {
             let entry = self.election.me().clone();
             actions.push(append(RecordBody::Term { entry, term }, Purpose::Term));
@@ -289,13 +289,13 @@
             return actions;
         };
         self.wake_resting(now);
-        self.prove_starts(now);
+        self.confirm_starts(now);
         // A planner that may have been replaced without knowing starts nothing.
         if view.election.fresh {
             self.decide(now, term);
             self.change_owners(now, term, &view.owners, &mut actions);
             let due = self.retention.due(now, view.next_offset);
-            actions.extend(due.into_iter().map(PlannerAction::Carry));
+            actions.extend(due.into_iter().map(PlannerAction::Repeat));
         }
         self.tick_gangs(now, term, view.folded_by_all, &mut actions);
         self.append_closing(now, &mut actions);
@@ -312,7 +312,7 @@
         if now < self.next_ring {
             return;
         }
-        self.next_ring = now + RING_PERIOD;
+        self.next_ring = now + RING_INTERVAL;
         if let Some(members) = self.ring.tick(now, &self.agents, owners) {
             actions.push(append(RecordBody::Ring { term, members }, Purpose::Ring));
         }
@@ -322,30 +322,31 @@
         &mut self,
         now: Timestamp,
         term: u64,
-        folded: u64,
+        folded_by_all: u64,
         actions: &mut Vec<PlannerAction>,
     ) {
-        let touched: Vec<JobId> = self.touched.drain().collect();
-        for job in touched {
+        let jobs_to_tick: Vec<JobId> = self.jobs_to_tick.drain().collect();
+        for job in jobs_to_tick {
             let Some(gang) = self.jobs.get_mut(&job).and_then(|j| j.gang.as_mut()) else {
                 continue;
             };
             let was_running = gang.running_since().is_some();
-            for action in gang.tick(now, term, folded) {
-                self.follow(now, &job, action, actions);
+            for action in gang.tick(now, term, folded_by_all) {
+                self.apply_gang_action(now, &job, action, actions);
             }
             let Some(gang) = self.jobs.get(&job).and_then(|j| j.gang.as_ref()) else {
                 continue;
             };
             if gang.running_since().is_none() {
-                self.touched.insert(job);
+                self.jobs_to_tick.insert(job);
             } else if !was_running {
-                self.proving.push_back((now + PROVED, gang.id().clone()));
+                self.unconfirmed_starts
+                    .push_back((now + START_CONFIRMED_AFTER, gang.id().clone()));
             }
         }
     }
 
-    fn follow(
+    fn apply_gang_action(
         &mut self,
         now: Timestamp,
         job: &JobId,
--- a/dragonflyrun/src/job/quarantine.rs
+++ b/dragonflyrun/src/job/quarantine.rs
@@ -13,7 +13,7 @@
 };
 
 /// Doublings of the time for which a worker is left alone.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// Failed starts of workers, as far as they have not succeeded since.
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct FailureRecord {
-    in_a_row: u32,
+    consecutive: u32,
     doublings: u32,
     until: Option<Timestamp>,
 }
@@ -32,14 +32,14 @@
     /// Takes note of a failed start; returns whether the worker is to be set aside.
     pub(super) fn failed(&mut self, now: Timestamp, worker: WorkerId, limits: &Limits) -> bool {
         let record = self.records.entry(worker).or_default();
-        record.in_a_row += 1;
-        if record.until.is_some() || record.in_a_row < limits.worker_failures.max(1) {
+        record.consecutive += 1;
+        if record.until.is_some() || record.consecutive < limits.worker_failures.max(1) {
             return record.until.is_some();
         }
         let wait_ms = limits.quarantine_ms.saturating_mul(1 << record.doublings);
         let wait = Duration::from_millis(wait_ms);
         record.until = Some(now + wait);
-        record.doublings = (record.doublings + 1).min(MOST_DOUBLINGS);
+        record.doublings = (record.doublings + 1).min(MAX_DOUBLINGS);
         true
     }
 
@@ -54,7 +54,7 @@
         for (worker, record) in &mut self.records {
             if record.until.is_some_and(|until| until <= now) {
                 record.until = None;
-                record.in_a_row = limits.worker_failures.saturating_sub(1);
+                record.consecutive = limits.worker_failures.saturating_sub(1);
                 due.push(*worker);
             }
         }
--- a/dragonflyrun/src/job/queue.rs
+++ b/dragonflyrun/src/job/queue.rs
@@ -42,12 +42,12 @@
 }
 
 /// A waiting job in the order of its age.
-pub(super) type Aged = (u64, JobId);
+pub(super) type AgeKey = (u64, JobId);
 
 /// The waiting jobs by class and age.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    classes: BTreeMap<Class, BTreeSet<Aged>>,
+    classes: BTreeMap<Class, BTreeSet<AgeKey>>,
 }
 
 impl Queue {
@@ -75,12 +75,12 @@
     }
 
     /// Returns the oldest job of `class`.
-    pub(super) fn first(&self, class: &Class) -> Option<Aged> {
+    pub(super) fn first(&self, class: &Class) -> Option<AgeKey> {
         self.classes.get(class)?.first().cloned()
     }
 
     /// Returns all jobs of `class`, the oldest first.
-    pub(super) fn jobs(&self, class: &Class) -> impl Iterator<Item = &Aged> {
+    pub(super) fn jobs(&self, class: &Class) -> impl Iterator<Item = &AgeKey> {
         self.classes.get(class).into_iter().flatten()
     }
 }
--- a/dragonflyrun/src/job/reclaim.rs
+++ b/dragonflyrun/src/job/reclaim.rs
@@ -3,7 +3,7 @@
 use crate::{
     job::{
         JobId, Shape,
-        placement::{Part, Seat, best_of, scope_of},
+        placement::{Candidate, Part, best_of, scope_of},
         slots::WorkerId,
     },
     utils::{HashMap, HashSet},
@@ -34,17 +34,21 @@
 /// The least cost is a covering problem; what is done instead is greedy: of all sets of jobs on
 /// one worker that give another task its room, the cheapest for each task, until the shape fits;
 /// then jobs that have proved needless are left alone.
-pub(super) fn cheapest(seats: &[Seat], shape: &Shape, victims: &[Victim]) -> Vec<Eviction> {
-    let mut seats = seats.to_vec();
-    let scope = |s: &Seat| scope_of(s, shape.adjacency);
-    seats.sort_by_key(|s| (scope(s), s.worker));
-    seats.dedup_by_key(|s| s.worker);
+pub(super) fn cheapest_evictions(
+    candidates: &[Candidate],
+    shape: &Shape,
+    victims: &[Victim],
+) -> Vec<Eviction> {
+    let mut candidates = candidates.to_vec();
+    let scope = |s: &Candidate| scope_of(s, shape.adjacency);
+    candidates.sort_by_key(|s| (scope(s), s.worker));
+    candidates.dedup_by_key(|s| s.worker);
     // Tasks that share one worker are placed as one large task.
     let (tasks, size) = match shape.adjacency {
         Adjacency::Worker => (1, shape.tasks.saturating_mul(shape.accelerators)),
         _ => (shape.tasks, shape.accelerators),
     };
-    let scopes = seats.chunk_by(|a, b| scope(a) == scope(b));
+    let scopes = candidates.chunk_by(|a, b| scope(a) == scope(b));
     let mut found: Vec<Eviction> = scopes
         .filter_map(|scope| {
             let free = vec![u32::MAX; scope.len()];
@@ -62,106 +66,120 @@
 
 /// Returns the cheapest way found to make room for exactly `parts`, with `size` accelerators a
 /// task; `seats` tells what will be free of each of their workers.
-pub(super) fn exactly(
-    seats: &[Seat],
+pub(super) fn cheapest_for_parts(
+    candidates: &[Candidate],
     parts: &[Part],
     size: u32,
     victims: &[Victim],
 ) -> Option<Eviction> {
-    let most = parts.iter().map(|p| p.tasks * size).collect();
+    let caps = parts.iter().map(|p| p.tasks * size).collect();
     let tasks = parts.iter().map(|p| p.tasks).sum();
-    Search::new(seats, most, tasks, size, victims).run()
+    Search::new(candidates, caps, tasks, size, victims).run()
 }
 
 struct Search<'a> {
     /// What is free of each worker, and how much of that may be used.
-    seats: Vec<Seat>,
-    most: Vec<u32>,
-    at: HashMap<WorkerId, usize>,
+    candidates: Vec<Candidate>,
+    caps: Vec<u32>,
+    index_of: HashMap<WorkerId, usize>,
     tasks: u32,
     size: u32,
     victims: &'a [Victim],
     /// The victims that hold something on each seat.
-    on: Vec<Vec<(usize, u32)>>,
+    victims_on: Vec<Vec<(usize, u32)>>,
     chosen: HashSet<usize>,
 }
 
 /// Victims on one worker whose stop gives room for more tasks.
-struct Choice {
+struct VictimSet {
     victims: Vec<usize>,
     cost: u64,
     gain: u32,
 }
 
 impl<'a> Search<'a> {
-    fn new(seats: &[Seat], most: Vec<u32>, tasks: u32, size: u32, victims: &'a [Victim]) -> Self {
-        let at: HashMap<WorkerId, usize> =
-            seats.iter().zip(0..).map(|(s, i)| (s.worker, i)).collect();
-        let mut on = vec![Vec::new(); seats.len()];
+    fn new(
+        candidates: &[Candidate],
+        caps: Vec<u32>,
+        tasks: u32,
+        size: u32,
+        victims: &'a [Victim],
+    ) -> Self {
+        let index_of: HashMap<WorkerId, usize> = candidates
+            .iter()
+            .zip(0..)
+            .map(|(s, i)| (s.worker, i))
+            .collect();
+        let mut victims_on = vec![Vec::new(); candidates.len()];
         for (victim, number) in victims.iter().zip(0..) {
             for (worker, accelerators) in &victim.holdings {
-                if let Some(i) = at.get(worker) {
-                    on[*i].push((number, *accelerators));
+                if let Some(i) = index_of.get(worker) {
+                    victims_on[*i].push((number, *accelerators));
                 }
             }
         }
         Self {
-            seats: seats.to_vec(),
-            most,
-            at,
+            candidates: candidates.to_vec(),
+            caps,
+            index_of,
             tasks,
             size,
             victims,
-            on,
+            victims_on,
             chosen: HashSet::default(),
         }
     }
 
     fn run(mut self) -> Option<Eviction> {
         while self.slots() < self.tasks {
-            let choice = (0..self.seats.len())
-                .filter_map(|i| self.choice(i))
+            let cheapest_set = (0..self.candidates.len())
+                .filter_map(|i| self.cheapest_set(i))
                 .min_by_key(|c| c.cost / u64::from(c.gain))?;
-            for victim in choice.victims {
-                self.stop(victim);
+            for victim in cheapest_set.victims {
+                self.choose(victim);
             }
         }
-        self.spare();
-        let mut seats = self.seats.clone();
-        for (seat, most) in seats.iter_mut().zip(&self.most) {
-            seat.value = seat.value.min(*most);
+        self.drop_needless_victims();
+        let mut candidates = self.candidates.clone();
+        for (candidate, cap) in candidates.iter_mut().zip(&self.caps) {
+            candidate.available = candidate.available.min(*cap);
         }
-        seats.sort_by_key(|s| (s.value, s.worker));
-        let parts = best_of(&seats, self.tasks, self.size)?.parts;
+        candidates.sort_by_key(|s| (s.available, s.worker));
+        let parts = best_of(&candidates, self.tasks, self.size)?.parts;
         Some(Eviction {
             parts,
             cost: self.chosen.iter().map(|v| self.victims[*v].cost).sum(),
-            jobs: self.sorted().map(|v| self.victims[v].job.clone()).collect(),
+            jobs: self
+                .chosen_in_order()
+                .map(|v| self.victims[v].job.clone())
+                .collect(),
         })
     }
 
     fn slots(&self) -> u32 {
-        (0..self.seats.len()).map(|i| self.slots_with(i, 0)).sum()
+        (0..self.candidates.len())
+            .map(|i| self.slots_with(i, 0))
+            .sum()
     }
 
     /// Returns how many tasks fit on a seat once `freed` more accelerators are free.
-    fn slots_with(&self, seat: usize, freed: u32) -> u32 {
-        let value = self.seats[seat].value + freed;
-        value.min(self.most[seat]) / self.size
+    fn slots_with(&self, candidate: usize, freed: u32) -> u32 {
+        let value = self.candidates[candidate].available + freed;
+        value.min(self.caps[candidate]) / self.size
     }
 
     /// Returns the cheapest choice found on one seat: the cheapest victims together, or a single
     /// one that is enough.
-    fn choice(&self, seat: usize) -> Option<Choice> {
-        let slots = self.slots_with(seat, 0);
-        let mut left: Vec<(usize, u32)> = self.on[seat]
+    fn cheapest_set(&self, candidate: usize) -> Option<VictimSet> {
+        let slots = self.slots_with(candidate, 0);
+        let mut left: Vec<(usize, u32)> = self.victims_on[candidate]
             .iter()
             .copied()
             .filter(|(v, _)| !self.chosen.contains(v))
             .collect();
         left.sort_by_key(|(v, held)| (self.victims[*v].cost / u64::from(*held).max(1), *v));
         let needed = self.tasks - self.slots();
-        let mut together = Choice {
+        let mut together = VictimSet {
             victims: Vec::new(),
             cost: 0,
             gain: 0,
@@ -171,54 +189,54 @@
             freed += held;
             together.victims.push(*victim);
             together.cost += self.victims[*victim].cost;
-            together.gain = (self.slots_with(seat, freed) - slots).min(needed);
+            together.gain = (self.slots_with(candidate, freed) - slots).min(needed);
             if together.gain > 0 {
                 break;
             }
         }
-        let single = left.iter().filter_map(|(victim, held)| {
-            let gain = (self.slots_with(seat, *held) - slots).min(needed);
-            (gain > 0).then(|| Choice {
+        let singles = left.iter().filter_map(|(victim, held)| {
+            let gain = (self.slots_with(candidate, *held) - slots).min(needed);
+            (gain > 0).then(|| VictimSet {
                 victims: vec![*victim],
                 cost: self.victims[*victim].cost,
                 gain,
             })
         });
-        single
+        singles
             .chain((together.gain > 0).then_some(together))
             .min_by_key(|c| c.cost / u64::from(c.gain))
     }
 
-    fn stop(&mut self, victim: usize) {
+    fn choose(&mut self, victim: usize) {
         if self.chosen.insert(victim) {
             for (worker, held) in &self.victims[victim].holdings {
-                if let Some(i) = self.at.get(worker) {
-                    self.seats[*i].value += held;
+                if let Some(i) = self.index_of.get(worker) {
+                    self.candidates[*i].available += held;
                 }
             }
         }
     }
 
     /// Takes victims out of the choice, the costliest first, as long as the shape still fits.
-    fn spare(&mut self) {
-        let mut chosen: Vec<usize> = self.sorted().collect();
+    fn drop_needless_victims(&mut self) {
+        let mut chosen: Vec<usize> = self.chosen_in_order().collect();
         chosen.sort_by_key(|v| std::cmp::Reverse(self.victims[*v].cost));
         for victim in chosen {
-            let before = self.seats.clone();
+            let before = self.candidates.clone();
             for (worker, held) in &self.victims[victim].holdings {
-                if let Some(i) = self.at.get(worker) {
-                    self.seats[*i].value -= held;
+                if let Some(i) = self.index_of.get(worker) {
+                    self.candidates[*i].available -= held;
                 }
             }
             if self.slots() >= self.tasks {
                 self.chosen.remove(&victim);
             } else {
-                self.seats = before;
+                self.candidates = before;
             }
         }
     }
 
-    fn sorted(&self) -> impl Iterator<Item = usize> + use<> {
+    fn chosen_in_order(&self) -> impl Iterator<Item = usize> + use<> {
         let mut chosen: Vec<usize> = self.chosen.iter().copied().collect();
         chosen.sort_unstable();
         chosen.into_iter()
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -10,10 +10,10 @@
 use crate::{
     job::{
         JobId, Scheduler,
-        eviction::{Claim, may_evict},
-        placement::{Part, Seat, pick},
-        queue::Aged,
-        scheduler::{Entry, Stage},
+        eviction::{EvictionReason, may_evict},
+        placement::{Candidate, Part, pick},
+        queue::AgeKey,
+        scheduler::{JobEntry, Stage},
         slots::WorkerId,
     },
     utils::{HashMap, HashSet, Timestamp},
@@ -75,7 +75,7 @@
 
     /// Takes all reservations back.
     pub(super) fn drop_reservations(&mut self) {
-        let jobs: Vec<Aged> = self.reservations.keys().cloned().collect();
+        let jobs: Vec<AgeKey> = self.reservations.keys().cloned().collect();
         for (_, job) in jobs {
             self.take_reservation(&job);
         }
@@ -125,17 +125,23 @@
         let closed = self.closed_to(now, entry);
         let workers = self.reservations.values().flat_map(|r| &r.parts);
         let lenders: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
-        let mut seats: Vec<Seat> = lenders
+        let mut seats: Vec<Candidate> = lenders
             .iter()
             .map(|worker| {
                 let closed = closed.get(worker).copied().unwrap_or(0);
-                Seat {
-                    value: self.inventory.with_reserved(*worker).saturating_sub(closed),
-                    ..self.inventory.free.seat(*worker)
+                Candidate {
+                    available: self
+                        .inventory
+                        .vacant_with_reserved(*worker)
+                        .saturating_sub(closed),
+                    ..self.inventory.free.candidate(*worker)
                 }
             })
             .collect();
-        let roomiest = self.inventory.free.roomiest(entry.spec.tasks as usize);
+        let roomiest = self
+            .inventory
+            .free
+            .most_available(entry.spec.tasks as usize);
         seats.extend(
             roomiest
                 .into_iter()
@@ -147,12 +153,12 @@
     /// Returns what is reserved of each worker and not lent to `entry`. Room is lent to a job that
     /// the holder may evict, that is expected to end before the holder could start, or that is
     /// older than the holder.
-    pub(super) fn closed_to(&self, now: Timestamp, entry: &Entry) -> HashMap<WorkerId, u32> {
+    pub(super) fn closed_to(&self, now: Timestamp, entry: &JobEntry) -> HashMap<WorkerId, u32> {
         let expected = self.estimates.run_time(&entry.spec);
         let mut closed = HashMap::default();
         for ((accepted, holder), reservation) in &self.reservations {
             let holder = self.jobs.get(holder);
-            let movable = holder.is_some_and(|h| may_evict(h, Claim::Age, entry));
+            let movable = holder.is_some_and(|h| may_evict(h, EvictionReason::Age, entry));
             let in_time = now + expected < reservation.ready;
             if movable || in_time || entry.accepted < *accepted {
                 continue;
@@ -168,11 +174,11 @@
     fn earliest(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
         let entry = self.jobs.get(job)?.clone();
         let shape = entry.spec.shape();
-        let mut seats = self.seats_to_compare(&entry);
+        let mut seats = self.eviction_candidates(&entry);
         let closed = self.closed_to(now, &entry);
         for seat in &mut seats {
             let closed = closed.get(&seat.worker).copied().unwrap_or(0);
-            seat.value = seat.value.saturating_sub(closed);
+            seat.available = seat.available.saturating_sub(closed);
         }
         let mut ends = self.ends(now, &entry, &seats);
         ends.sort_by_key(|e| e.at);
@@ -180,7 +186,7 @@
         let mut due = ends.into_iter().peekable();
         loop {
             while let Some(end) = due.next_if(|e| e.at <= at) {
-                seats[end.seat].value += end.accelerators;
+                seats[end.seat].available += end.accelerators;
             }
             if let Some(plan) = pick(&seats, &shape) {
                 return Some(Reservation {
@@ -194,14 +200,14 @@
     }
 
     /// Returns when the accelerators on `seats` are expected to be free for `entry`.
-    fn ends(&self, now: Timestamp, entry: &Entry, seats: &[Seat]) -> Vec<End> {
+    fn ends(&self, now: Timestamp, entry: &JobEntry, seats: &[Candidate]) -> Vec<End> {
         let mut ends = Vec::new();
         for (seat, i) in seats.iter().zip(0..) {
             for holding in &self.inventory.worker(seat.worker).jobs {
                 let Some(other) = self.jobs.get(&holding.job) else {
                     continue;
                 };
-                let Stage::Holds(hold) = &other.stage else {
+                let Stage::Holding(hold) = &other.stage else {
                     continue;
                 };
                 // What is being stopped is counted as coming already.
@@ -209,7 +215,7 @@
                     continue;
                 }
                 let expected = hold.since + self.estimates.run_time(&other.spec);
-                let at = match may_evict(entry, Claim::Age, other) {
+                let at = match may_evict(entry, EvictionReason::Age, other) {
                     true => now,
                     false if expected > now => expected,
                     false => now + OVERDUE,
@@ -230,7 +236,7 @@
             .all(|p| self.inventory.worker(p.worker).usable())
     }
 
-    fn aged(&self, job: &JobId) -> Option<Aged> {
+    fn aged(&self, job: &JobId) -> Option<AgeKey> {
         let entry = self.jobs.get(job)?;
         Some((entry.accepted, job.clone()))
     }
--- a/dragonflyrun/src/job/retention.rs
+++ b/dragonflyrun/src/job/retention.rs
@@ -17,7 +17,7 @@
 
 /// How old a state may become on the log before it is repeated, whichever comes first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Carry {
+pub struct RepeatAfter {
     /// Records that follow it.
     pub records: u64,
     /// Time that passes, on a log that is quiet.
@@ -25,19 +25,19 @@
 }
 
 /// How often each live job and the configuration are repeated.
-pub const CARRY: Carry = Carry {
+pub const STATE_REPEAT: RepeatAfter = RepeatAfter {
     records: 4_000,
     time: Duration::from_secs(600),
 };
 
 /// How often the membership is repeated.
-pub const MEMBERSHIP_CARRY: Carry = Carry {
+pub const MEMBERSHIP_REPEAT: RepeatAfter = RepeatAfter {
     records: 500,
     time: Duration::from_secs(120),
 };
 
 /// States of one kind repeated at once, at the most, so that they do not delay other records.
-const AT_ONCE: usize = 64;
+const MAX_REPEATS_PER_CALL: usize = 64;
 
 /// A state that lives on the log.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -51,33 +51,33 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Written {
+struct LastWritten {
     offset: u64,
     at: Timestamp,
-    outdated: bool,
+    repeat_now: bool,
 }
 
 /// Knows for each live state where the log last has the whole of it.
 #[derive(Debug)]
 pub struct Retention {
-    membership: Lane,
-    others: Lane,
+    membership: RepeatQueue,
+    others: RepeatQueue,
 }
 
 /// States that are repeated equally often.
 #[derive(Debug)]
-struct Lane {
-    carry: Carry,
-    items: HashMap<Item, Written>,
+struct RepeatQueue {
+    repeat_after: RepeatAfter,
+    items: HashMap<Item, LastWritten>,
     /// In the order of writing; an element that differs from `items` is out of date.
-    queue: VecDeque<(Item, Written)>,
+    queue: VecDeque<(Item, LastWritten)>,
 }
 
 impl Default for Retention {
     fn default() -> Self {
         Self {
-            membership: Lane::new(MEMBERSHIP_CARRY),
-            others: Lane::new(CARRY),
+            membership: RepeatQueue::new(MEMBERSHIP_REPEAT),
+            others: RepeatQueue::new(STATE_REPEAT),
         }
     }
 }
@@ -85,18 +85,18 @@
 impl Retention {
     /// Takes note that the log has the whole state of `item` at `offset`.
     pub fn written(&mut self, now: Timestamp, item: Item, offset: u64) {
-        let written = Written {
+        let written = LastWritten {
             offset,
             at: now,
-            outdated: false,
+            repeat_now: false,
         };
-        self.lane(&item).written(item, written);
+        self.queue_of(&item).written(item, written);
     }
 
     /// Takes note of a record on `item` at `offset`. The whole state needs all records since it was
     /// last repeated, so the first of them counts.
     pub fn changed(&mut self, now: Timestamp, item: Item, offset: u64) {
-        if !self.lane(&item).items.contains_key(&item) {
+        if !self.queue_of(&item).items.contains_key(&item) {
             self.written(now, item, offset);
         }
     }
@@ -104,20 +104,20 @@
     /// Takes note that `item` is to be repeated at once: the log changed between the moment at
     /// which it was read and that at which it was repeated, so a reader that starts at the repeated
     /// state would miss the change.
-    pub fn outdated(&mut self, now: Timestamp, item: Item) {
-        let written = Written {
+    pub fn repeat_now(&mut self, now: Timestamp, item: Item) {
+        let written = LastWritten {
             offset: 0,
             at: now,
-            outdated: true,
+            repeat_now: true,
         };
-        let lane = self.lane(&item);
-        lane.items.insert(item.clone(), written);
-        lane.queue.push_front((item, written));
+        let queue_of = self.queue_of(&item);
+        queue_of.items.insert(item.clone(), written);
+        queue_of.queue.push_front((item, written));
     }
 
     /// Takes note that `item` is over.
-    pub fn over(&mut self, item: &Item) {
-        self.lane(item).items.remove(item);
+    pub fn forget(&mut self, item: &Item) {
+        self.queue_of(item).items.remove(item);
     }
 
     /// Returns what is to be repeated now, where the log ends at `next_offset`. What is returned
@@ -128,7 +128,7 @@
         due
     }
 
-    fn lane(&mut self, item: &Item) -> &mut Lane {
+    fn queue_of(&mut self, item: &Item) -> &mut RepeatQueue {
         match item {
             Item::Membership => &mut self.membership,
             Item::Configuration | Item::Job(_) => &mut self.others,
@@ -136,28 +136,28 @@
     }
 }
 
-impl Lane {
-    fn new(carry: Carry) -> Self {
+impl RepeatQueue {
+    fn new(repeat_after: RepeatAfter) -> Self {
         Self {
-            carry,
+            repeat_after,
             items: HashMap::default(),
             queue: VecDeque::new(),
         }
     }
 
-    fn written(&mut self, item: Item, written: Written) {
+    fn written(&mut self, item: Item, written: LastWritten) {
         self.items.insert(item.clone(), written);
         self.queue.push_back((item, written));
     }
 
     fn due(&mut self, now: Timestamp, next_offset: u64) -> Vec<Item> {
-        let again = Written {
+        let again = LastWritten {
             offset: next_offset,
             at: now,
-            outdated: false,
+            repeat_now: false,
         };
         let mut due = Vec::new();
-        while due.len() < AT_ONCE {
+        while due.len() < MAX_REPEATS_PER_CALL {
             let Some((item, written)) = self.queue.front() else {
                 break;
             };
@@ -176,9 +176,9 @@
         due
     }
 
-    fn is_due(&self, now: Timestamp, next_offset: u64, written: &Written) -> bool {
-        written.outdated
-            || next_offset.saturating_sub(written.offset) > self.carry.records
-            || now.since(written.at) > self.carry.time
+    fn is_due(&self, now: Timestamp, next_offset: u64, written: &LastWritten) -> bool {
+        written.repeat_now
+            || next_offset.saturating_sub(written.offset) > self.repeat_after.records
+            || now.since(written.at) > self.repeat_after.time
     }
 }
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -11,13 +11,13 @@
 use crate::{
     connection::Placement,
     job::{
-        Decision, JobId, JobSpec, LiveJob, Shape, Unreachable, UsageReport, WorkerInfo,
+        Decision, ImpossibleReason, JobId, JobSpec, LiveJob, Shape, UsageReport, WorkerInfo,
         estimate::Estimates,
         guarantee::{GuaranteeId, Guarantees},
         inventory::Inventory,
         placement::Part,
         quarantine::Quarantine,
-        queue::{Aged, Queue},
+        queue::{AgeKey, Queue},
         reservation::Reservation,
         slots::WorkerId,
     },
@@ -26,12 +26,12 @@
 };
 
 /// Ended jobs whose late usage is still learned from.
-const REMEMBERED_JOBS: usize = 4_096;
+const MAX_ENDED_JOBS: usize = 4_096;
 
 /// Time without a new worker after which the workers known are taken to be all there are. An entry
 /// that has just started hears its agents one after the other, and must not call a job impossible
 /// because it has not heard enough of them yet.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+const DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// The decision table that the planner asks.
 ///
@@ -50,15 +50,15 @@
     pub(super) inventory: Inventory,
     pub(super) guarantees: Guarantees,
     pub(super) queue: Queue,
-    pub(super) jobs: HashMap<JobId, Entry>,
+    pub(super) jobs: HashMap<JobId, JobEntry>,
     pub(super) estimates: Estimates,
     pub(super) quarantine: Quarantine,
     /// Jobs of each workspace that hold accelerators or are pledged some.
-    pub(super) holding: HashMap<Name, BTreeSet<Aged>>,
+    pub(super) holding: HashMap<Name, BTreeSet<AgeKey>>,
     /// Aged jobs with the room that is reserved for them.
-    pub(super) reservations: BTreeMap<Aged, Reservation>,
+    pub(super) reservations: BTreeMap<AgeKey, Reservation>,
     /// Jobs that wait for the rest of their pledge.
-    pub(super) pledged: BTreeSet<Aged>,
+    pub(super) pledged: BTreeSet<AgeKey>,
     /// Workers in failure domains that are out of service.
     pub(super) out_of_service: BTreeSet<WorkerId>,
     /// Workers whose state has changed since the guarantees were last settled.
@@ -66,13 +66,13 @@
     /// Workspaces whose borrowing jobs may now be covered by a guarantee.
     pub(super) uncovered: BTreeSet<Name>,
     /// Whether something has changed since the last pass over the queue.
-    pub(super) stale: bool,
+    pub(super) needs_pass: bool,
     pub(super) last_pass: Timestamp,
     last_new_worker: Timestamp,
-    pub(super) settled: bool,
+    pub(super) discovered_all: bool,
     /// Members of running gangs on workers that were not heard of yet. A planner that takes over
     /// knows the placements from the log before it hears the agents.
-    pub(super) unheard: HashMap<Name, Vec<(JobId, u32)>>,
+    pub(super) unknown_worker_members: HashMap<Name, Vec<(JobId, u32)>>,
     /// Shapes of ended jobs, for usage that is reported late.
     ended: HashMap<JobId, JobSpec>,
     ended_order: std::collections::VecDeque<JobId>,
@@ -80,7 +80,7 @@
 
 /// What the scheduler keeps of a live job.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct JobEntry {
     pub(super) spec: JobSpec,
     pub(super) accepted: u64,
     pub(super) waiting_since: Timestamp,
@@ -94,11 +94,11 @@
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
     /// It waits for room.
-    Waits,
+    Waiting,
     /// Room was chosen; it starts when all of it is vacant.
     Pledged(Vec<Part>),
     /// It holds its accelerators.
-    Holds(Hold),
+    Holding(Hold),
 }
 
 /// The accelerators that a job holds.
@@ -132,7 +132,7 @@
     pub held: bool,
 }
 
-impl Entry {
+impl JobEntry {
     pub(super) fn accelerators(&self) -> u32 {
         self.spec.tasks.saturating_mul(self.spec.accelerators)
     }
@@ -155,15 +155,15 @@
                 self.inventory.change(id, |w| w.in_service = in_service);
                 self.changed.push(id);
             }
-            self.note_service(id, in_service);
+            self.set_in_service(id, in_service);
         }
-        let before = self.covers();
+        let before = self.covered_jobs();
         self.guarantees.configure(version, &mut self.inventory);
-        self.restore_covers(before);
+        self.renumber_covers(before);
         self.uncovered
             .extend(version.workspaces().map(|w| w.name.clone()));
         self.version = Some(version.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     /// Takes note of a new or changed worker.
@@ -178,14 +178,14 @@
             return;
         }
         let id = self.inventory.up(info, in_service);
-        self.note_service(id, in_service);
+        self.set_in_service(id, in_service);
         if known != Some(id) {
             self.last_new_worker = now;
-            self.settled = false;
+            self.discovered_all = false;
             self.hold_unheard(id);
         }
         self.changed.push(id);
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     /// Takes note that a worker is lost, silent or leaving: nothing starts there. What it holds
@@ -197,7 +197,7 @@
             self.inventory.change(id, |w| w.up = false);
             self.drop_pledges_on(id);
             self.changed.push(id);
-            self.stale = true;
+            self.needs_pass = true;
         }
     }
 
@@ -205,7 +205,7 @@
     /// waits again.
     pub fn job_waits(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
-            if !matches!(entry.stage, Stage::Holds(_)) {
+            if !matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
             self.let_go(&job.job);
@@ -215,22 +215,23 @@
             self.queue.insert(&job.spec, job.accepted, &job.job);
         }
         self.jobs
-            .insert(job.job.clone(), Entry::new(now, job, evictions));
-        self.stale = true;
+            .insert(job.job.clone(), JobEntry::new(now, job, evictions));
+        self.needs_pass = true;
     }
 
     /// Takes note of a job that is reserved or running at its placements, also when a planner
     /// takes over.
     pub fn job_runs(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
-            if matches!(entry.stage, Stage::Holds(_)) {
+            if matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
             self.let_go(&job.job);
             self.take_reservation(&job.job);
             self.queue.remove(&job.spec, job.accepted, &job.job);
         }
-        self.jobs.insert(job.job.clone(), Entry::new(now, job, 0));
+        self.jobs
+            .insert(job.job.clone(), JobEntry::new(now, job, 0));
         let mut parts = Vec::new();
         for Placement { worker, tasks } in &job.placements {
             match self.inventory.id(worker) {
@@ -239,14 +240,17 @@
                     tasks: *tasks,
                 }),
                 None => {
-                    let unheard = self.unheard.entry(worker.clone()).or_default();
-                    unheard.push((job.job.clone(), *tasks));
+                    let unknown_worker_members = self
+                        .unknown_worker_members
+                        .entry(worker.clone())
+                        .or_default();
+                    unknown_worker_members.push((job.job.clone(), *tasks));
                 }
             }
         }
         self.hold(now, &job.job, parts);
         self.uncovered.insert(job.spec.workspace.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     /// Takes note of a job that has ended on all its workers for certain.
@@ -257,8 +261,8 @@
             return;
         };
         self.queue.remove(&entry.spec, entry.accepted, job);
-        self.remember(job, entry.spec);
-        self.stale = true;
+        self.remember_ended(job, entry.spec);
+        self.needs_pass = true;
     }
 
     /// Takes note that a worker could not start what it was given.
@@ -267,10 +271,10 @@
             && self.quarantine.failed(now, id, &self.limits)
         {
             log::warn!(worker:% = worker; "worker_set_aside");
-            self.inventory.change(id, |w| w.set_aside = true);
+            self.inventory.change(id, |w| w.quarantined = true);
             self.drop_pledges_on(id);
             self.changed.push(id);
-            self.stale = true;
+            self.needs_pass = true;
         }
     }
 
@@ -278,10 +282,10 @@
     pub fn start_succeeded(&mut self, _now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker) {
             self.quarantine.succeeded(id);
-            if self.inventory.worker(id).set_aside {
-                self.inventory.change(id, |w| w.set_aside = false);
+            if self.inventory.worker(id).quarantined {
+                self.inventory.change(id, |w| w.quarantined = false);
                 self.changed.push(id);
-                self.stale = true;
+                self.needs_pass = true;
             }
         }
     }
@@ -303,22 +307,22 @@
     /// # Errors
     ///
     /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), Unreachable> {
+    pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         if spec.tasks == 0 || spec.accelerators == 0 {
-            return Err(Unreachable::Empty);
+            return Err(ImpossibleReason::Empty);
         }
         let wanted = spec.tasks.saturating_mul(spec.accelerators);
         if self.quota(&spec.workspace).is_some_and(|q| wanted > q) {
-            return Err(Unreachable::OverQuota);
+            return Err(ImpossibleReason::OverQuota);
         }
-        if !self.settled {
+        if !self.discovered_all {
             return Ok(());
         }
         if spec.accelerators > self.inventory.largest_worker() {
-            return Err(Unreachable::TaskTooLarge);
+            return Err(ImpossibleReason::TaskTooLarge);
         }
         if !self.inventory.could_hold(&spec.shape()) {
-            return Err(Unreachable::GangTooLarge);
+            return Err(ImpossibleReason::GangTooLarge);
         }
         Ok(())
     }
@@ -327,8 +331,8 @@
     /// others, in no order of importance. Which ones are left out is decided in turns: each time
     /// the workspace that has the smallest share of what it was promised comes first.
     pub fn unmet(&self) -> Vec<UnmetGuarantee> {
-        let lacking = self.guarantees.lacking().into_iter();
-        lacking
+        let incomplete = self.guarantees.incomplete().into_iter();
+        incomplete
             .map(|id| {
                 let entry = &self.guarantees.entries[id];
                 UnmetGuarantee {
@@ -343,7 +347,7 @@
     /// be evicted for another's.
     pub fn borrows(&self, job: &JobId) -> bool {
         let entry = self.jobs.get(job);
-        entry.is_some_and(|e| matches!(e.stage, Stage::Holds(_)) && e.cover.is_none())
+        entry.is_some_and(|e| matches!(e.stage, Stage::Holding(_)) && e.cover.is_none())
     }
 
     /// Returns whether a running job lies outside its workspace's guarantees, but is not evicted
@@ -375,17 +379,17 @@
 
     /// Returns what is to be done now; what is returned counts as under way.
     pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
-        self.settle(now);
+        self.update_discovery(now);
         self.pass(now)
     }
 
     /// Takes note that no new worker has come for some seconds, where that is so, upon which
     /// [`possible`](Self::possible) can tell what no set of workers holds. An entry that is not
     /// planner decides nothing, but has to refuse such jobs all the same.
-    pub fn settle(&mut self, now: Timestamp) {
-        if !self.settled && now.since(self.last_new_worker) >= SETTLED_AFTER {
-            self.settled = true;
-            self.stale = true;
+    pub fn update_discovery(&mut self, now: Timestamp) {
+        if !self.discovered_all && now.since(self.last_new_worker) >= DISCOVERY_TIME {
+            self.discovered_all = true;
+            self.needs_pass = true;
         }
     }
 
@@ -394,7 +398,7 @@
         workspace.quota_accelerators
     }
 
-    fn note_service(&mut self, worker: WorkerId, in_service: bool) {
+    fn set_in_service(&mut self, worker: WorkerId, in_service: bool) {
         match in_service {
             true => self.out_of_service.remove(&worker),
             false => self.out_of_service.insert(worker),
@@ -402,13 +406,13 @@
     }
 
     /// Returns which job each guarantee covers, by what does not change with the document.
-    fn covers(&self) -> HashSet<JobId> {
+    fn covered_jobs(&self) -> HashSet<JobId> {
         let covered = self.jobs.iter().filter(|(_, e)| e.cover.is_some());
         covered.map(|(job, _)| job.clone()).collect()
     }
 
     /// Sets the numbers of the guarantees that cover jobs, after they were numbered anew.
-    fn restore_covers(&mut self, before: HashSet<JobId>) {
+    fn renumber_covers(&mut self, before: HashSet<JobId>) {
         for job in before {
             if let Some(entry) = self.jobs.get_mut(&job) {
                 entry.cover = None;
@@ -423,11 +427,11 @@
         }
     }
 
-    fn remember(&mut self, job: &JobId, spec: JobSpec) {
+    fn remember_ended(&mut self, job: &JobId, spec: JobSpec) {
         if self.ended.insert(job.clone(), spec).is_none() {
             self.ended_order.push_back(job.clone());
         }
-        if self.ended_order.len() > REMEMBERED_JOBS
+        if self.ended_order.len() > MAX_ENDED_JOBS
             && let Some(old) = self.ended_order.pop_front()
         {
             self.ended.remove(&old);
@@ -435,7 +439,7 @@
     }
 }
 
-impl Entry {
+impl JobEntry {
     fn new(now: Timestamp, job: &LiveJob, evictions: u32) -> Self {
         Self {
             spec: job.spec.clone(),
@@ -443,7 +447,7 @@
             waiting_since: now,
             evictions,
             cover: None,
-            stage: Stage::Waits,
+            stage: Stage::Waiting,
         }
     }
 }
--- a/dragonflyrun/src/job/slots.rs
+++ b/dragonflyrun/src/job/slots.rs
@@ -8,7 +8,7 @@
 use crate::{
     job::{
         Shape,
-        placement::{Part, Seat, best_of},
+        placement::{Candidate, Part, best_of},
     },
     utils::HashMap,
     version::Adjacency,
@@ -19,7 +19,7 @@
 
 /// Racks that are compared for one placement. The first has the fewest slots to spare; a few more
 /// are looked at because slots don't say how many whole workers a rack keeps.
-const COMPARED_RACKS: usize = 4;
+const MAX_COMPARED_RACKS: usize = 4;
 
 /// A worker's place in the order: fewest accelerators first, then the most broken rack, so that
 /// whole racks come last.
@@ -28,7 +28,7 @@
 /// Workers with a count of accelerators each, by rack and failure domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotIndex {
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
     racks: Vec<Rack>,
     domains: Vec<Scope>,
     all: Scope,
@@ -81,55 +81,55 @@
 impl SlotIndex {
     /// Adds a worker without accelerators; workers are added in the order of their numbers.
     pub(super) fn add(&mut self, rack: usize, domain: usize) -> WorkerId {
-        let worker = self.seats.len();
+        let worker = self.candidates.len();
         if self.racks.len() <= rack {
             self.racks.resize_with(rack + 1, Rack::default);
         }
         if self.domains.len() <= domain {
             self.domains.resize_with(domain + 1, Scope::default);
         }
-        self.seats.push(Seat {
+        self.candidates.push(Candidate {
             worker,
             rack,
             domain,
-            value: 0,
+            available: 0,
         });
-        self.unlink(rack);
+        self.remove_rack_keys(rack);
         self.racks[rack].members.push(worker);
         self.racks[rack].counts.add(0);
         self.domains[domain].counts.add(0);
         self.all.counts.add(0);
-        self.link(rack);
+        self.insert_rack_keys(rack);
         worker
     }
 
     /// Returns the count of `worker`.
-    pub(super) fn value(&self, worker: WorkerId) -> u32 {
-        self.seats[worker].value
+    pub(super) fn available(&self, worker: WorkerId) -> u32 {
+        self.candidates[worker].available
     }
 
     /// Returns where `worker` stands, with its count.
-    pub(super) fn seat(&self, worker: WorkerId) -> Seat {
-        self.seats[worker]
+    pub(super) fn candidate(&self, worker: WorkerId) -> Candidate {
+        self.candidates[worker]
     }
 
     /// Sets the count of `worker`.
     pub(super) fn set(&mut self, worker: WorkerId, value: u32) {
-        let seat = self.seats[worker];
-        if seat.value == value {
+        let candidate = self.candidates[worker];
+        if candidate.available == value {
             return;
         }
-        self.unlink(seat.rack);
+        self.remove_rack_keys(candidate.rack);
         for counts in [
-            &mut self.racks[seat.rack].counts,
-            &mut self.domains[seat.domain].counts,
+            &mut self.racks[candidate.rack].counts,
+            &mut self.domains[candidate.domain].counts,
             &mut self.all.counts,
         ] {
-            counts.remove(seat.value);
+            counts.remove(candidate.available);
             counts.add(value);
         }
-        self.seats[worker].value = value;
-        self.link(seat.rack);
+        self.candidates[worker].available = value;
+        self.insert_rack_keys(candidate.rack);
     }
 
     /// Returns where `shape` fits best, if it fits.
@@ -181,45 +181,54 @@
 
     /// Returns the members of the racks with the most room for tasks of `size`, `most` racks at
     /// the most.
-    pub(super) fn roomiest_racks(&mut self, size: u32, most: usize) -> Vec<Vec<Seat>> {
+    pub(super) fn racks_with_most_slots(
+        &mut self,
+        size: u32,
+        max_racks: usize,
+    ) -> Vec<Vec<Candidate>> {
         let racks: Vec<usize> = self
             .rack_order(size)
             .iter()
             .rev()
-            .take(most)
+            .take(max_racks)
             .map(|(_, rack)| *rack)
             .collect();
-        racks.into_iter().map(|rack| self.seats_of(rack)).collect()
+        racks
+            .into_iter()
+            .map(|rack| self.candidates_in(rack))
+            .collect()
     }
 
     /// Returns the workers with the most room in each failure domain, `most` of each at the most.
-    pub(super) fn roomiest_by_domain(&self, most: usize) -> Vec<Vec<Seat>> {
-        let roomiest = |d: &Scope| {
-            let workers = d.order.iter().rev().take(most);
-            workers.map(|(_, _, w)| self.seats[*w]).collect()
+    pub(super) fn most_available_by_domain(&self, max_workers: usize) -> Vec<Vec<Candidate>> {
+        let most_available = |d: &Scope| {
+            let workers = d.order.iter().rev().take(max_workers);
+            workers.map(|(_, _, w)| self.candidates[*w]).collect()
         };
-        self.domains.iter().map(roomiest).collect()
+        self.domains.iter().map(most_available).collect()
     }
 
     /// Returns the workers with the most room, `most` at the most.
-    pub(super) fn roomiest(&self, most: usize) -> Vec<Seat> {
-        let workers = self.all.order.iter().rev().take(most);
-        workers.map(|(_, _, w)| self.seats[*w]).collect()
+    pub(super) fn most_available(&self, max_workers: usize) -> Vec<Candidate> {
+        let workers = self.all.order.iter().rev().take(max_workers);
+        workers.map(|(_, _, w)| self.candidates[*w]).collect()
     }
 
     fn find_rack(&mut self, shape: &Shape) -> Option<Vec<Part>> {
         let racks: Vec<usize> = self
             .rack_order(shape.accelerators)
             .range((shape.tasks, 0)..)
-            .take(COMPARED_RACKS)
+            .take(MAX_COMPARED_RACKS)
             .map(|(_, rack)| *rack)
             .collect();
         let plans = racks.into_iter().filter_map(|rack| {
-            let mut seats = self.seats_of(rack);
-            seats.sort_by_key(|s| (s.value, s.worker));
-            best_of(&seats, shape.tasks, shape.accelerators)
+            let mut candidates = self.candidates_in(rack);
+            candidates.sort_by_key(|s| (s.available, s.worker));
+            best_of(&candidates, shape.tasks, shape.accelerators)
         });
-        plans.max_by_key(|plan| plan.kept).map(|plan| plan.parts)
+        plans
+            .max_by_key(|plan| plan.packing_score)
+            .map(|plan| plan.parts)
     }
 
     /// Returns the best of three ways to fill the workers of `scope`; only as many workers are
@@ -230,27 +239,37 @@
             accelerators,
             ..
         } = *shape;
-        let most = tasks as usize;
-        let seat = |key: &Key| self.seats[key.2];
+        let max_workers = tasks as usize;
+        let candidate = |key: &Key| self.candidates[key.2];
         let from = (accelerators, 0, 0);
-        let mut seats: Vec<Seat> = scope.order.range(from..).take(most).map(seat).collect();
-        let last = scope.order.range(from..).rev().take(most).map(seat);
+        let mut candidates: Vec<Candidate> = scope
+            .order
+            .range(from..)
+            .take(max_workers)
+            .map(candidate)
+            .collect();
+        let last = scope
+            .order
+            .range(from..)
+            .rev()
+            .take(max_workers)
+            .map(candidate);
         let whole = tasks.saturating_mul(accelerators);
-        let single = scope.order.range((whole, 0, 0)..).take(1).map(seat);
-        seats.extend(last.chain(single));
-        seats.sort_by_key(|s| (s.value, self.racks[s.rack].counts.sum, s.worker));
-        seats.dedup_by_key(|s| s.worker);
-        best_of(&seats, tasks, accelerators).map(|plan| plan.parts)
+        let single = scope.order.range((whole, 0, 0)..).take(1).map(candidate);
+        candidates.extend(last.chain(single));
+        candidates.sort_by_key(|s| (s.available, self.racks[s.rack].counts.sum, s.worker));
+        candidates.dedup_by_key(|s| s.worker);
+        best_of(&candidates, tasks, accelerators).map(|plan| plan.parts)
     }
 
     /// Returns the workers in the rack of `worker`, itself included.
-    pub(super) fn rack_of(&self, worker: WorkerId) -> Vec<Seat> {
-        self.seats_of(self.seats[worker].rack)
+    pub(super) fn rack_members(&self, worker: WorkerId) -> Vec<Candidate> {
+        self.candidates_in(self.candidates[worker].rack)
     }
 
-    fn seats_of(&self, rack: usize) -> Vec<Seat> {
+    fn candidates_in(&self, rack: usize) -> Vec<Candidate> {
         let members = self.racks[rack].members.iter();
-        members.map(|w| self.seats[*w]).collect()
+        members.map(|w| self.candidates[*w]).collect()
     }
 
     /// Returns the racks by their slots for tasks of `size`. The order is made at the first use
@@ -263,31 +282,31 @@
         })
     }
 
-    fn unlink(&mut self, rack: usize) {
+    fn remove_rack_keys(&mut self, rack: usize) {
         for (size, order) in &mut self.rack_orders {
             order.remove(&(self.racks[rack].counts.slots(*size), rack));
         }
-        self.relink(rack, |order, key| {
+        self.update_worker_keys(rack, |order, key| {
             order.remove(&key);
         });
     }
 
-    fn link(&mut self, rack: usize) {
+    fn insert_rack_keys(&mut self, rack: usize) {
         for (size, order) in &mut self.rack_orders {
             order.insert((self.racks[rack].counts.slots(*size), rack));
         }
-        self.relink(rack, |order, key| {
+        self.update_worker_keys(rack, |order, key| {
             order.insert(key);
         });
     }
 
     /// Takes each member of `rack` in or out of the orders: its key holds the rack's sum.
-    fn relink(&mut self, rack: usize, change: impl Fn(&mut BTreeSet<Key>, Key)) {
+    fn update_worker_keys(&mut self, rack: usize, change: impl Fn(&mut BTreeSet<Key>, Key)) {
         let Rack { members, counts } = &self.racks[rack];
         for worker in members {
-            let seat = self.seats[*worker];
-            let key = (seat.value, counts.sum, *worker);
-            change(&mut self.domains[seat.domain].order, key);
+            let candidate = self.candidates[*worker];
+            let key = (candidate.available, counts.sum, *worker);
+            change(&mut self.domains[candidate.domain].order, key);
             change(&mut self.all.order, key);
         }
     }
--- a/dragonflyrun/src/job/spec.rs
+++ b/dragonflyrun/src/job/spec.rs
@@ -68,7 +68,7 @@
 /// Why a shape can never be had from the workers known.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unreachable {
+pub enum ImpossibleReason {
     /// No task or no accelerator was asked for.
     Empty,
     /// No worker has the accelerators of one task.
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -4,23 +4,23 @@
 
 use crate::{
     connection::{JobEnd, MemberReport, MemberState},
-    job::{Decision, Gang, GangId, JobId, Planner, StopReason, Unreachable},
+    job::{Decision, Gang, GangId, ImpossibleReason, JobId, Planner, StopReason},
     utils::{Name, Timestamp},
 };
 
 /// Workers that one job may bring into disrepute by failing on them. Some jobs can never run, and
 /// must not have all workers set aside one after the other.
-pub(super) const BLAMED_WORKERS: usize = 2;
+pub(super) const MAX_BLAMED_WORKERS_PER_JOB: usize = 2;
 
 /// How long a shape must not be had from the workers known before an accepted job is ended for it.
 /// A planner that was replaced lately may not have heard of a worker that is away for a while.
-const IMPOSSIBLE_FOR: Duration = Duration::from_secs(600);
+const IMPOSSIBLE_END_AFTER: Duration = Duration::from_secs(600);
 
 /// Time between two looks at a job whose shape can't be had.
-const IMPOSSIBLE_PAUSE: Duration = Duration::from_secs(15);
+const IMPOSSIBLE_RETRY_DELAY: Duration = Duration::from_secs(15);
 
 /// How long a gang has to run to count as well started, and a task that fails sooner as badly.
-pub(super) const PROVED: Duration = Duration::from_millis(10_000);
+pub(super) const START_CONFIRMED_AFTER: Duration = Duration::from_millis(10_000);
 
 impl Planner {
     pub(super) fn decide(&mut self, now: Timestamp, term: u64) {
@@ -34,40 +34,41 @@
                         continue;
                     }
                     planned.impossible_since = None;
-                    planned.tried = planned.tried.max(planned.live.attempt) + 1;
+                    planned.last_attempt = planned.last_attempt.max(planned.live.attempt) + 1;
                     let id = GangId {
                         job: job.clone(),
                         term,
-                        attempt: planned.tried,
+                        attempt: planned.last_attempt,
                     };
                     log::info!(job:% = job, attempt = id.attempt; "gang_reserving");
                     let gang = Gang::reserve(now, id, planned.live.clone(), &placements);
                     self.place(gang);
                 }
                 Decision::Evict { job, .. } => self.stop_gang(now, &job, StopReason::Evicted),
-                Decision::Impossible { job, why } => self.impossible(now, &job, why),
+                Decision::Impossible { job, why } => self.handle_impossible(now, &job, why),
             }
         }
     }
 
-    pub(super) fn impossible(&mut self, now: Timestamp, job: &JobId, why: Unreachable) {
+    pub(super) fn handle_impossible(&mut self, now: Timestamp, job: &JobId, why: ImpossibleReason) {
         let Some(planned) = self.jobs.get_mut(job) else {
             return;
         };
         let since = *planned.impossible_since.get_or_insert(now);
         log::warn!(job:% = job, why:? = why; "job_impossible");
-        if now.since(since) > IMPOSSIBLE_FOR {
+        if now.since(since) > IMPOSSIBLE_END_AFTER {
             self.end(now, job, JobEnd::Impossible);
         } else {
-            self.resting.insert((now + IMPOSSIBLE_PAUSE, job.clone()));
+            self.delayed_jobs
+                .insert((now + IMPOSSIBLE_RETRY_DELAY, job.clone()));
         }
     }
 
-    pub(super) fn prove_starts(&mut self, now: Timestamp) {
-        while let Some((at, _)) = self.proving.front()
+    pub(super) fn confirm_starts(&mut self, now: Timestamp) {
+        while let Some((at, _)) = self.unconfirmed_starts.front()
             && *at <= now
         {
-            let Some((_, id)) = self.proving.pop_front() else {
+            let Some((_, id)) = self.unconfirmed_starts.pop_front() else {
                 return;
             };
             let gang = self.jobs.get(&id.job).and_then(|j| j.gang.as_ref());
@@ -81,17 +82,19 @@
 
     pub(super) fn member_state(&mut self, now: Timestamp, agent: &Name, member: &MemberReport) {
         let job = &member.gang.job;
-        self.touched.insert(job.clone());
+        self.jobs_to_tick.insert(job.clone());
         let Some(gang) = self.jobs.get_mut(job).and_then(|j| j.gang.as_mut()) else {
             return;
         };
-        let young = gang.running_since().is_none_or(|at| now.since(at) < PROVED);
-        let before = gang.report(now, agent, Some(member.state));
-        if before == Some(member.state) {
+        let recent = gang
+            .running_since()
+            .is_none_or(|at| now.since(at) < START_CONFIRMED_AFTER);
+        let previous = gang.report(now, agent, Some(member.state));
+        if previous == Some(member.state) {
             return;
         }
         match member.state {
-            MemberState::Failed | MemberState::Refused if young => self.blame(now, job, agent),
+            MemberState::Failed | MemberState::Refused if recent => self.blame(now, job, agent),
             MemberState::Finished => self.scheduler.start_succeeded(now, agent),
             _ => {}
         }
@@ -101,7 +104,8 @@
         let Some(planned) = self.jobs.get_mut(job) else {
             return;
         };
-        let known = planned.blamed.len() < BLAMED_WORKERS || planned.blamed.contains_key(worker);
+        let known = planned.blamed.len() < MAX_BLAMED_WORKERS_PER_JOB
+            || planned.blamed.contains_key(worker);
         if !known {
             return;
         }
@@ -120,7 +124,7 @@
             let jobs = self.by_worker.entry(worker.clone()).or_default();
             jobs.insert(job.clone());
         }
-        self.touched.insert(job.clone());
+        self.jobs_to_tick.insert(job.clone());
         if let Some(planned) = self.jobs.get_mut(&job) {
             planned.gang = Some(gang);
         }
@@ -149,7 +153,7 @@
     }
 
     pub(super) fn stop_gang(&mut self, now: Timestamp, job: &JobId, reason: StopReason) {
-        self.touched.insert(job.clone());
+        self.jobs_to_tick.insert(job.clone());
         if let Some(gang) = self.jobs.get_mut(job).and_then(|j| j.gang.as_mut()) {
             gang.stop(now, reason);
         }
--- a/dragonflyrun/src/job/take_over.rs
+++ b/dragonflyrun/src/job/take_over.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     connection::{Carried, JobEnd, Record, RecordBody},
-    job::{Gang, Item, JobId, LiveJob, Planner, StopReason, planner::Planned},
+    job::{Gang, Item, JobId, LiveJob, Planner, StopReason, planner::PlannedJob},
     utils::Timestamp,
 };
 
@@ -76,8 +76,8 @@
     fn take_over(&mut self, now: Timestamp, offset: u64) {
         self.step_down(now);
         // Whoever starts now may find the log without the records that these came from.
-        self.retention.outdated(now, Item::Membership);
-        self.retention.outdated(now, Item::Configuration);
+        self.retention.repeat_now(now, Item::Membership);
+        self.retention.repeat_now(now, Item::Configuration);
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in jobs {
             let Some(planned) = self.jobs.get(&job) else {
@@ -95,17 +95,17 @@
     }
 
     fn step_down(&mut self, now: Timestamp) {
-        self.touched.clear();
+        self.jobs_to_tick.clear();
         self.closing.clear();
-        self.resting.clear();
-        self.proving.clear();
+        self.delayed_jobs.clear();
+        self.unconfirmed_starts.clear();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
         for job in jobs {
             self.unplace(&job);
             let Some(planned) = self.jobs.get_mut(&job) else {
                 continue;
             };
-            planned.tried = planned.live.attempt;
+            planned.last_attempt = planned.live.attempt;
             if !planned.live.is_placed() {
                 self.scheduler.job_waits(now, &planned.live);
             }
@@ -123,7 +123,7 @@
         let planned = self
             .jobs
             .entry(job.clone())
-            .or_insert_with(|| Planned::new(live));
+            .or_insert_with(|| PlannedJob::new(live));
         let before = std::mem::replace(&mut planned.live, live.clone());
         if live.is_placed() {
             self.scheduler.job_runs(now, live);
@@ -149,7 +149,7 @@
 
     /// Brings the planner's gang of `job` in line with the log.
     fn follow_log(&mut self, now: Timestamp, job: &JobId, live: &LiveJob, offset: u64) {
-        self.touched.insert(job.clone());
+        self.jobs_to_tick.insert(job.clone());
         let gang = self.jobs.get_mut(job).and_then(|j| j.gang.as_mut());
         match gang {
             Some(gang) if live.is_placed() && *gang.id() == live.gang() => {
@@ -176,7 +176,7 @@
     fn on_ended(&mut self, now: Timestamp, job: &JobId, end: JobEnd) {
         self.unplace(job);
         self.closing.remove(job);
-        self.retention.over(&Item::Job(job.clone()));
+        self.retention.forget(&Item::Job(job.clone()));
         if self.jobs.remove(job).is_some() {
             log::info!(job:% = job, end:? = end; "job_ended");
         }
@@ -210,13 +210,13 @@
         if whole {
             self.retention.written(now, item, offset);
         } else {
-            self.retention.outdated(now, item);
+            self.retention.repeat_now(now, item);
         }
     }
 
     /// Takes in a job whose first records the log had dropped before this process read it.
     fn learn(&mut self, now: Timestamp, live: &LiveJob) {
-        self.jobs.insert(live.job.clone(), Planned::new(live));
+        self.jobs.insert(live.job.clone(), PlannedJob::new(live));
         if live.is_placed() {
             self.scheduler.job_runs(now, live);
         } else {
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -211,7 +211,7 @@
                 let id = self.cx.appender.append(*body);
                 table.appended(id, purpose);
             }
-            PlannerAction::Carry(item) => carried.push(item),
+            PlannerAction::Repeat(item) => carried.push(item),
         }
     }
 
@@ -224,7 +224,7 @@
         if let Some(body) = body {
             let mut table = lock(&self.table);
             let id = self.cx.appender.append(RecordBody::Carried(body));
-            table.appended(id, Purpose::Carry(item));
+            table.appended(id, Purpose::Repeat(item));
         }
     }
 
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -8,8 +8,8 @@
 use crate::{
     connection::{Carried, MemberReport, Record, RecordBody, Report, Role},
     job::{
-        AUTONOMY, ElectionView, Item, JobId, JobRecord, JobSpec, Notice, Planner, PlannerAction,
-        PlannerView, Purpose, Renewals, Unreachable, WorkerInfo,
+        AUTONOMY, ElectionView, ImpossibleReason, Item, JobId, JobRecord, JobSpec, Notice, Planner,
+        PlannerAction, PlannerView, Purpose, Renewals, WorkerInfo,
     },
     process::{FRESH, Folded, Ledger, PeerState, Roster, SILENCE},
     utils::{HashMap, Name, Timestamp},
@@ -128,8 +128,8 @@
     /// # Errors
     ///
     /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), Unreachable> {
-        self.planner.possible(spec)
+    pub fn possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
+        self.planner.check_possible(spec)
     }
 
     /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
--- a/dragonflyrun/src/process/status.rs
+++ b/dragonflyrun/src/process/status.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     connection::{JobEnd, Placement, Role},
-    job::{JobId, Unreachable},
+    job::{ImpossibleReason, JobId},
     utils::Name,
     version::Urgency, //
 };
@@ -215,7 +215,7 @@
     /// The job is not known.
     UnknownJob,
     /// The job's shape can never be had.
-    Impossible(Unreachable),
+    Impossible(ImpossibleReason),
     /// As many jobs wait or run as may.
     TooManyJobs,
     /// The log does not take records now.
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -403,10 +403,10 @@
             match action {
                 PlannerAction::Send(notice) => self.notify(i, notice),
                 PlannerAction::Append { body, purpose } => self.queue_append(i, &body, purpose),
-                PlannerAction::Carry(item) => {
+                PlannerAction::Repeat(item) => {
                     if let Some(body) = carried_body(&self.nodes[i].ledger, &item) {
                         let body = RecordBody::Carried(body);
-                        self.queue_append(i, &body, Purpose::Carry(item));
+                        self.queue_append(i, &body, Purpose::Repeat(item));
                     }
                 }
             }
--- a/dragonflyrun/tests/impossible_jobs.rs
+++ b/dragonflyrun/tests/impossible_jobs.rs
@@ -2,7 +2,7 @@
 
 mod gang_world;
 
-use dragonflyrun::job::Unreachable;
+use dragonflyrun::job::ImpossibleReason;
 
 use gang_world::{World, node::RoleTable, sleeping};
 
@@ -23,7 +23,13 @@
             panic!("{} is not an entry", entry.name);
         };
         assert_eq!(table.possible(&sleeping(2, 1, 1_000)), Ok(()));
-        assert_eq!(table.possible(&too_wide), Err(Unreachable::GangTooLarge));
-        assert_eq!(table.possible(&too_large), Err(Unreachable::TaskTooLarge));
+        assert_eq!(
+            table.possible(&too_wide),
+            Err(ImpossibleReason::GangTooLarge)
+        );
+        assert_eq!(
+            table.possible(&too_large),
+            Err(ImpossibleReason::TaskTooLarge)
+        );
     }
 }
--- a/dragonflyrun/tests/job_policy.rs
+++ b/dragonflyrun/tests/job_policy.rs
@@ -5,7 +5,7 @@
 use dragonflyrun::{
     Document, JobSpec, Name, Timestamp,
     connection::Placement,
-    job::{Decision, JobId, LiveJob, Scheduler, Unreachable, WorkerInfo},
+    job::{Decision, ImpossibleReason, JobId, LiveJob, Scheduler, WorkerInfo},
     version::{Adjacency, FailureDomain, Section, Urgency, Version, Workspace},
 };
 
@@ -139,7 +139,10 @@
     assert_eq!(started(&scheduler.decide(at(20))).len(), 1);
     let mut over = small(3);
     over.spec.tasks = 2;
-    assert_eq!(scheduler.possible(&over.spec), Err(Unreachable::OverQuota));
+    assert_eq!(
+        scheduler.check_possible(&over.spec),
+        Err(ImpossibleReason::OverQuota)
+    );
 }
 
 /// Operators take a failure domain out while a gang runs across both. The gang is evicted whole,
@@ -181,23 +184,23 @@
     scheduler.configure(&version(&[]));
     let gang = job(1, Urgency::Normal, 2, 8);
     scheduler.worker_up(at(0), worker("m", "murau"));
-    assert_eq!(scheduler.possible(&gang.spec), Ok(()));
+    assert_eq!(scheduler.check_possible(&gang.spec), Ok(()));
     scheduler.job_waits(at(0), &gang);
     assert!(scheduler.decide(at(1)).is_empty());
     let ended = Decision::Impossible {
         job: gang.job.clone(),
-        why: Unreachable::GangTooLarge,
+        why: ImpossibleReason::GangTooLarge,
     };
     assert_eq!(scheduler.decide(at(10)), [ended]);
     assert_eq!(
-        scheduler.possible(&job(2, Urgency::Normal, 1, 9).spec),
-        Err(Unreachable::TaskTooLarge)
+        scheduler.check_possible(&job(2, Urgency::Normal, 1, 9).spec),
+        Err(ImpossibleReason::TaskTooLarge)
     );
     // A worker that is down, or out of service, counts: it may return.
     scheduler.worker_up(at(11), worker("l", "leoben"));
     scheduler.worker_down(at(12), &"l".into());
     scheduler.decide(at(20));
-    assert_eq!(scheduler.possible(&gang.spec), Ok(()));
+    assert_eq!(scheduler.check_possible(&gang.spec), Ok(()));
 }
 
 /// A planner is lost and another takes over. It reads from the log where gangs run before it has
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -8,13 +8,13 @@
 use dragonflyrun::{
     connection::{Edit, LogRecord, Placement, Record, RecordBody},
     job::{
-        CARRY,
         ElectionView,
         JobSpec,
         LiveJob,
-        MEMBERSHIP_CARRY,
+        MEMBERSHIP_REPEAT,
         PlannerAction,
         PlannerView, //
+        STATE_REPEAT,
     },
     process::{GangTable, Ledger, TickView, carried_body},
     utils::{HashSet, Name, Timestamp},
@@ -24,7 +24,7 @@
 const SEEDS: u64 = 8;
 
 /// Records that the log keeps, at the least.
-const KEPT: u64 = CARRY.records + MEMBERSHIP_CARRY.records + 1_000;
+const KEPT: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
 
 /// A planner's entry with a log in memory.
 struct Planner {
@@ -96,9 +96,9 @@
         for action in self.table.tick(now, &view) {
             let (body, purpose) = match action {
                 PlannerAction::Append { body, purpose } => (*body, purpose),
-                PlannerAction::Carry(item) => match carried_body(&self.ledger, &item) {
+                PlannerAction::Repeat(item) => match carried_body(&self.ledger, &item) {
                     Some(body) => {
-                        let purpose = dragonflyrun::job::Purpose::Carry(item);
+                        let purpose = dragonflyrun::job::Purpose::Repeat(item);
                         (RecordBody::Carried(body), purpose)
                     }
                     None => continue,
