--- a/dragonflyrun/src/job/allotment.rs
+++ b/dragonflyrun/src/job/allotment.rs
@@ -1,4 +1,5 @@
-//! Where guarantees are allotted: when workers come and go, and when jobs start elsewhere.
+//! Allotment of guarantees to workers, updated when workers come and go and when jobs start outside
+//! an allotment.
 
 use crate::{
     job::{
@@ -13,11 +14,12 @@
     version::Adjacency,
 };
 
-/// Workers up to which the exact search is tried.
+/// Maximum number of workers with which the exact search is tried.
 const MAX_EXACT_WORKERS: usize = 64;
 
 impl Guarantees {
-    /// Allots the tasks that a guarantee lacks, next to those it has; returns whether it is whole.
+    /// Allots the missing tasks of a guarantee next to the tasks that it has; returns whether it is
+    /// complete.
     pub(super) fn complete(&mut self, inventory: &mut Inventory, id: GuaranteeId) -> bool {
         let entry = &self.entries[id];
         let allotted: u32 = entry.shares.iter().map(|s| s.tasks).sum();
@@ -42,9 +44,9 @@
         true
     }
 
-    /// Moves the allotment of a guarantee without jobs so that it contains `parts`. Allotments
-    /// without jobs that are in the way are moved elsewhere; where one of them can't be, all
-    /// stays as it was.
+    /// Moves the allotment of a guarantee without jobs so that it contains `parts`. Other
+    /// allotments without jobs that are in the way are moved elsewhere; if one of them can't be,
+    /// nothing changes. Returns whether the allotment was moved.
     pub(super) fn move_to(
         &mut self,
         inventory: &mut Inventory,
@@ -79,7 +81,8 @@
         done
     }
 
-    /// Takes back allotments without jobs until `wanted` is open; adds them to `moved`.
+    /// Removes allotments without jobs until `wanted` is allottable, and adds them to `moved`;
+    /// returns whether that succeeded.
     fn clear_workers(
         &mut self,
         inventory: &mut Inventory,
@@ -102,8 +105,8 @@
         })
     }
 
-    /// Moves allotments away from the workers in `changed` that can't honour them, and allots
-    /// what is not allotted yet. Returns whether all guarantees are allotted.
+    /// Moves allotments away from the workers in `changed` that can't provide them any more, and
+    /// allots guarantees that are incomplete. Returns whether all guarantees are complete.
     pub(super) fn reallot(&mut self, inventory: &mut Inventory, changed: &[WorkerId]) -> bool {
         for worker in changed {
             self.withdraw_from(inventory, *worker);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Returns the guarantees that the hardware in service does not permit.
+    /// Returns the guarantees that aren't completely allotted.
     pub(super) fn incomplete(&self) -> Vec<GuaranteeId> {
         let is_incomplete = |id: &GuaranteeId| {
             let entry = &self.entries[*id];
@@ -137,8 +140,8 @@
         (0..self.entries.len()).filter(is_incomplete).collect()
     }
 
-    /// Takes back what is allotted on a worker that is not usable, or has fewer accelerators than
-    /// are allotted. Where a job holds its place, the rest of its allotment stays next to it.
+    /// Removes allotments on a worker that isn't usable or has fewer accelerators than are
+    /// allotted. If a job is in an allotment, the shares on other workers stay where they are.
     fn withdraw_from(&mut self, inventory: &mut Inventory, worker: WorkerId) {
         let usable = inventory.worker(worker).usable();
         if usable && !inventory.is_over_allotted(worker) {
@@ -153,9 +156,9 @@
         }
     }
 
-    /// Allots all guarantees without jobs anew: those hardest to place first; if that leaves one
-    /// out, by exact search; if that fails too, the hardware does not permit them all, and
-    /// workspaces take turns.
+    /// Allots all guarantees without jobs anew. First they are allotted one by one, those that are
+    /// hardest to place first; if one of them doesn't fit, by exact search. If that fails too, the
+    /// hardware can't meet them all, and workspaces take turns.
     fn allot_all(&mut self, inventory: &mut Inventory) -> bool {
         let mut movable: Vec<GuaranteeId> = (0..self.entries.len())
             .filter(|id| self.entries[*id].movable())
@@ -209,7 +212,7 @@
         true
     }
 
-    /// Allots one guarantee after the other, each time to the workspace that has the smallest
+    /// Allots one guarantee after the other, each time for the workspace that has the smallest
     /// share of what it was promised.
     fn allot_in_turns(&mut self, inventory: &mut Inventory, ids: Vec<GuaranteeId>) {
         let mut shares: HashMap<Name, WorkspaceShare> = HashMap::default();
@@ -239,8 +242,8 @@
     }
 }
 
-/// Returns the tasks of `shape` that cover `parts`, if they are near enough to each other and no
-/// more than the shape has.
+/// Returns the tasks of `shape` that contain `parts`; none if the parts aren't within one scope of
+/// its adjacency or need more tasks than the shape has.
 fn round_up(inventory: &Inventory, shape: &Shape, parts: &[Part], size: u32) -> Option<Vec<Part>> {
     let scope = |p: &Part| scope_of(&inventory.allottable.candidate(p.worker), shape.adjacency);
     let first = parts.first().map(scope)?;
@@ -258,7 +261,7 @@
     (tasks <= shape.tasks).then_some(wanted)
 }
 
-/// Returns workers near enough to `at` to take the rest of `shape`, those with most room first.
+/// Returns the workers that may take the rest of `shape` given its adjacency to `at`.
 fn neighbours(inventory: &mut Inventory, at: &Candidate, shape: &Shape) -> Vec<Candidate> {
     let max_workers = shape.tasks as usize;
     match shape.adjacency {
@@ -272,7 +275,7 @@
     }
 }
 
-/// What a workspace has of what it was promised, in accelerators.
+/// The accelerators that are promised and allotted to a workspace.
 #[derive(Clone, Copy, Debug, Default)]
 struct WorkspaceShare {
     allotted: u64,
--- a/dragonflyrun/src/job/covers.rs
+++ b/dragonflyrun/src/job/coverage.rs
@@ -1,4 +1,4 @@
-//! Which guarantee covers which running job.
+//! Assignment of running jobs to the guarantees that cover them.
 
 use crate::{
     job::{
@@ -12,8 +12,8 @@
 };
 
 impl Scheduler {
-    /// Sees to it that each guarantee is allotted, and that workspaces' own jobs count towards
-    /// their guarantees before they count as borrowing.
+    /// Updates the allotments, and covers jobs of a workspace by its guarantees, so that they don't
+    /// count as borrowing as long as there is room.
     pub(super) fn update_guarantees(&mut self) {
         let changed = std::mem::take(&mut self.changed);
         let uncovered = std::mem::take(&mut self.uncovered);
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Allots the guarantees without regard to temporary ones, and puts those back that still can
-    /// be had.
+    /// Allots the guarantees without the temporary ones, then restores those temporary ones that
+    /// still fit.
     fn reallot_without_temporary(&mut self) {
         let entries = self.guarantees.entries.iter();
         let temporary = entries.filter(|e| e.temporary).flat_map(|e| &e.jobs);
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Keeps a running or pledged job that borrows from being evicted, if it is as large as a
-    /// worker and all guarantees can be had beside it. A large gang that is evicted waits long
-    /// until it finds room again; small jobs are evicted in its place.
+    /// Protects a borrowing job that is running or has room pledged from eviction, if it is at
+    /// least as large as a worker and all guarantees can be allotted beside it. A large gang that
+    /// is evicted waits long until it finds room again, so small jobs are evicted instead.
     pub(super) fn protect(&mut self, job: &JobId) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Covers `job` at `parts` by one of its workspace's guarantees, if that can be done.
+    /// Covers `job` at `parts` by one of its workspace's guarantees, if possible; returns whether
+    /// it is covered.
     pub(super) fn cover(&mut self, job: &JobId, parts: &[Part]) -> bool {
         let Some(entry) = self.jobs.get_mut(job) else {
             return false;
@@ -116,12 +117,12 @@
         room.is_some()
     }
 
-    /// Tries to empty a guarantee that could hold `class`, by covering the smaller jobs in it by
-    /// other guarantees of the workspace.
+    /// Tries to vacate a guarantee that could hold `class`, by covering the jobs in it by other
+    /// guarantees of the workspace; returns whether there is room for `class` then.
     ///
     /// A burst of small jobs spills from a small guarantee into a large one. When the jobs of the
     /// small one end first, the large one stays in use although the small one could cover the
-    /// rest, and a job of the large one's shape would wait.
+    /// remaining jobs, and a job of the large one's shape would have to wait.
     pub(super) fn vacate_guarantee(&mut self, class: &Class) -> bool {
         let shape = class.shape();
         let mut in_use = self.guarantees.of(&class.workspace).to_vec();
@@ -132,7 +133,7 @@
         if in_use.is_empty() {
             return false;
         }
-        // Allotments may have to move into room that aged jobs have reserved.
+        // Allotments may have to move into room that is reserved for jobs that have waited long.
         self.lift_reservations();
         let vacated = in_use
             .into_iter()
@@ -141,7 +142,7 @@
         vacated
     }
 
-    /// Covers the jobs in guarantee `id` elsewhere as far as that can be done; returns whether
+    /// Covers the jobs in guarantee `id` by other guarantees as far as possible; returns whether
     /// there is room for `class` then.
     fn cover_jobs_elsewhere(&mut self, id: GuaranteeId, class: &Class) -> bool {
         for job in self.guarantees.entries[id].jobs.clone() {
@@ -150,8 +151,8 @@
         self.has_guaranteed_room(class)
     }
 
-    /// Covers a job by another guarantee than `id` if that can be done. It is taken out of `id`
-    /// first, since the allotment of `id` may be what is in the way of the other.
+    /// Covers a job by a guarantee other than `id`, if possible. The job is removed from `id`
+    /// first, since the allotment of `id` may be in the way of the other one.
     fn cover_elsewhere(&mut self, job: &JobId, id: GuaranteeId) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
--- a/dragonflyrun/src/job/decision.rs
+++ b/dragonflyrun/src/job/decision.rs
@@ -1,4 +1,4 @@
-//! What the scheduler tells the planner to do, and what it is told of usage.
+//! The decisions that the scheduler returns to the planner, and the usage reports that it gets.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,15 +7,15 @@
     job::{ImpossibleReason, JobId},
 };
 
-/// Something that the planner is to carry out.
+/// A decision for the planner to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Reserve and start a waiting job. The scheduler counts the accelerators as held from here
-    /// on, until it is told that the job waits again or is gone.
+    /// Reserve and start a waiting job. The scheduler counts the accelerators as held from here on,
+    /// until the planner reports that the job waits again or has ended.
     Start {
         /// The job.
         job: JobId,
-        /// Where its members run, one entry a worker.
+        /// Where its members run, with one element for each worker.
         placements: Vec<Placement>,
     },
     /// Stop a running job with a checkpoint and let it wait again. Its accelerators count as held
@@ -23,25 +23,27 @@
     Evict {
         /// The job to stop.
         job: JobId,
-        /// The job that needs the accelerators; none where the failure domain leaves service.
+        /// The job that needs the accelerators; none if the failure domain is taken out of service.
         for_job: Option<JobId>,
     },
-    /// End a waiting job whose shape can no longer be had from any workers, in service or not.
+    /// End a waiting job that no set of known workers can hold, in service or not, or that exceeds
+    /// its quota.
     Impossible {
         /// The job.
         job: JobId,
-        /// Why.
+        /// Why the job can never run.
         why: ImpossibleReason,
     },
 }
 
-/// What workers say of a job's use of its accelerators; arrives late, also after its end.
+/// A worker's report of the run time of a job, which arrives with a delay, possibly after the end
+/// of the job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
     /// The job.
     pub job: JobId,
-    /// Milliseconds that it has run in all its attempts, without time that was lost.
+    /// Run time in milliseconds over all its attempts, without time that was lost.
     pub ran_ms: u64,
-    /// Whether it has finished, so that `ran_ms` is its whole run time.
+    /// Whether the job has finished, so that `ran_ms` is its total run time.
     pub finished: bool,
 }
--- a/dragonflyrun/src/job/estimate.rs
+++ b/dragonflyrun/src/job/estimate.rs
@@ -1,8 +1,9 @@
-//! Run times, learned from what workers report and trusted over what submitters declare.
+//! Run-time estimates, learned from what workers report and trusted more than what submitters
+//! declare.
 //!
-//! Declared run times are off by factors, but the same workspace tends to be off by the same
-//! factor. So the ratio of real to declared run time is learned for each kind of job, as a mean
-//! of logarithms in which one extreme value counts for little.
+//! Declared run times are often wrong by a multiple, but the same workspace tends to be wrong by
+//! the same factor. So the ratio of actual to declared run time is learned for each kind of job, as
+//! a mean of logarithms in which a single extreme value has little weight.
 
 use std::time::Duration;
 
@@ -11,22 +12,23 @@
     utils::{HashMap, Name},
 };
 
-/// The share of the newest run in the learned mean, once a kind is known.
+/// Minimum weight of the newest run in the learned mean.
 const MIN_NEWEST_SHARE: f64 = 0.15;
 
-/// Kinds that are told apart; jobs of any further kind are taken at their word.
+/// Maximum number of kinds with an estimate of their own; for jobs of further kinds the declared
+/// run time is used.
 const MAX_KINDS: usize = 16_384;
 
-/// What is assumed of a job that declares nothing and whose kind has never run.
+/// Run time assumed for a job that declares none and whose kind has never run.
 const DEFAULT_RUN_TIME_MS: f64 = 600_000.0;
 
-/// Run times learned.
+/// The learned run times of each kind of job.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Estimates {
     kinds: HashMap<Kind, Learned>,
 }
 
-/// Jobs that are taken to be alike.
+/// The properties of jobs that are expected to have similar run times.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Kind {
     workspace: Name,
@@ -42,7 +44,7 @@
 }
 
 impl Estimates {
-    /// Takes note that a job ran for `ran_ms` in all.
+    /// Learns that a job ran for `ran_ms` in total.
     pub(super) fn learn(&mut self, spec: &JobSpec, ran_ms: u64) {
         let value = (ran_ms.max(1) as f64 / declared_or_default_ms(spec)).ln();
         let kind = Kind::of(spec);
@@ -55,7 +57,7 @@
         learned.log_mean += weight * (value - learned.log_mean);
     }
 
-    /// Returns how long a job of this kind runs in all.
+    /// Returns the expected total run time of a job.
     pub(super) fn run_time(&self, spec: &JobSpec) -> Duration {
         let learned = self.kinds.get(&Kind::of(spec));
         let factor = learned.map_or(1.0, |l| l.log_mean.exp());
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -1,4 +1,5 @@
-//! Making room for a waiting job by stopping running ones, as far as its claim goes.
+//! Eviction of running jobs to make room for a waiting one, within limits that depend on why it may
+//! evict.
 
 use crate::{
     job::{
@@ -12,42 +13,42 @@
     version::{Adjacency, Urgency},
 };
 
-/// What a stop with checkpoint and the later restore cost a job, in milliseconds of its run.
+/// Run time that a job loses by a stop with a checkpoint and the later restore, in milliseconds.
 const STOP_AND_RESUME_MS: u64 = 10_000;
 
-/// The share of a job's run so far that is taken to be lost by a stop, in percent: now and then a
+/// Share of a job's run so far that a stop is expected to lose, in percent: occasionally a
 /// checkpoint fails.
 const EXPECTED_LOSS_PERCENT: u64 = 2;
 
-/// How much rather another job is stopped than one that is expected to end before it would have
-/// stopped and resumed.
+/// Factor on the cost of evicting a job that is expected to end before it would have stopped and
+/// resumed.
 const NEARLY_DONE_WEIGHT: u64 = 4;
 
-/// How much rather another job is stopped than an urgent one.
+/// Factor on the cost of evicting an urgent job.
 const URGENT_VICTIM_WEIGHT: u64 = 10;
 
-/// What the start of an urgent job is worth at once, in milliseconds of its wait.
+/// Eviction cost that an urgent job may cause without having waited, in milliseconds of its wait.
 const URGENT_START_VALUE_MS: u64 = 50_000;
 
-/// How much more an urgent job's wait counts than another's.
+/// Factor by which the wait of an urgent job counts more than that of another.
 const URGENT_WAIT_WEIGHT: u64 = 10;
 
-/// Scopes that are compared for an eviction, by the room that they have already.
-const MAX_COMPARED_SCOPES: usize = 16;
+/// Number of racks compared for an eviction; those with the most available slots come first.
+const MAX_COMPARED_RACKS: usize = 16;
 
-/// Workers of a scope that are compared for an eviction, beside one for each task.
+/// Number of workers compared for an eviction in addition to one for each task.
 const EXTRA_COMPARED_WORKERS: usize = 64;
 
 /// Why a job may evict others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum EvictionReason {
-    /// Its workspace has a guarantee of about its size, which is not in use.
+    /// Its workspace has an unused guarantee of about its size.
     Guarantee,
-    /// Its workspace has a larger guarantee with unused room for it.
+    /// Its workspace has a larger guarantee with unused room for the job.
     Part,
-    /// Somebody waits for it.
+    /// The job is urgent: somebody waits for it.
     Urgency,
-    /// It has waited long.
+    /// The job has waited long.
     Age,
 }
 
@@ -83,7 +84,7 @@
         });
     }
 
-    /// Takes back a start that was decided in this pass, before the planner has heard of it.
+    /// Undoes a start that was decided in this pass, before the planner has received it.
     fn undo_start(&mut self, job: &JobId, decisions: &mut Vec<Decision>) -> bool {
         let started = |d: &Decision| matches!(d, Decision::Start { job: j, .. } if j == job);
         let Some(at) = decisions.iter().position(started) else {
@@ -94,7 +95,8 @@
         true
     }
 
-    /// Evicts what keeps `job` from starting, as far as its claim goes, and pledges it the room.
+    /// Evicts jobs so that `job` can start, if `reason` justifies the cost, and pledges their
+    /// accelerators to `job`; returns whether it did.
     pub(super) fn make_room(
         &mut self,
         now: Timestamp,
@@ -108,7 +110,7 @@
         let shape = entry.spec.shape();
         let mut candidates = self.eviction_candidates(&entry);
         if reason == EvictionReason::Age {
-            // Another's reservation is respected; this job's own was taken back.
+            // Other jobs' reservations are respected; the reservation of this job has been removed.
             let reserved = self.closed_to(now, &entry);
             for candidate in &mut candidates {
                 let reserved = reserved.get(&candidate.worker).copied().unwrap_or(0);
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Gives a job the room that its workspace's guarantee has been allotted. Whatever is there
-    /// and not covered makes way, pledges included.
+    /// Gives a job the room that is allotted to its workspace's guarantee. Jobs there that no
+    /// guarantee covers are evicted, and pledges without a guarantee are withdrawn.
     fn take_allotment(
         &mut self,
         now: Timestamp,
@@ -211,20 +213,20 @@
         let holding = self.holding.entry(entry.spec.workspace.clone());
         holding.or_default().insert(aged.clone());
         self.pledged.insert(aged);
-        // It may be that nothing had to be evicted any more.
+        // The job can start at once if undoing starts of this pass was enough.
         self.needs_pass = true;
     }
 
-    /// Returns workers on which room could be made for a job, with what will be free of each.
-    /// Those with the most room need the fewest evictions; to look at all would cost in
-    /// proportion to the size of the cluster.
+    /// Returns workers on which room could be made for a job, with the accelerators that will be
+    /// available on each. Workers with the most available accelerators need the fewest evictions;
+    /// comparing all workers would cost time in proportion to the size of the cluster.
     pub(super) fn eviction_candidates(&mut self, entry: &JobEntry) -> Vec<Candidate> {
         let spec = &entry.spec;
         let max_workers = spec.tasks as usize + EXTRA_COMPARED_WORKERS;
         let free = &mut self.inventory.free;
         let candidates = match spec.adjacency {
             Adjacency::Rack => free
-                .racks_with_most_slots(spec.accelerators, MAX_COMPARED_SCOPES)
+                .racks_with_most_slots(spec.accelerators, MAX_COMPARED_RACKS)
                 .concat(),
             Adjacency::FailureDomain => free.most_available_by_domain(max_workers).concat(),
             Adjacency::Any | Adjacency::Worker => free.most_available(max_workers),
@@ -241,7 +243,7 @@
             .collect()
     }
 
-    /// Returns the jobs on `seats` that `entry` may evict.
+    /// Returns the jobs on `candidates` that `entry` may evict.
     fn victims(
         &self,
         now: Timestamp,
@@ -296,9 +298,10 @@
         })
     }
 
-    /// Returns what evictions for a job may cost: as much as the job loses by waiting. The wait of
-    /// an urgent one counts more, and from the start, and so does that of a job much smaller than
-    /// the guarantee it claims. For a guaranteed shape there is no bound.
+    /// Returns the maximum cost of evictions for a job, which is what the job loses by waiting. The
+    /// wait of an urgent job has a higher weight and a value from the start, and so has that of a
+    /// job much smaller than the guarantee whose room it requests. There is no limit for a
+    /// guaranteed shape.
     fn budget(now: Timestamp, entry: &JobEntry, reason: EvictionReason) -> u64 {
         let waited = now.since(entry.waiting_since);
         let waited_ms = waited.as_millis() as u64;
@@ -314,13 +317,13 @@
     }
 }
 
-/// Returns whether `entry` may evict `other`. A covered job is never evicted for
-/// another.
+/// Returns whether `entry` may evict `other`. A job that a guarantee covers is never evicted for
+/// another job.
 pub(super) fn may_evict(entry: &JobEntry, reason: EvictionReason, other: &JobEntry) -> bool {
     let covered = other.cover.is_some();
     match reason {
         EvictionReason::Guarantee => !covered,
-        // A workspace gains nothing if its jobs take turns in its own guarantee.
+        // A workspace gains nothing if its own jobs evict each other from its guarantee.
         EvictionReason::Part if other.spec.workspace == entry.spec.workspace => {
             !covered
                 && (other.spec.urgency > entry.spec.urgency
@@ -337,8 +340,8 @@
     }
 }
 
-/// Returns the weight of a job in the cost of stopping it and of letting it wait. A large gang
-/// waits longer until it finds room again, so the weight grows with the square.
+/// Returns the weight of a job in the costs of stopping it and of letting it wait. The weight grows
+/// with the square of the size, because a large gang waits longer until it finds room again.
 fn size_weight(entry: &JobEntry) -> u64 {
     u64::from(entry.accelerators()).pow(2)
 }
--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -1,12 +1,12 @@
 //! The allotment of accelerators to guarantees.
 //!
-//! Each guarantee is allotted accelerators that make up its shape on workers in service, no two
-//! guarantees the same ones. A job of the owner that lies within an allotment is covered by it;
-//! every other job borrows and may be evicted. So as long as each guarantee has an allotment, its
-//! shape is free, held by its owner, or to be had by evicting borrowers alone.
+//! Each guarantee is allotted accelerators on workers in service that make up its shape; no
+//! accelerator is allotted twice. A job of the workspace that lies within an allotment is covered
+//! by the guarantee. Every other job borrows and may be evicted. So as long as a guarantee has an
+//! allotment, its shape is free, in use by its workspace, or available by evicting borrowers alone.
 //!
-//! An allotment with no job in it holds no accelerator. It is moved wherever that lets a job
-//! start without an eviction, or a covered job keep its place.
+//! An allotment without a job holds no accelerators. It is moved whenever that lets a job start
+//! without an eviction, or lets a covered job stay where it runs.
 
 use crate::{
     job::{
@@ -19,7 +19,7 @@
     version::Version,
 };
 
-/// The number of a guarantee in the tables of one scheduler.
+/// Index of a guarantee in the tables of one scheduler.
 pub(super) type GuaranteeId = usize;
 
 /// All guarantees with their allotments.
@@ -35,13 +35,14 @@
 pub(super) struct Guarantee {
     pub(super) workspace: Name,
     pub(super) shape: Shape,
-    /// The allotment; empty where the hardware in service does not permit one.
+    /// The allotment; empty or incomplete if the hardware in service can't meet the guarantee.
     pub(super) shares: Vec<Share>,
     /// The covered jobs.
     pub(super) jobs: Vec<JobId>,
-    /// Whether it was made for one running job, and no workspace holds it.
+    /// Whether the guarantee was created to protect one running job and belongs to no workspace's
+    /// configuration.
     pub(super) temporary: bool,
-    /// Whether the document still has it.
+    /// Whether the configuration contains the guarantee; `true` for temporary ones.
     configured: bool,
 }
 
@@ -49,20 +50,20 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Share {
     pub(super) worker: WorkerId,
-    /// Tasks of the guaranteed shape.
+    /// Number of tasks of the guaranteed shape.
     pub(super) tasks: u32,
     /// Accelerators that covered jobs hold.
     pub(super) used: u32,
 }
 
-/// A guarantee that was given another number, with the jobs that it covers.
+/// A guarantee whose index has changed, with the jobs that it covers.
 #[derive(Clone, Debug)]
 pub(super) struct Renumbered {
     pub(super) to: GuaranteeId,
     pub(super) jobs: Vec<JobId>,
 }
 
-/// A job that looks for a guarantee to cover it.
+/// A job to be covered by a guarantee.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CoverRequest<'a> {
     pub(super) workspace: &'a Name,
@@ -71,7 +72,7 @@
     pub(super) parts: &'a [Part],
     /// Accelerators of each task.
     pub(super) size: u32,
-    /// A guarantee that is not to cover it, because another job needs that one whole.
+    /// A guarantee that must not cover the job, because another job needs it whole.
     pub(super) except: Option<GuaranteeId>,
 }
 
@@ -92,7 +93,7 @@
         self.shape.tasks.saturating_mul(self.shape.accelerators)
     }
 
-    /// Returns whether nothing holds the allotment in its place.
+    /// Returns whether the allotment may be moved, because no job is in it.
     pub(super) fn movable(&self) -> bool {
         self.jobs.is_empty()
     }
@@ -102,7 +103,7 @@
         self.accelerators().saturating_sub(used)
     }
 
-    /// Returns what is not used of each share.
+    /// Returns the unused accelerators of each share on a usable worker.
     fn candidates(&self, inventory: &Inventory) -> Vec<Candidate> {
         let candidate = |share: &Share| Candidate {
             available: share.tasks * self.shape.accelerators - share.used,
@@ -114,7 +115,7 @@
 }
 
 impl Guarantees {
-    /// Takes over the guarantees of `version`; returns the jobs that are no longer covered.
+    /// Applies the guarantees of `version`; returns the jobs that are no longer covered.
     pub(super) fn configure(&mut self, version: &Version, inventory: &mut Inventory) -> Vec<JobId> {
         for entry in &mut self.entries {
             entry.configured = entry.temporary;
@@ -144,8 +145,8 @@
         self.on_worker.get(&worker).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns a guarantee of `workspace` with unused room for `shape`, and where in it. One that
-    /// is partly used comes first, so that others stay whole.
+    /// Returns a guarantee of `workspace` with unused room for `shape`, and the parts of it to use.
+    /// Partly used guarantees are tried first, so that others stay whole.
     pub(super) fn room(
         &self,
         inventory: &Inventory,
@@ -160,7 +161,8 @@
         })
     }
 
-    /// Returns room for `shape` in a guarantee of `workspace` that is free for the taking.
+    /// Returns room for `shape` in a guarantee of `workspace` that is free now, without an
+    /// eviction.
     pub(super) fn vacant_room(
         &self,
         inventory: &Inventory,
@@ -180,7 +182,8 @@
         })
     }
 
-    /// Returns whether a guarantee of `workspace` is of about this size and not in use.
+    /// Returns whether `workspace` has an unused guarantee of which a job with this number of
+    /// accelerators takes at least half.
     pub(super) fn has_unused_for(&self, workspace: &Name, accelerators: u32) -> bool {
         let mut ids = self.of(workspace).iter();
         ids.any(|id| {
@@ -189,8 +192,8 @@
         })
     }
 
-    /// Covers a job by a guarantee of its workspace: one whose allotment is there already, or one
-    /// whose allotment can be moved there.
+    /// Covers a job by a guarantee of its workspace: one whose allotment already contains the job,
+    /// or one whose allotment can be moved to it.
     pub(super) fn cover(
         &mut self,
         inventory: &mut Inventory,
@@ -212,17 +215,17 @@
         Some(id)
     }
 
-    /// Returns whether a job holds enough of the shape to have the allotment moved to where it
-    /// runs. If any small job drew an allotment to itself, allotments would come to lie scattered
-    /// over workers that are in part held, and large gangs would find no worker whole.
+    /// Returns whether a job is large enough to have the allotment moved to where it runs. If every
+    /// small job drew an allotment to itself, allotments would end up scattered over partly held
+    /// workers, and large gangs would find no whole worker.
     fn is_worth_moving(&self, id: GuaranteeId, parts: &[Part], size: u32) -> bool {
         let held: u32 = parts.iter().map(|p| p.tasks * size).sum();
         held >= self.entries[id].accelerators().div_ceil(2)
     }
 
-    /// Keeps a job that no guarantee of its workspace covers from being evicted, if all
-    /// guarantees can still be allotted beside it. It is covered by a temporary guarantee of its
-    /// own shape, which lasts as long as it runs, or until a guarantee needs the room.
+    /// Protects a job that no guarantee of its workspace covers from eviction, if all guarantees
+    /// can still be allotted beside it. The job is covered by a temporary guarantee of its own
+    /// shape, which lasts as long as the job runs or until another guarantee needs the room.
     pub(super) fn protect(
         &mut self,
         inventory: &mut Inventory,
@@ -240,8 +243,8 @@
         Some(id)
     }
 
-    /// Drops a temporary guarantee. The last one takes its number, and is returned if it is
-    /// another.
+    /// Removes a temporary guarantee. The last guarantee moves to its index, and is returned if it
+    /// is a different one.
     pub(super) fn drop_temporary(
         &mut self,
         inventory: &mut Inventory,
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Takes note that `job` at `parts` is covered no longer.
+    /// Removes the cover of `job` at `parts`.
     pub(super) fn uncover(&mut self, id: GuaranteeId, job: &JobId, parts: &[Part], size: u32) {
         let entry = &mut self.entries[id];
         entry.jobs.retain(|j| j != job);
@@ -306,7 +309,7 @@
         }
     }
 
-    /// Takes back the shares of a guarantee that `which` names; returns them.
+    /// Removes the shares of a guarantee that `selects` returns `true` for; returns them.
     pub(super) fn take_back(
         &mut self,
         inventory: &mut Inventory,
@@ -345,7 +348,8 @@
         }
     }
 
-    /// Drops the guarantees that the document no longer has, and numbers the rest anew.
+    /// Removes the guarantees that aren't configured any more and renumbers the rest; returns the
+    /// jobs that are no longer covered.
     fn drop_unconfigured(&mut self, inventory: &mut Inventory) -> Vec<JobId> {
         let mut uncovered = Vec::new();
         for id in 0..self.entries.len() {
@@ -355,7 +359,8 @@
             }
         }
         self.entries.retain(|e| e.configured);
-        // Temporary ones stand at the end, where they come and go without renumbering the rest.
+        // Temporary guarantees are at the end, so that they are added and removed without
+        // renumbering the configured ones.
         self.entries.sort_by_key(|e| e.temporary);
         self.by_workspace.clear();
         self.on_worker.clear();
--- a/dragonflyrun/src/job/inventory.rs
+++ b/dragonflyrun/src/job/inventory.rs
@@ -1,4 +1,4 @@
-//! The workers, what is held on each, and by whom.
+//! The workers, and which jobs hold how many accelerators on each.
 
 use crate::{
     job::{
@@ -9,11 +9,11 @@
     utils::{HashMap, Name},
 };
 
-/// Accelerators of one worker that are believed, at the most. The count comes from another
-/// process, and tables are as long as it.
+/// Maximum number of accelerators that a worker can report. The number comes from another process
+/// and determines the length of tables.
 const MAX_ACCELERATORS_PER_WORKER: u32 = 1_024;
 
-/// The workers and what is held on each.
+/// The workers and the accelerators held, pledged, reserved and allotted on each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inventory {
     ids: HashMap<Name, WorkerId>,
@@ -21,11 +21,12 @@
     racks: HashMap<(Name, Name), usize>,
     domains: HashMap<Name, usize>,
     largest_worker: u32,
-    /// What each worker has, whether it is up or not.
+    /// The accelerators of each worker, whether it is up or not.
     capacity: SlotIndex,
-    /// What is free for whoever has no pledge.
+    /// The accelerators that are free for a job without a pledge or reservation.
     pub(super) free: SlotIndex,
-    /// What no guarantee has been allotted and no aged job has reserved.
+    /// The accelerators that are neither allotted to a guarantee nor reserved for a job that has
+    /// waited long.
     pub(super) allottable: SlotIndex,
 }
 
@@ -33,13 +34,14 @@
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub(super) info: WorkerInfo,
-    /// Whether it answers.
+    /// Whether the worker is reachable and accepts tasks.
     pub(super) up: bool,
     /// Whether its failure domain is in service.
     pub(super) in_service: bool,
-    /// Whether it fails what it starts and is left alone.
+    /// Whether starts on the worker have failed repeatedly, so that nothing is started there for a
+    /// while.
     pub(super) quarantined: bool,
-    /// What each job holds here, jobs that are being stopped included.
+    /// The accelerators that each job holds here, including jobs that are being stopped.
     pub(super) jobs: Vec<Holding>,
     held: u32,
     stopping: u32,
@@ -56,7 +58,7 @@
 }
 
 impl Worker {
-    /// Returns whether anything may start here.
+    /// Returns whether tasks may start here.
     pub(super) fn usable(&self) -> bool {
         self.up && self.in_service && !self.quarantined
     }
@@ -66,32 +68,34 @@
         self.info.accelerators.saturating_sub(self.held)
     }
 
-    /// Returns what is free for a job that has neither pledge nor reservation.
+    /// Returns the accelerators that are free for a job with neither a pledge nor a reservation.
     fn free(&self) -> u32 {
         self.vacant_after_pledges().saturating_sub(self.reserved)
     }
 
-    /// What jobs that are being stopped will give back goes to the pledges first.
+    /// Returns the vacant accelerators that aren't needed for pledges. Accelerators that stopping
+    /// jobs will release count towards the pledges first.
     fn vacant_after_pledges(&self) -> u32 {
         let uncovered_pledges = self.pledged.saturating_sub(self.stopping);
         self.vacant().saturating_sub(uncovered_pledges)
     }
 
-    /// Returns what guarantees may be allotted. What aged jobs have reserved is left out, so that
-    /// allotments lie elsewhere by the time a large gang could start there.
+    /// Returns the accelerators that can be allotted to guarantees. Those reserved for jobs that
+    /// have waited long are excluded, so that allotments are elsewhere by the time a large gang can
+    /// start there.
     fn allottable(&self) -> u32 {
         let taken = self.allotted + self.reserved;
         self.info.accelerators.saturating_sub(taken)
     }
 
-    /// Returns the accelerators that aged jobs have reserved.
+    /// Returns the accelerators that are reserved for jobs that have waited long.
     pub(super) fn reserved(&self) -> u32 {
         self.reserved
     }
 }
 
 impl Inventory {
-    /// Adds a worker or changes it; returns its number.
+    /// Adds or updates a worker and marks it as up; returns its index.
     pub(super) fn up(&mut self, mut info: WorkerInfo, in_service: bool) -> WorkerId {
         info.accelerators = info.accelerators.min(MAX_ACCELERATORS_PER_WORKER);
         self.largest_worker = self.largest_worker.max(info.accelerators);
@@ -109,17 +113,17 @@
         id
     }
 
-    /// Returns the number of the worker called `name`.
+    /// Returns the index of the worker called `name`.
     pub(super) fn id(&self, name: &Name) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
-    /// Returns the worker with number `id`.
+    /// Returns the worker with index `id`.
     pub(super) fn worker(&self, id: WorkerId) -> &Worker {
         &self.workers[id]
     }
 
-    /// Returns the numbers of all workers that were ever known.
+    /// Returns the indexes of all workers that were ever known.
     pub(super) fn ids(&self) -> std::ops::Range<WorkerId> {
         0..self.workers.len()
     }
@@ -130,7 +134,7 @@
         self.update_indexes(id);
     }
 
-    /// Takes note that `job` holds `accelerators` of a worker.
+    /// Records that `job` holds `accelerators` of a worker.
     pub(super) fn hold(&mut self, id: WorkerId, job: &JobId, accelerators: u32) {
         let worker = &mut self.workers[id];
         worker.held += accelerators;
@@ -141,7 +145,7 @@
         self.update_indexes(id);
     }
 
-    /// Takes note that `job` holds nothing more of a worker.
+    /// Records that `job` holds no accelerators of a worker any more.
     pub(super) fn release(&mut self, id: WorkerId, job: &JobId) {
         let worker = &mut self.workers[id];
         let given_back: u32 = worker.held_by(job);
@@ -150,28 +154,31 @@
         self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that jobs being stopped will give back.
+    /// Changes by `by` the accelerators of a worker that stopping jobs will release.
     pub(super) fn stopping(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.stopping = worker.stopping.saturating_add_signed(by as i32);
         self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that are kept for jobs which wait for the rest.
+    /// Changes by `by` the accelerators of a worker that are pledged to jobs which wait until all
+    /// their pledged accelerators are vacant.
     pub(super) fn pledge(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.pledged = worker.pledged.saturating_add_signed(by as i32);
         self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that aged jobs have reserved.
+    /// Changes by `by` the accelerators of a worker that are reserved for jobs that have waited
+    /// long.
     pub(super) fn reserve(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.reserved = worker.reserved.saturating_add_signed(by as i32);
         self.update_indexes(id);
     }
 
-    /// Returns what is vacant of a worker for a job that may use what is reserved for others.
+    /// Returns the vacant accelerators of a worker for a job that may use those reserved for
+    /// others.
     pub(super) fn vacant_with_reserved(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
@@ -180,21 +187,21 @@
         worker.vacant_after_pledges()
     }
 
-    /// Changes the accelerators of a worker that guarantees have been allotted.
+    /// Changes by `by` the accelerators of a worker that are allotted to guarantees.
     pub(super) fn allot(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.allotted = worker.allotted.saturating_add_signed(by as i32);
         self.update_indexes(id);
     }
 
-    /// Returns whether guarantees have been allotted more of a worker than it has.
+    /// Returns whether more accelerators of a worker are allotted to guarantees than it has.
     pub(super) fn is_over_allotted(&self, id: WorkerId) -> bool {
         let worker = &self.workers[id];
         worker.allotted > worker.info.accelerators
     }
 
-    /// Returns what will be free of a worker, pledges taken off, once the jobs that are being
-    /// stopped have stopped.
+    /// Returns the accelerators of a worker that will be free of pledges once the stopping jobs
+    /// have stopped.
     pub(super) fn free_after_stops(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
@@ -203,12 +210,12 @@
         (worker.vacant() + worker.stopping).saturating_sub(worker.pledged)
     }
 
-    /// Returns whether `shape` would fit on the workers known if all were empty and in service.
+    /// Returns whether `shape` would fit if all known workers were empty and in service.
     pub(super) fn could_hold(&self, shape: &Shape) -> bool {
         self.capacity.fits(shape)
     }
 
-    /// Makes [`Self::could_hold`] quick for tasks of `size` accelerators.
+    /// Builds the index that makes [`Self::could_hold`] fast for tasks of `size` accelerators.
     pub(super) fn index_racks_for(&mut self, size: u32) {
         self.capacity.rack_order(size);
     }
@@ -218,7 +225,7 @@
         self.largest_worker
     }
 
-    /// Returns whether all of `parts` is vacant, with `size` accelerators a task.
+    /// Returns whether all of `parts` is vacant, with `size` accelerators for each task.
     pub(super) fn is_vacant(&self, parts: &[Part], size: u32) -> bool {
         parts.iter().all(|part| {
             let worker = &self.workers[part.worker];
@@ -227,7 +234,8 @@
     }
 
     fn add(&mut self, info: &WorkerInfo) -> WorkerId {
-        // A worker that has moved to another rack is a new one; the old one stays down.
+        // A worker that has moved to another rack or failure domain is added as a new one; the old
+        // one stays down.
         if let Some(old) = self.id(&info.name) {
             self.change(old, |w| w.up = false);
             self.capacity.set(old, 0);
--- a/dragonflyrun/src/job/mod.rs
+++ b/dragonflyrun/src/job/mod.rs
@@ -1,9 +1,9 @@
-//! What lives for one job, which outlives any process.
+//! The state of jobs, which outlives any single process: scheduling, gangs and the planner.
 
 mod allotment;
 mod book;
 mod closing;
-mod covers;
+mod coverage;
 mod decision;
 mod election;
 mod estimate;
--- a/dragonflyrun/src/job/packing.rs
+++ b/dragonflyrun/src/job/packing.rs
@@ -1,4 +1,5 @@
-//! A search for room for several shapes at once, for when taking them one by one has failed.
+//! A backtracking search for room for several shapes at once, used when placing them one by one has
+//! failed.
 
 use crate::{
     job::{
@@ -8,14 +9,15 @@
     version::Adjacency,
 };
 
-/// Steps after which the search gives up, some milliseconds' worth. It is exact on a cluster of
-/// today's size unless the shapes are many and odd; beyond that it is one more heuristic.
+/// Number of steps after which the search gives up, which takes some milliseconds. On a cluster of
+/// today's size the search is exact unless the shapes are many and irregular; beyond that it is a
+/// heuristic.
 const MAX_SEARCH_STEPS: u32 = 50_000;
 
-/// Shapes up to which the search is tried at all.
+/// Maximum number of shapes for which the search is tried at all.
 const MAX_SHAPES: usize = 64;
 
-/// Finds room for all of `shapes` on `seats`, or nothing.
+/// Finds room for all of `shapes` on `candidates`; returns the parts of each shape.
 pub(super) fn pack(candidates: &[Candidate], shapes: &[Shape]) -> Option<Vec<Vec<Part>>> {
     if shapes.len() > MAX_SHAPES {
         return None;
@@ -53,8 +55,9 @@
             .any(|scope| self.place_tasks(at, scope, 0, shape.tasks))
     }
 
-    /// Places the last `left` tasks of the shape on seats of `scope` from number `from` on; the
-    /// tasks of a shape are alike, so their seats need only be tried in one order.
+    /// Places the last `left` tasks of shape `at` on the candidates of `scope` from index `from`
+    /// on. The tasks of a shape are interchangeable, so only one order of the candidates needs to
+    /// be tried.
     fn place_tasks(&mut self, at: usize, scope: usize, from: usize, left: u32) -> bool {
         let shape = self.shapes[at];
         if left == 0 {
--- a/dragonflyrun/src/job/pass.rs
+++ b/dragonflyrun/src/job/pass.rs
@@ -1,4 +1,5 @@
-//! The decisions of one pass: what leaves, what starts, what makes room.
+//! The decisions of one scheduling pass: which jobs leave a failure domain, which start, and which
+//! are evicted.
 
 use std::{
     cmp::Reverse,
@@ -19,16 +20,18 @@
     version::Urgency,
 };
 
-/// How often the queue is looked through while nothing has changed but the age of the jobs.
+/// Interval between passes while jobs wait and nothing but their age changes.
 const AGING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which a waiting job as large as a worker may evict younger and smaller ones.
+/// Time after which a waiting job at least as large as a worker may evict younger and smaller jobs.
 pub(super) const AGED_AFTER: Duration = Duration::from_secs(30);
 
-/// The same for a smaller job. It finds holes, and would evict others for little.
+/// The same for a smaller job, which usually finds a gap without an eviction, and would evict
+/// others for little gain.
 const SMALL_AGED_AFTER: Duration = Duration::from_secs(600);
 
-/// The order in which waiting jobs are looked at, the least first.
+/// The order in which waiting jobs are considered, lowest first. The flag is `false` for jobs with
+/// room in a guarantee.
 type Rank = (Urgency, bool, AgeKey, Class);
 
 impl Scheduler {
@@ -45,13 +48,13 @@
         self.update_guarantees();
         self.start_pledged(now, &mut decisions);
         self.scan_queue(now, &mut decisions);
-        // An eviction may have left an allotment on a worker that can't honour it.
+        // An eviction may have left an allotment on a worker that can't provide it any more.
         self.update_guarantees();
         self.end_impossible(&mut decisions);
         decisions
     }
 
-    /// Takes workers back that have been left alone long enough.
+    /// Takes workers out of quarantine whose time is up.
     fn release_due_workers(&mut self, now: Timestamp) {
         for id in self.quarantine.due(now, &self.limits) {
             self.inventory.change(id, |w| w.quarantined = false);
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Evicts what runs in a failure domain that is out of service. A gang with one member there
-    /// is evicted whole. It is stopped with a checkpoint and goes on elsewhere from there.
+    /// Evicts jobs that run in a failure domain that is out of service. A gang with one member
+    /// there is evicted as a whole: it is stopped with a checkpoint and resumes from it elsewhere.
     fn evacuate_domains(&mut self, decisions: &mut Vec<Decision>) {
         let mut leaving = Vec::new();
         for id in &self.out_of_service {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Starts the jobs whose pledged accelerators have all become vacant.
+    /// Starts the jobs whose pledged accelerators are all vacant now.
     fn start_pledged(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         for (_, job) in self.pledged.clone() {
             let Some(entry) = self.jobs.get(&job) else {
@@ -126,8 +129,8 @@
         self.hold(now, job, parts);
     }
 
-    /// Looks at the first job of each class: urgent ones first, then those of workspaces below
-    /// their guarantees, then the oldest.
+    /// Considers the first job of each class: urgent jobs first, then those of workspaces with
+    /// unused guarantees, then the oldest.
     fn scan_queue(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         let classes: Vec<Class> = self.queue.classes().cloned().collect();
         let mut heads: BinaryHeap<Reverse<Rank>> = BinaryHeap::new();
@@ -149,7 +152,7 @@
         Some((class.urgency, !guaranteed, first, class))
     }
 
-    /// Starts a job or pledges it room; returns whether it has left the queue.
+    /// Starts a job or pledges room to it; returns whether the job has left the queue.
     fn try_start(
         &mut self,
         now: Timestamp,
--- a/dragonflyrun/src/job/placement.rs
+++ b/dragonflyrun/src/job/placement.rs
@@ -1,4 +1,5 @@
-//! The choice among workers that hold a shape: whole workers are left whole.
+//! The choice of workers for a shape, which fills partly used workers so that whole workers stay
+//! whole.
 
 use crate::{
     job::{
@@ -17,7 +18,8 @@
     pub(super) tasks: u32,
 }
 
-/// A worker, where it stands, and how many of its accelerators are on offer.
+/// A worker with its location and the number of its accelerators that are available for a
+/// placement.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) worker: WorkerId,
@@ -30,14 +32,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub(super) parts: Vec<Part>,
-    /// How well the workers used keep their accelerators together: the change of the sum of the
-    /// squares of what is left on each. It is highest where holes are filled and lowest where a
-    /// whole worker is broken.
+    /// Score of the placement, higher is better: the change in the sum of the squares of the
+    /// accelerators left on each worker. It is highest if gaps are filled and lowest if a whole
+    /// worker is broken up.
     pub(super) packing_score: i64,
 }
 
-/// Returns the best way to place `tasks` of `size` accelerators on `seats`, which are sorted by
-/// value: on one worker, or filling the fullest workers first, or the emptiest.
+/// Returns the best of three ways to place `tasks` of `size` accelerators on `candidates`, which
+/// are sorted by available accelerators: on one worker, filling the workers with the fewest
+/// available accelerators first, or those with the most.
 pub(super) fn best_of(candidates: &[Candidate], tasks: u32, size: u32) -> Option<Plan> {
     let whole = tasks.checked_mul(size)?;
     let single = candidates.iter().find(|s| s.available >= whole);
@@ -51,7 +54,7 @@
         .max_by_key(|plan| (plan.packing_score, std::cmp::Reverse(plan.parts.len())))
 }
 
-/// Places `tasks` of `size` accelerators on `seats` in their order.
+/// Places `tasks` of `size` accelerators on `candidates` in their order.
 fn fill<'a>(
     candidates: impl IntoIterator<Item = &'a Candidate>,
     mut tasks: u32,
@@ -82,7 +85,7 @@
     None
 }
 
-/// Returns where `shape` fits best on the few `seats` given.
+/// Returns the best placement of `shape` on `candidates`, all of which are looked at.
 pub(super) fn pick(candidates: &[Candidate], shape: &Shape) -> Option<Plan> {
     let mut candidates = candidates.to_vec();
     candidates.sort_by_key(|s| (scope_of(s, shape.adjacency), s.available, s.worker));
@@ -93,7 +96,8 @@
     plans.max_by_key(|plan| plan.packing_score)
 }
 
-/// Returns the number of the scope that holds all tasks of a gang with `adjacency`.
+/// Returns the number of the scope of `candidate`: all tasks of a gang with `adjacency` have to be
+/// in the same scope.
 pub(super) fn scope_of(candidate: &Candidate, adjacency: Adjacency) -> usize {
     match adjacency {
         Adjacency::Any => 0,
--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -1,7 +1,7 @@
-//! The planner: starts, watches and stops gangs while its entry holds the newest term.
+//! The planner, which starts, monitors and stops gangs while its entry holds the newest term.
 //!
-//! Every entry keeps this table up to date from the log, so that the next planner has nothing to
-//! read when it takes over; only the one that holds the term acts.
+//! Every entry keeps this table up to date from the log, so that the next planner needn't read
+//! anything when it takes over. Only the entry that holds the term acts.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -35,10 +35,10 @@
     version::Version,
 };
 
-/// Time between two looks at the owners of keys.
+/// Interval between updates of the key owners.
 const RING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a record that the planner appends is for.
+/// The purpose of a record that the planner appends.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Purpose {
     /// To claim a term.
@@ -51,54 +51,54 @@
     Close(JobId),
     /// To change the owners of keys.
     Ring,
-    /// To repeat a state before the log drops it.
+    /// To repeat a state before the log drops the records that hold it.
     Repeat(Item),
 }
 
-/// What is to be done for the planner.
+/// An action to carry out for the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerAction {
     /// Send an order.
     Send(Notice),
-    /// Append a record, and tell [`Planner::appended`] its id.
+    /// Append a record, and pass its id to [`Planner::appended`].
     Append {
         /// The record.
         body: Box<RecordBody>,
-        /// What it is for.
+        /// Its purpose.
         purpose: Purpose,
     },
-    /// Repeat a state, as it is on the log now, in a record.
+    /// Append a record that repeats a state as it is on the log now.
     Repeat(Item),
 }
 
-/// What the entry knows when the planner looks at its gangs.
+/// The state of the entry that a planner tick depends on.
 #[derive(Clone, Debug)]
 pub struct PlannerView {
-    /// What decides on a claim.
+    /// The state that decides on a claim of a term.
     pub election: ElectionView,
-    /// The offset of the next record that this entry will fold.
+    /// The offset of the next log record that this entry will apply.
     pub next_offset: u64,
-    /// The least such offset of all entries.
+    /// The lowest such offset among all entries.
     pub folded_by_all: u64,
-    /// The owners of keys.
+    /// The current owners of keys.
     pub owners: Vec<Name>,
 }
 
-/// A live job at the planner.
+/// The planner's state of a live job.
 #[derive(Debug)]
 pub(super) struct PlannedJob {
     pub(super) live: LiveJob,
-    /// The last attempt of this planner, which may not have reached the log.
+    /// The number of the last attempt made by this planner, which may not have reached the log.
     pub(super) last_attempt: u32,
     pub(super) gang: Option<Gang>,
-    /// How long its former attempts of this planner ran.
+    /// Total run time of its earlier attempts under this planner.
     pub(super) ran: Duration,
     pub(super) impossible_since: Option<Timestamp>,
-    /// Workers that were blamed for its failures, and how often.
+    /// Workers that failures of the job were attributed to, and how often.
     pub(super) blamed: HashMap<Name, u32>,
 }
 
-/// The planner's table.
+/// The planner's state.
 #[derive(Debug)]
 pub struct Planner {
     pub(super) election: Election,
@@ -109,9 +109,9 @@
     pub(super) version: Arc<Version>,
     pub(super) jobs: HashMap<JobId, PlannedJob>,
     pub(super) by_worker: HashMap<Name, HashSet<JobId>>,
-    /// Agents that may get work, each of which may own keys.
+    /// Agents that may get work; each of them may own keys.
     pub(super) agents: BTreeSet<Name>,
-    /// Jobs whose gang is not known to run steadily.
+    /// Jobs whose gang has to be ticked, because it isn't running or its state may have changed.
     pub(super) jobs_to_tick: HashSet<JobId>,
     pub(super) closing: HashMap<JobId, Closing>,
     pub(super) delayed_jobs: BTreeSet<(Timestamp, JobId)>,
@@ -133,7 +133,7 @@
 }
 
 impl Planner {
-    /// Returns the table of the entry called `me`, which is not planner.
+    /// Returns the planner of the entry called `me`, which doesn't hold a term.
     pub fn new(me: Name, version: Arc<Version>) -> Self {
         let mut scheduler = Scheduler::new();
         scheduler.configure(&version);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns the term that this process holds as planner; none where it is not planner.
+    /// Returns the term that this process holds as planner; none if it isn't planner.
     pub fn term(&self) -> Option<u64> {
         self.election.held()
     }
@@ -165,21 +165,21 @@
         self.election.me()
     }
 
-    /// Checks that a job can be had from the workers known.
+    /// Checks whether a job can ever run on the known workers.
     ///
     /// # Errors
     ///
-    /// Why it can never be had.
+    /// Returns why the job can never run.
     pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         self.scheduler.check_possible(spec)
     }
 
-    /// Takes note of the id of a record that was queued for `purpose`.
+    /// Records the id of a log record that was queued for `purpose`.
     pub fn appended(&mut self, id: Name, purpose: Purpose) {
         self.pending.insert(id, purpose);
     }
 
-    /// Takes note that a record of this process is not known to be on the log.
+    /// Handles a record of this process that isn't known to have reached the log.
     pub fn append_failed(&mut self, now: Timestamp, id: &Name) {
         match self.pending.remove(id) {
             Some(Purpose::Term) => self.election.claim_failed(),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Takes note of a new configuration.
+    /// Applies a new configuration.
     pub fn configure(&mut self, version: &Arc<Version>) {
         if Arc::ptr_eq(version, &self.version) {
             return;
@@ -208,8 +208,8 @@
         self.scheduler.configure(version);
     }
 
-    /// Takes note of whether an agent may get work. That of its worker is another matter: an agent
-    /// owns keys also where it has no worker, or its worker does not answer.
+    /// Records whether an agent may get work. This is independent of its worker: an agent owns keys
+    /// even if it has no worker or its worker doesn't answer.
     pub fn agent_live(&mut self, agent: &Name, live: bool) {
         if live {
             self.agents.insert(agent.clone());
@@ -218,17 +218,17 @@
         }
     }
 
-    /// Takes note of a live agent with its worker.
+    /// Records a live agent with its worker.
     pub fn worker_up(&mut self, now: Timestamp, info: WorkerInfo) {
         self.scheduler.worker_up(now, info);
     }
 
-    /// Takes note that an agent may get no work: its link or its worker is lost, or it is leaving.
+    /// Records that an agent may not get work: its link or its worker is lost, or it is leaving.
     pub fn worker_down(&mut self, now: Timestamp, worker: &Name) {
         self.scheduler.worker_down(now, worker);
     }
 
-    /// Takes note that an agent has been silent for so long that its members count as lost.
+    /// Records that an agent has been silent for so long that its members count as lost.
     pub fn worker_lost(&mut self, now: Timestamp, worker: &Name) {
         for job in self.jobs_on(worker) {
             self.jobs_to_tick.insert(job.clone());
@@ -238,8 +238,9 @@
         }
     }
 
-    /// Takes an agent's report of its members. Before it `knows_worker` it reports none of those
-    /// that a former process of it may have left.
+    /// Handles an agent's report of its members; returns the messages to send. Until an agent
+    /// `knows_worker`, its report doesn't contain members that an earlier process of the agent may
+    /// have left running, so members missing from it don't count as stopped.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -257,7 +258,7 @@
                 absent.retain(|job| *job != member.gang.job);
                 self.member_state(now, agent, member);
             } else if is_held(member.state) {
-                // An attempt that was given up before the log had it, or that has ended.
+                // The attempt was abandoned before it reached the log, or has ended.
                 notices.push(Notice {
                     to: agent.clone(),
                     message: GangMessage::Stop {
@@ -277,7 +278,7 @@
         notices
     }
 
-    /// Returns what is to be done now; to be called every 100 ms.
+    /// Returns the actions to carry out now; to be called every 100 ms.
     pub fn tick(&mut self, now: Timestamp, view: &PlannerView) -> Vec<PlannerAction> {
         let mut actions = Vec::new();
         self.scheduler.update_discovery(now);
@@ -290,7 +291,7 @@
         };
         self.wake_resting(now);
         self.confirm_starts(now);
-        // A planner that may have been replaced without knowing starts nothing.
+        // A planner that may have been replaced without knowing it starts nothing.
         if view.election.fresh {
             self.decide(now, term);
             self.change_owners(now, term, &view.owners, &mut actions);
--- a/dragonflyrun/src/job/quarantine.rs
+++ b/dragonflyrun/src/job/quarantine.rs
@@ -1,8 +1,9 @@
-//! Workers that fail all they start.
+//! Quarantine of workers on which every start fails.
 //!
-//! Such a worker is always free, so best fit sends it job after job, and each fails. It shows as
-//! failed starts in a row. It is left alone for a while, then given one start as a probe: one
-//! more failure sets it aside at once and for twice as long, a success takes it back in full.
+//! Such a worker is always free, so best fit sends it one job after another, and each fails. It is
+//! detected by consecutive failed starts. Nothing is started there for a while, then one start is
+//! allowed as a probe: another failure quarantines the worker again at once and for twice as long,
+//! a success releases it completely.
 
 use std::time::Duration;
 
@@ -12,10 +13,10 @@
     version::Limits,
 };
 
-/// Doublings of the time for which a worker is left alone.
+/// Maximum number of times that the quarantine of a worker is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Failed starts of workers, as far as they have not succeeded since.
+/// The failed starts of each worker since its last successful one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Quarantine {
     records: HashMap<WorkerId, FailureRecord>,
@@ -29,7 +30,7 @@
 }
 
 impl Quarantine {
-    /// Takes note of a failed start; returns whether the worker is to be set aside.
+    /// Records a failed start; returns whether the worker is to be quarantined.
     pub(super) fn failed(&mut self, now: Timestamp, worker: WorkerId, limits: &Limits) -> bool {
         let record = self.records.entry(worker).or_default();
         record.consecutive += 1;
@@ -43,12 +44,12 @@
         true
     }
 
-    /// Takes note of a successful start: the worker is as good as any.
+    /// Records a successful start, which clears the failures of the worker.
     pub(super) fn succeeded(&mut self, worker: WorkerId) {
         self.records.remove(&worker);
     }
 
-    /// Returns the workers whose time is up; each is given one start as a probe.
+    /// Returns the workers whose quarantine is over; each is allowed one start as a probe.
     pub(super) fn due(&mut self, now: Timestamp, limits: &Limits) -> Vec<WorkerId> {
         let mut due = Vec::new();
         for (worker, record) in &mut self.records {
--- a/dragonflyrun/src/job/queue.rs
+++ b/dragonflyrun/src/job/queue.rs
@@ -1,7 +1,7 @@
-//! The waiting jobs, in classes whose jobs are alike to the scheduler.
+//! The waiting jobs, grouped in classes whose jobs are equivalent for scheduling.
 //!
-//! If the first job of a class can't start, neither can the others, so a pass over the queue looks
-//! at as many jobs as there are classes and starts, not at all that wait.
+//! If the first job of a class can't start, neither can the others. So a pass over the queue
+//! considers as many jobs as there are classes and starts, not all waiting jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
     version::{Adjacency, Urgency},
 };
 
-/// Jobs that differ in age only.
+/// The properties that the jobs of one class share; they differ in age only.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Class {
     pub(super) urgency: Urgency,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A waiting job in the order of its age.
+/// Sort key of a job by age: the log offset at which it was accepted, and its id.
 pub(super) type AgeKey = (u64, JobId);
 
 /// The waiting jobs by class and age.
--- a/dragonflyrun/src/job/reclaim.rs
+++ b/dragonflyrun/src/job/reclaim.rs
@@ -1,4 +1,4 @@
-//! Which running jobs make room for a shape at least cost.
+//! Selection of the running jobs whose eviction makes room for a shape at the lowest cost.
 
 use crate::{
     job::{
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct Victim {
     pub(super) job: JobId,
-    /// What stopping it loses, in accelerator-milliseconds.
+    /// What stopping it costs: lost milliseconds multiplied by the weights of the job.
     pub(super) cost: u64,
     /// The accelerators that it holds on each worker.
     pub(super) holdings: Vec<(WorkerId, u32)>,
 }
 
-/// Room for a shape once some jobs have stopped.
+/// Room for a shape that is available once some jobs have stopped.
 #[derive(Clone, Debug)]
 pub(super) struct Eviction {
     pub(super) parts: Vec<Part>,
@@ -28,12 +28,13 @@
     pub(super) cost: u64,
 }
 
-/// Returns the cheapest ways found to make room for `shape`, one for each scope among `seats`
-/// that its adjacency allows, the cheapest first.
+/// Returns the cheapest evictions found that make room for `shape`, one for each scope among
+/// `candidates` that its adjacency allows, the cheapest first.
 ///
-/// The least cost is a covering problem; what is done instead is greedy: of all sets of jobs on
-/// one worker that give another task its room, the cheapest for each task, until the shape fits;
-/// then jobs that have proved needless are left alone.
+/// Finding the lowest cost is a covering problem, which is solved greedily: as long as the shape
+/// doesn't fit, the set of jobs on one worker that frees room for further tasks at the lowest cost
+/// for each task is chosen. Jobs that turn out not to be needed are dropped from the choice at the
+/// end.
 pub(super) fn cheapest_evictions(
     candidates: &[Candidate],
     shape: &Shape,
@@ -43,7 +44,7 @@
     let scope = |s: &Candidate| scope_of(s, shape.adjacency);
     candidates.sort_by_key(|s| (scope(s), s.worker));
     candidates.dedup_by_key(|s| s.worker);
-    // Tasks that share one worker are placed as one large task.
+    // Tasks that must share one worker are placed as one large task.
     let (tasks, size) = match shape.adjacency {
         Adjacency::Worker => (1, shape.tasks.saturating_mul(shape.accelerators)),
         _ => (shape.tasks, shape.accelerators),
@@ -64,8 +65,9 @@
     found
 }
 
-/// Returns the cheapest way found to make room for exactly `parts`, with `size` accelerators a
-/// task; `seats` tells what will be free of each of their workers.
+/// Returns the cheapest eviction found that makes room for exactly `parts`, with `size`
+/// accelerators for each task; `candidates` gives the accelerators that will be available on each
+/// of their workers.
 pub(super) fn cheapest_for_parts(
     candidates: &[Candidate],
     parts: &[Part],
@@ -78,19 +80,19 @@
 }
 
 struct Search<'a> {
-    /// What is free of each worker, and how much of that may be used.
+    /// The accelerators available on each worker, and in `caps` how many of them may be used.
     candidates: Vec<Candidate>,
     caps: Vec<u32>,
     index_of: HashMap<WorkerId, usize>,
     tasks: u32,
     size: u32,
     victims: &'a [Victim],
-    /// The victims that hold something on each seat.
+    /// The victims on each candidate, with the accelerators that they hold there.
     victims_on: Vec<Vec<(usize, u32)>>,
     chosen: HashSet<usize>,
 }
 
-/// Victims on one worker whose stop gives room for more tasks.
+/// Victims on one worker whose stop makes room for `gain` more tasks.
 struct VictimSet {
     victims: Vec<usize>,
     cost: u64,
@@ -162,14 +164,14 @@
             .sum()
     }
 
-    /// Returns how many tasks fit on a seat once `freed` more accelerators are free.
+    /// Returns how many tasks fit on a candidate once `freed` more accelerators are available.
     fn slots_with(&self, candidate: usize, freed: u32) -> u32 {
         let value = self.candidates[candidate].available + freed;
         value.min(self.caps[candidate]) / self.size
     }
 
-    /// Returns the cheapest choice found on one seat: the cheapest victims together, or a single
-    /// one that is enough.
+    /// Returns the cheapest set found on one candidate: the victims with the lowest cost for each
+    /// accelerator together, or a single victim that is enough.
     fn cheapest_set(&self, candidate: usize) -> Option<VictimSet> {
         let slots = self.slots_with(candidate, 0);
         let mut left: Vec<(usize, u32)> = self.victims_on[candidate]
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Takes victims out of the choice, the costliest first, as long as the shape still fits.
+    /// Drops chosen victims, the most expensive first, as long as the shape still fits.
     fn drop_needless_victims(&mut self) {
         let mut chosen: Vec<usize> = self.chosen_in_order().collect();
         chosen.sort_by_key(|v| std::cmp::Reverse(self.victims[*v].cost));
--- a/dragonflyrun/src/job/retention.rs
+++ b/dragonflyrun/src/job/retention.rs
@@ -1,9 +1,10 @@
 //! When the planner repeats live state on the log, which keeps records for a limited time only.
 //!
-//! A process that begins to read in the middle of the log first meets the repeated membership,
-//! which tells it whose records are in effect, and from there on every live job and the
-//! configuration within [`CARRY`]. So it knows everything when it reaches the head, if the log
-//! keeps more than [`MEMBERSHIP_CARRY`] and [`CARRY`] together; see `docs/GANGS.md`, retention.
+//! A process that starts reading in the middle of the log first reaches the repeated membership,
+//! which tells it whose records are valid. From there it reaches every live job and the
+//! configuration within [`STATE_REPEAT`]. So it has the complete state at the head of the log, as
+//! long as the log keeps more than [`MEMBERSHIP_REPEAT`] and [`STATE_REPEAT`] together; see
+//! `docs/GANGS.md`, retention.
 
 use std::{
     collections::VecDeque,
@@ -15,31 +16,33 @@
     utils::{HashMap, Timestamp},
 };
 
-/// How old a state may become on the log before it is repeated, whichever comes first.
+/// How old a state may become on the log before it is repeated; the limit that is reached first
+/// counts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RepeatAfter {
-    /// Records that follow it.
+    /// Number of records that follow the state.
     pub records: u64,
-    /// Time that passes, on a log that is quiet.
+    /// Time since the state was written, for a log with few new records.
     pub time: Duration,
 }
 
-/// How often each live job and the configuration are repeated.
+/// When each live job and the configuration are repeated.
 pub const STATE_REPEAT: RepeatAfter = RepeatAfter {
     records: 4_000,
     time: Duration::from_secs(600),
 };
 
-/// How often the membership is repeated.
+/// When the membership is repeated.
 pub const MEMBERSHIP_REPEAT: RepeatAfter = RepeatAfter {
     records: 500,
     time: Duration::from_secs(120),
 };
 
-/// States of one kind repeated at once, at the most, so that they do not delay other records.
+/// Maximum number of states of one queue that are repeated at once, so that they don't delay other
+/// records.
 const MAX_REPEATS_PER_CALL: usize = 64;
 
-/// A state that lives on the log.
+/// A state that is kept on the log.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Item {
     /// The configuration in force.
@@ -57,19 +60,19 @@
     repeat_now: bool,
 }
 
-/// Knows for each live state where the log last has the whole of it.
+/// Tracks where the log last has the complete record of each live state.
 #[derive(Debug)]
 pub struct Retention {
     membership: RepeatQueue,
     others: RepeatQueue,
 }
 
-/// States that are repeated equally often.
+/// States with the same limits for repeating.
 #[derive(Debug)]
 struct RepeatQueue {
     repeat_after: RepeatAfter,
     items: HashMap<Item, LastWritten>,
-    /// In the order of writing; an element that differs from `items` is out of date.
+    /// In the order of writing; elements that differ from `items` are obsolete.
     queue: VecDeque<(Item, LastWritten)>,
 }
 
@@ -83,7 +86,7 @@
 }
 
 impl Retention {
-    /// Takes note that the log has the whole state of `item` at `offset`.
+    /// Records that the log has the complete state of `item` at `offset`.
     pub fn written(&mut self, now: Timestamp, item: Item, offset: u64) {
         let written = LastWritten {
             offset,
@@ -93,17 +96,16 @@
         self.queue_of(&item).written(item, written);
     }
 
-    /// Takes note of a record on `item` at `offset`. The whole state needs all records since it was
-    /// last repeated, so the first of them counts.
+    /// Records that a record about `item` is on the log at `offset`. The complete state consists of
+    /// all records since it was last repeated, so the offset of the first of them counts.
     pub fn changed(&mut self, now: Timestamp, item: Item, offset: u64) {
         if !self.queue_of(&item).items.contains_key(&item) {
             self.written(now, item, offset);
         }
     }
 
-    /// Takes note that `item` is to be repeated at once: the log changed between the moment at
-    /// which it was read and that at which it was repeated, so a reader that starts at the repeated
-    /// state would miss the change.
+    /// Makes `item` due at once. This is needed if the log changed between reading the state and
+    /// repeating it, so that a reader that starts at the repeated state would miss the change.
     pub fn repeat_now(&mut self, now: Timestamp, item: Item) {
         let written = LastWritten {
             offset: 0,
@@ -115,13 +117,13 @@
         queue_of.queue.push_front((item, written));
     }
 
-    /// Takes note that `item` is over.
+    /// Stops tracking `item`, which has ended.
     pub fn forget(&mut self, item: &Item) {
         self.queue_of(item).items.remove(item);
     }
 
-    /// Returns what is to be repeated now, where the log ends at `next_offset`. What is returned
-    /// counts as written; [`Retention::outdated`] makes it due again where it is not.
+    /// Returns the states to repeat now, if the log ends at `next_offset`. They count as written
+    /// from here on; [`Retention::repeat_now`] makes a state due again if writing it failed.
     pub fn due(&mut self, now: Timestamp, next_offset: u64) -> Vec<Item> {
         let mut due = self.membership.due(now, next_offset);
         due.extend(self.others.due(now, next_offset));
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -1,6 +1,7 @@
-//! The scheduling policy: which waiting job starts where, and which running one makes room.
+//! The scheduling policy: which waiting job starts where, and which running jobs are evicted for
+//! it.
 //!
-//! [`Scheduler`] keeps the tables and is told of every change; `pass.rs` holds the decisions.
+//! [`Scheduler`] holds the state and is notified of every change; `pass.rs` makes the decisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,24 +26,26 @@
     version::{Limits, Version},
 };
 
-/// Ended jobs whose late usage is still learned from.
+/// Number of ended jobs whose specification is kept, so that usage reported after the end still
+/// updates the run-time estimates.
 const MAX_ENDED_JOBS: usize = 4_096;
 
-/// Time without a new worker after which the workers known are taken to be all there are. An entry
-/// that has just started hears its agents one after the other, and must not call a job impossible
-/// because it has not heard enough of them yet.
+/// Time without a new worker after which the known workers are taken to be the whole cluster. An
+/// entry that has just started hears from its agents one by one, and must not reject a job as
+/// impossible before it has heard from enough of them.
 const DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// The decision table that the planner asks.
+/// Decides what the planner starts and evicts.
 ///
-/// It does no I/O and reads no clock; the planner tells it what happens and carries out what
-/// [`Scheduler::decide`] returns.
+/// It does no I/O and reads no clock: the planner reports every event to it and carries out the
+/// decisions that [`Scheduler::decide`] returns.
 ///
-/// An owner that asks for a guaranteed shape has it decided for at once: free room, or the
-/// eviction of borrowers with a pledge of what they give back. It starts at the first decision
-/// after their stops are certain. So a reclaim takes as long as the planner needs to be certain
-/// of a stop, also where a borrower's worker does not answer; twice that if a stop was under way
-/// on the same worker already, or if the worker is lost meanwhile and the allotment moves.
+/// When a workspace requests a guaranteed shape, room is found at once: either free accelerators,
+/// or those that borrowing jobs release when they are evicted, which are pledged to the new job.
+/// The job starts at the first decision after the evicted jobs are certain to have stopped. So a
+/// reclaim takes as long as the planner needs to be certain of a stop, even if a borrower's worker
+/// doesn't answer. It takes twice as long if a stop was already under way on the same worker, or if
+/// the worker is lost meanwhile and the allotment moves.
 #[derive(Clone, Debug, Default)]
 pub struct Scheduler {
     pub(super) version: Option<Arc<Version>>,
@@ -53,51 +56,51 @@
     pub(super) jobs: HashMap<JobId, JobEntry>,
     pub(super) estimates: Estimates,
     pub(super) quarantine: Quarantine,
-    /// Jobs of each workspace that hold accelerators or are pledged some.
+    /// The jobs of each workspace that hold accelerators or have accelerators pledged.
     pub(super) holding: HashMap<Name, BTreeSet<AgeKey>>,
-    /// Aged jobs with the room that is reserved for them.
+    /// The reservations for jobs that have waited long.
     pub(super) reservations: BTreeMap<AgeKey, Reservation>,
-    /// Jobs that wait for the rest of their pledge.
+    /// Jobs with pledged accelerators that aren't all vacant yet.
     pub(super) pledged: BTreeSet<AgeKey>,
     /// Workers in failure domains that are out of service.
     pub(super) out_of_service: BTreeSet<WorkerId>,
-    /// Workers whose state has changed since the guarantees were last settled.
+    /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
-    /// Workspaces whose borrowing jobs may now be covered by a guarantee.
+    /// Workspaces with running jobs that borrow and that a guarantee may be able to cover now.
     pub(super) uncovered: BTreeSet<Name>,
-    /// Whether something has changed since the last pass over the queue.
+    /// Whether anything has changed since the last pass over the queue.
     pub(super) needs_pass: bool,
     pub(super) last_pass: Timestamp,
     last_new_worker: Timestamp,
     pub(super) discovered_all: bool,
-    /// Members of running gangs on workers that were not heard of yet. A planner that takes over
-    /// knows the placements from the log before it hears the agents.
+    /// Members of running gangs on workers that haven't been heard from yet, by worker. A planner
+    /// that takes over learns the placements from the log before it hears from the agents.
     pub(super) unknown_worker_members: HashMap<Name, Vec<(JobId, u32)>>,
-    /// Shapes of ended jobs, for usage that is reported late.
+    /// Specifications of ended jobs, for usage that is reported late.
     ended: HashMap<JobId, JobSpec>,
     ended_order: std::collections::VecDeque<JobId>,
 }
 
-/// What the scheduler keeps of a live job.
+/// The scheduler's state of a live job.
 #[derive(Clone, Debug)]
 pub(super) struct JobEntry {
     pub(super) spec: JobSpec,
     pub(super) accepted: u64,
     pub(super) waiting_since: Timestamp,
     pub(super) evictions: u32,
-    /// The guarantee that covers it.
+    /// The guarantee that covers the job; none if it waits or borrows.
     pub(super) cover: Option<GuaranteeId>,
     pub(super) stage: Stage,
 }
 
-/// Where a job is between waiting and running.
+/// Whether a job waits, has room pledged, or holds accelerators.
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
-    /// It waits for room.
+    /// The job waits for room.
     Waiting,
-    /// Room was chosen; it starts when all of it is vacant.
+    /// Room has been chosen; the job starts once all of it is vacant.
     Pledged(Vec<Part>),
-    /// It holds its accelerators.
+    /// The job holds its accelerators.
     Holding(Hold),
 }
 
@@ -106,11 +109,11 @@
 pub(super) struct Hold {
     pub(super) parts: Vec<Part>,
     pub(super) since: Timestamp,
-    /// Whether the planner was told to stop it.
+    /// Whether the planner has been told to stop the job.
     pub(super) stopping: bool,
 }
 
-/// A guarantee that the hardware in service does not permit together with the others.
+/// A guarantee that can't be met together with the others on the hardware in service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnmetGuarantee {
     /// The workspace.
@@ -119,16 +122,17 @@
     pub shape: Shape,
 }
 
-/// Where a guarantee can be had.
+/// The accelerators that are allotted to a guarantee.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Allotment {
     /// The workspace.
     pub workspace: Name,
     /// The shape.
     pub shape: Shape,
-    /// The workers, with tasks of the shape; fewer than the shape has where it is unmet.
+    /// The workers, each with its number of tasks of the shape; fewer tasks than the shape has if
+    /// the guarantee is unmet.
     pub placements: Vec<Placement>,
-    /// Whether a job of the workspace holds some of it.
+    /// Whether the guarantee covers a job of the workspace.
     pub held: bool,
 }
 
@@ -139,13 +143,13 @@
 }
 
 impl Scheduler {
-    /// Returns a scheduler that knows no worker, no job and no document.
+    /// Returns a scheduler without workers, jobs or a configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts a document in force: guarantees, quotas, limits, and which failure domains are in
-    /// service. What runs in one that is out of service is evicted by the next decisions.
+    /// Applies a configuration: guarantees, quotas, limits, and which failure domains are in
+    /// service. Jobs in a domain that is out of service are evicted by the next decisions.
     pub fn configure(&mut self, version: &Arc<Version>) {
         self.limits = version.limits;
         for id in self.inventory.ids() {
@@ -166,7 +170,7 @@
         self.needs_pass = true;
     }
 
-    /// Takes note of a new or changed worker.
+    /// Adds a worker, or updates a known one.
     pub fn worker_up(&mut self, now: Timestamp, info: WorkerInfo) {
         let version = self.version.as_ref();
         let in_service = version.is_some_and(|v| v.in_service(&info.failure_domain));
@@ -188,8 +192,8 @@
         self.needs_pass = true;
     }
 
-    /// Takes note that a worker is lost, silent or leaving: nothing starts there. What it holds
-    /// stays held until the planner says that those jobs wait again or are gone.
+    /// Marks a worker as lost, silent or leaving, so that nothing starts there. What its jobs hold
+    /// stays held until the planner reports that they wait again or have ended.
     pub fn worker_down(&mut self, _now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker)
             && self.inventory.worker(id).up
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Takes note of a job that was accepted, or has stopped on all its workers for certain and
+    /// Adds a job that has been accepted, or that is certain to have stopped on all its workers and
     /// waits again.
     pub fn job_waits(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
@@ -219,7 +223,7 @@
         self.needs_pass = true;
     }
 
-    /// Takes note of a job that is reserved or running at its placements, also when a planner
+    /// Records that a job is reserved or running at its placements; also called when a planner
     /// takes over.
     pub fn job_runs(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
@@ -253,7 +257,7 @@
         self.needs_pass = true;
     }
 
-    /// Takes note of a job that has ended on all its workers for certain.
+    /// Removes a job that is certain to have ended on all its workers.
     pub fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
         self.let_go(job);
         self.take_reservation(job);
@@ -265,7 +269,7 @@
         self.needs_pass = true;
     }
 
-    /// Takes note that a worker could not start what it was given.
+    /// Records that a worker failed to start a task.
     pub fn start_failed(&mut self, now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker)
             && self.quarantine.failed(now, id, &self.limits)
@@ -278,7 +282,7 @@
         }
     }
 
-    /// Takes note that a worker has started what it was given.
+    /// Records that a worker has started a task successfully.
     pub fn start_succeeded(&mut self, _now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker) {
             self.quarantine.succeeded(id);
@@ -290,7 +294,8 @@
         }
     }
 
-    /// Takes note of what a job has used; also after its end, since workers report with a lag.
+    /// Updates the run-time estimates from a usage report, which may arrive after the end of the
+    /// job because workers report with a delay.
     pub fn usage(&mut self, _now: Timestamp, report: &UsageReport) {
         let live = self.jobs.get(&report.job).map(|e| &e.spec);
         let Some(spec) = live.or_else(|| self.ended.get(&report.job)) else {
@@ -301,12 +306,12 @@
         }
     }
 
-    /// Checks that a job can be had: from the document's quota, and from the workers known once no
-    /// new one has come for some seconds.
+    /// Checks whether a job can ever run: against its workspace's quota, and against the known
+    /// workers once no new one has appeared for [`DISCOVERY_TIME`].
     ///
     /// # Errors
     ///
-    /// Why it can never be had.
+    /// Returns why the job can never run.
     pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         if spec.tasks == 0 || spec.accelerators == 0 {
             return Err(ImpossibleReason::Empty);
@@ -327,9 +332,10 @@
         Ok(())
     }
 
-    /// Returns the guarantees that the hardware in service does not permit together with the
-    /// others, in no order of importance. Which ones are left out is decided in turns: each time
-    /// the workspace that has the smallest share of what it was promised comes first.
+    /// Returns the guarantees that can't be met together with the others on the hardware in
+    /// service, in no particular order. If they don't all fit, they are allotted in turns, each
+    /// time to the workspace that has the smallest share of what it was promised, and what is left
+    /// out is unmet.
     pub fn unmet(&self) -> Vec<UnmetGuarantee> {
         let incomplete = self.guarantees.incomplete().into_iter();
         incomplete
@@ -343,21 +349,21 @@
             .collect()
     }
 
-    /// Returns whether a running job borrows: it lies outside its workspace's guarantees and may
-    /// be evicted for another's.
+    /// Returns whether a running job borrows: no guarantee of its workspace covers it, so it may be
+    /// evicted for another workspace's guarantee.
     pub fn borrows(&self, job: &JobId) -> bool {
         let entry = self.jobs.get(job);
         entry.is_some_and(|e| matches!(e.stage, Stage::Holding(_)) && e.cover.is_none())
     }
 
-    /// Returns whether a running job lies outside its workspace's guarantees, but is not evicted
-    /// for another's because all guarantees can be had beside it.
+    /// Returns whether a running job lies outside its workspace's guarantees but isn't evicted for
+    /// others, because all guarantees can be allotted beside it.
     pub fn is_protected(&self, job: &JobId) -> bool {
         let cover = self.jobs.get(job).and_then(|e| e.cover);
         cover.is_some_and(|id| self.guarantees.entries[id].temporary)
     }
 
-    /// Returns where each guarantee is allotted.
+    /// Returns the allotment of each guarantee.
     pub fn allotments(&self) -> Vec<Allotment> {
         let entries = self.guarantees.entries.iter();
         entries
@@ -377,15 +383,16 @@
             .collect()
     }
 
-    /// Returns what is to be done now; what is returned counts as under way.
+    /// Returns the decisions to carry out now. The scheduler counts them as under way from here on.
     pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
         self.update_discovery(now);
         self.pass(now)
     }
 
-    /// Takes note that no new worker has come for some seconds, where that is so, upon which
-    /// [`possible`](Self::possible) can tell what no set of workers holds. An entry that is not
-    /// planner decides nothing, but has to refuse such jobs all the same.
+    /// Marks the cluster as fully discovered once no new worker has appeared for
+    /// [`DISCOVERY_TIME`]; from then on [`check_possible`](Self::check_possible) rejects jobs that
+    /// no set of workers can hold. An entry that isn't planner decides nothing, but has to reject
+    /// such jobs all the same.
     pub fn update_discovery(&mut self, now: Timestamp) {
         if !self.discovered_all && now.since(self.last_new_worker) >= DISCOVERY_TIME {
             self.discovered_all = true;
@@ -405,13 +412,14 @@
         };
     }
 
-    /// Returns which job each guarantee covers, by what does not change with the document.
+    /// Returns the covered jobs. Their ids stay valid when a new configuration renumbers the
+    /// guarantees.
     fn covered_jobs(&self) -> HashSet<JobId> {
         let covered = self.jobs.iter().filter(|(_, e)| e.cover.is_some());
         covered.map(|(job, _)| job.clone()).collect()
     }
 
-    /// Sets the numbers of the guarantees that cover jobs, after they were numbered anew.
+    /// Updates each job's guarantee number after the guarantees were renumbered.
     fn renumber_covers(&mut self, before: HashSet<JobId>) {
         for job in before {
             if let Some(entry) = self.jobs.get_mut(&job) {
--- a/dragonflyrun/src/job/slots.rs
+++ b/dragonflyrun/src/job/slots.rs
@@ -1,7 +1,8 @@
-//! An index of workers by a count of accelerators, which finds room for a shape without a look at
+//! An index of workers by a number of accelerators, which finds room for a shape without looking at
 //! every worker.
 //!
-//! The scheduler keeps two: one of what is free, one of what no guarantee has been allotted.
+//! The scheduler's inventory has one each for the workers' capacity, for the free accelerators, and
+//! for those that can still be allotted to guarantees.
 
 use std::collections::BTreeSet;
 
@@ -14,18 +15,19 @@
     version::Adjacency,
 };
 
-/// The number of a worker in the tables of one scheduler.
+/// Index of a worker in the tables of one scheduler.
 pub(super) type WorkerId = usize;
 
-/// Racks that are compared for one placement. The first has the fewest slots to spare; a few more
-/// are looked at because slots don't say how many whole workers a rack keeps.
+/// Number of racks compared for one placement, starting with the rack that has the fewest slots to
+/// spare. Some more are compared because the number of slots doesn't tell how many whole workers a
+/// rack keeps.
 const MAX_COMPARED_RACKS: usize = 4;
 
-/// A worker's place in the order: fewest accelerators first, then the most broken rack, so that
-/// whole racks come last.
+/// The sort key of a worker: its accelerators, then the sum of its rack, so that racks that are
+/// mostly in use come before whole ones.
 type Key = (u32, u32, WorkerId);
 
-/// Workers with a count of accelerators each, by rack and failure domain.
+/// Workers with a number of available accelerators each, indexed by rack and failure domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotIndex {
     candidates: Vec<Candidate>,
@@ -47,7 +49,8 @@
     counts: Counts,
 }
 
-/// How many workers have each count.
+/// The number of workers with each number of available accelerators, and the sum of the
+/// accelerators.
 #[derive(Clone, Debug, Default)]
 struct Counts {
     workers: Vec<u32>,
@@ -79,7 +82,8 @@
 }
 
 impl SlotIndex {
-    /// Adds a worker without accelerators; workers are added in the order of their numbers.
+    /// Adds a worker with no available accelerators and returns its index; workers are numbered in
+    /// the order in which they are added.
     pub(super) fn add(&mut self, rack: usize, domain: usize) -> WorkerId {
         let worker = self.candidates.len();
         if self.racks.len() <= rack {
@@ -103,17 +107,17 @@
         worker
     }
 
-    /// Returns the count of `worker`.
+    /// Returns the accelerators available on `worker`.
     pub(super) fn available(&self, worker: WorkerId) -> u32 {
         self.candidates[worker].available
     }
 
-    /// Returns where `worker` stands, with its count.
+    /// Returns `worker` with its location and available accelerators.
     pub(super) fn candidate(&self, worker: WorkerId) -> Candidate {
         self.candidates[worker]
     }
 
-    /// Sets the count of `worker`.
+    /// Sets the accelerators available on `worker`.
     pub(super) fn set(&mut self, worker: WorkerId, value: u32) {
         let candidate = self.candidates[worker];
         if candidate.available == value {
@@ -132,7 +136,7 @@
         self.insert_rack_keys(candidate.rack);
     }
 
-    /// Returns where `shape` fits best, if it fits.
+    /// Returns the best placement of `shape` that is found, or none if it doesn't fit.
     pub(super) fn find(&mut self, shape: &Shape) -> Option<Vec<Part>> {
         let size = shape.accelerators;
         match shape.adjacency {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Returns the members of the racks with the most room for tasks of `size`, `most` racks at
-    /// the most.
+    /// Returns the workers of the racks with the most slots for tasks of `size` accelerators, from
+    /// at most `max_racks` racks.
     pub(super) fn racks_with_most_slots(
         &mut self,
         size: u32,
@@ -199,7 +203,8 @@
             .collect()
     }
 
-    /// Returns the workers with the most room in each failure domain, `most` of each at the most.
+    /// Returns the workers with the most available accelerators in each failure domain, at most
+    /// `max_workers` in each.
     pub(super) fn most_available_by_domain(&self, max_workers: usize) -> Vec<Vec<Candidate>> {
         let most_available = |d: &Scope| {
             let workers = d.order.iter().rev().take(max_workers);
@@ -208,7 +213,7 @@
         self.domains.iter().map(most_available).collect()
     }
 
-    /// Returns the workers with the most room, `most` at the most.
+    /// Returns the workers with the most available accelerators, at most `max_workers`.
     pub(super) fn most_available(&self, max_workers: usize) -> Vec<Candidate> {
         let workers = self.all.order.iter().rev().take(max_workers);
         workers.map(|(_, _, w)| self.candidates[*w]).collect()
@@ -231,8 +236,8 @@
             .map(|plan| plan.parts)
     }
 
-    /// Returns the best of three ways to fill the workers of `scope`; only as many workers are
-    /// looked at as the shape has tasks.
+    /// Returns the best of three ways to fill the workers of `scope`. It reads no more workers from
+    /// each end of the order than the shape has tasks.
     fn find_in(&self, scope: &Scope, shape: &Shape) -> Option<Vec<Part>> {
         let Shape {
             tasks,
@@ -262,7 +267,7 @@
         best_of(&candidates, tasks, accelerators).map(|plan| plan.parts)
     }
 
-    /// Returns the workers in the rack of `worker`, itself included.
+    /// Returns the workers in the rack of `worker`, including itself.
     pub(super) fn rack_members(&self, worker: WorkerId) -> Vec<Candidate> {
         self.candidates_in(self.candidates[worker].rack)
     }
@@ -272,8 +277,9 @@
         members.map(|w| self.candidates[*w]).collect()
     }
 
-    /// Returns the racks by their slots for tasks of `size`. The order is made at the first use
-    /// of a size and kept from then on; there are as many sizes as a worker has accelerators.
+    /// Returns the racks ordered by their slots for tasks of `size` accelerators. The order is
+    /// built when a size is first used and updated from then on; there are at most as many sizes as
+    /// a worker has accelerators.
     pub(super) fn rack_order(&mut self, size: u32) -> &BTreeSet<(u32, usize)> {
         let racks = &self.racks;
         self.rack_orders.entry(size).or_insert_with(|| {
@@ -300,7 +306,8 @@
         });
     }
 
-    /// Takes each member of `rack` in or out of the orders: its key holds the rack's sum.
+    /// Adds or removes the key of each member of `rack` in the orders, since the key contains the
+    /// sum of the rack.
     fn update_worker_keys(&mut self, rack: usize, change: impl Fn(&mut BTreeSet<Key>, Key)) {
         let Rack { members, counts } = &self.racks[rack];
         for worker in members {
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -1,4 +1,4 @@
-//! How the planner starts gangs, and which workers it blames where a start fails.
+//! How the planner starts gangs, and which workers it holds responsible when a start fails.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
     utils::{Name, Timestamp},
 };
 
-/// Workers that one job may bring into disrepute by failing on them. Some jobs can never run, and
-/// must not have all workers set aside one after the other.
+/// Maximum number of workers to which failures of one job are attributed. Some jobs can never run,
+/// and must not get all workers quarantined one after the other.
 pub(super) const MAX_BLAMED_WORKERS_PER_JOB: usize = 2;
 
-/// How long a shape must not be had from the workers known before an accepted job is ended for it.
-/// A planner that was replaced lately may not have heard of a worker that is away for a while.
+/// How long a job must have been impossible on the known workers before it is ended. A planner that
+/// has recently taken over may not have heard from a worker that is temporarily away.
 const IMPOSSIBLE_END_AFTER: Duration = Duration::from_secs(600);
 
-/// Time between two looks at a job whose shape can't be had.
+/// Delay until an impossible job is checked again.
 const IMPOSSIBLE_RETRY_DELAY: Duration = Duration::from_secs(15);
 
-/// How long a gang has to run to count as well started, and a task that fails sooner as badly.
+/// Run time after which the start of a gang counts as successful; a task that fails earlier counts
+/// as a failed start of its worker.
 pub(super) const START_CONFIRMED_AFTER: Duration = Duration::from_millis(10_000);
 
 impl Planner {
@@ -109,7 +110,8 @@
         if !known {
             return;
         }
-        // Once the worker is set aside for it, more failures of the same job prove nothing new.
+        // Once the failures of one job have sufficed to quarantine a worker, more of them prove
+        // nothing new.
         let count = planned.blamed.entry(worker.clone()).or_default();
         if *count < self.version.limits.worker_failures {
             *count += 1;
