--- a/dragonflyrun/src/job/allotment.rs
+++ b/dragonflyrun/src/job/allotment.rs
@@ -61,7 +61,7 @@
         let Some(wanted) = round_up(inventory, &entry.shape, parts, size) else {
             return false;
         };
-        let mut moved = vec![(id, self.take_back(inventory, id, |_| true))];
+        let mut moved = vec![(id, self.remove_shares(inventory, id, |_| true))];
         let done = self.clear_workers(inventory, id, &wanted, &mut moved)
             && {
                 self.allot(inventory, id, &wanted);
@@ -72,7 +72,7 @@
                 .all(|(other, _)| self.complete(inventory, *other));
         if !done {
             for (other, _) in &moved {
-                self.take_back(inventory, *other, |_| true);
+                self.remove_shares(inventory, *other, |_| true);
             }
             for (other, before) in &moved {
                 self.allot(inventory, *other, before);
@@ -98,7 +98,7 @@
                 let Some(other) = movable.min_by_key(|o| self.entries[*o].accelerators()) else {
                     return false;
                 };
-                let before = self.take_back(inventory, other, |_| true);
+                let before = self.remove_shares(inventory, other, |_| true);
                 moved.push((other, before));
             }
             true
@@ -123,7 +123,7 @@
             if !self.entries[id].movable() {
                 continue;
             }
-            let before = self.take_back(inventory, id, |_| true);
+            let before = self.remove_shares(inventory, id, |_| true);
             if !self.complete(inventory, id) {
                 self.allot(inventory, id, &before);
             }
@@ -149,9 +149,9 @@
         }
         for id in self.on(worker).to_vec() {
             if self.entries[id].movable() {
-                self.take_back(inventory, id, |_| true);
+                self.remove_shares(inventory, id, |_| true);
             } else {
-                self.take_back(inventory, id, |s| s.worker == worker && s.used == 0);
+                self.remove_shares(inventory, id, |s| s.worker == worker && s.used == 0);
             }
         }
     }
@@ -171,7 +171,7 @@
                 *id,
             )
         });
-        self.take_back_all(inventory, &movable);
+        self.remove_all_shares(inventory, &movable);
         let held = (0..self.entries.len()).filter(|id| !self.entries[*id].movable());
         for id in held.collect::<Vec<_>>() {
             self.complete(inventory, id);
@@ -180,16 +180,16 @@
         if ids_in_order.all(|id| self.complete(inventory, *id)) {
             return self.incomplete().is_empty();
         }
-        self.take_back_all(inventory, &movable);
+        self.remove_all_shares(inventory, &movable);
         if !self.allot_by_search(inventory, &movable) {
             self.allot_in_turns(inventory, movable);
         }
         self.incomplete().is_empty()
     }
 
-    fn take_back_all(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) {
+    fn remove_all_shares(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) {
         for id in ids {
-            self.take_back(inventory, *id, |_| true);
+            self.remove_shares(inventory, *id, |_| true);
         }
     }
 
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -128,7 +128,7 @@
                         return true;
                     }
                 }
-                self.take_allotment(now, job, reason, budget, decisions)
+                self.evict_from_allotment(now, job, reason, budget, decisions)
             }
             EvictionReason::Urgency | EvictionReason::Age => {
                 let Some(eviction) = found.into_iter().next() else {
@@ -147,7 +147,7 @@
 
     /// Gives a job the room that is allotted to its workspace's guarantee. Jobs there that no
     /// guarantee covers are evicted, and pledges without a guarantee are withdrawn.
-    fn take_allotment(
+    fn evict_from_allotment(
         &mut self,
         now: Timestamp,
         job: &JobId,
--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -250,7 +250,7 @@
         inventory: &mut Inventory,
         id: GuaranteeId,
     ) -> Option<Renumbered> {
-        self.take_back(inventory, id, |_| true);
+        self.remove_shares(inventory, id, |_| true);
         self.entries.swap_remove(id);
         let from = self.entries.len();
         if from == id {
@@ -310,7 +310,7 @@
     }
 
     /// Removes the shares of a guarantee that `selects` returns `true` for; returns them.
-    pub(super) fn take_back(
+    pub(super) fn remove_shares(
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
@@ -318,24 +318,24 @@
     ) -> Vec<Part> {
         let entry = &mut self.entries[id];
         let size = entry.shape.accelerators;
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         entry.shares.retain(|share| {
-            let take = selects(share);
-            if take {
-                taken.push(Part {
+            let remove = selects(share);
+            if remove {
+                removed.push(Part {
                     worker: share.worker,
                     tasks: share.tasks,
                 });
             }
-            !take
+            !remove
         });
-        for part in &taken {
+        for part in &removed {
             inventory.allot(part.worker, -i64::from(part.tasks * size));
             if let Some(ids) = self.on_worker.get_mut(&part.worker) {
                 ids.retain(|other| *other != id);
             }
         }
-        taken
+        removed
     }
 
     fn add_configured(&mut self, workspace: &Name, shape: Shape) {
@@ -354,7 +354,7 @@
         let mut uncovered = Vec::new();
         for id in 0..self.entries.len() {
             if !self.entries[id].configured {
-                self.take_back(inventory, id, |_| true);
+                self.remove_shares(inventory, id, |_| true);
                 uncovered.append(&mut self.entries[id].jobs);
             }
         }
--- a/dragonflyrun/src/job/inventory.rs
+++ b/dragonflyrun/src/job/inventory.rs
@@ -84,8 +84,8 @@
     /// have waited long are excluded, so that allotments are elsewhere by the time a large gang can
     /// start there.
     fn allottable(&self) -> u32 {
-        let taken = self.allotted + self.reserved;
-        self.info.accelerators.saturating_sub(taken)
+        let used = self.allotted + self.reserved;
+        self.info.accelerators.saturating_sub(used)
     }
 
     /// Returns the accelerators that are reserved for jobs that have waited long.
--- a/dragonflyrun/src/job/packing.rs
+++ b/dragonflyrun/src/job/packing.rs
@@ -39,8 +39,8 @@
 }
 
 impl Search<'_> {
-    fn place_shape(&mut self, at: usize) -> bool {
-        let Some(shape) = self.shapes.get(at) else {
+    fn place_shape(&mut self, shape_index: usize) -> bool {
+        let Some(shape) = self.shapes.get(shape_index) else {
             return true;
         };
         let mut scopes: Vec<usize> = self
@@ -52,42 +52,42 @@
         scopes.dedup();
         scopes
             .into_iter()
-            .any(|scope| self.place_tasks(at, scope, 0, shape.tasks))
+            .any(|scope| self.place_tasks(shape_index, scope, 0, shape.tasks))
     }
 
-    /// Places the last `left` tasks of shape `at` on the candidates of `scope` from index `from`
-    /// on. The tasks of a shape are interchangeable, so only one order of the candidates needs to
-    /// be tried.
-    fn place_tasks(&mut self, at: usize, scope: usize, from: usize, left: u32) -> bool {
-        let shape = self.shapes[at];
+    /// Places the last `left` tasks of shape `shape_index` on the candidates of `scope` from index
+    /// `from` on. The tasks of a shape are interchangeable, so only one order of the candidates
+    /// needs to be tried.
+    fn place_tasks(&mut self, shape_index: usize, scope: usize, from: usize, left: u32) -> bool {
+        let shape = self.shapes[shape_index];
         if left == 0 {
-            return self.place_shape(at + 1);
+            return self.place_shape(shape_index + 1);
         }
-        for i in from..self.candidates.len() {
+        for index in from..self.candidates.len() {
             self.steps += 1;
             if self.steps > MAX_SEARCH_STEPS {
                 return false;
             }
-            let candidate = self.candidates[i];
+            let candidate = self.candidates[index];
             if scope_of(&candidate, shape.adjacency) != scope {
                 continue;
             }
             let fit = left.min(candidate.available / shape.accelerators);
-            let least = match shape.adjacency {
+            let min_here = match shape.adjacency {
                 Adjacency::Worker => left,
                 _ => 1,
             };
-            for tasks_here in (least..=fit).rev() {
-                self.candidates[i].available -= tasks_here * shape.accelerators;
-                self.chosen[at].push(Part {
+            for tasks_here in (min_here..=fit).rev() {
+                self.candidates[index].available -= tasks_here * shape.accelerators;
+                self.chosen[shape_index].push(Part {
                     worker: candidate.worker,
                     tasks: tasks_here,
                 });
-                if self.place_tasks(at, scope, i + 1, left - tasks_here) {
+                if self.place_tasks(shape_index, scope, index + 1, left - tasks_here) {
                     return true;
                 }
-                self.chosen[at].pop();
-                self.candidates[i].available += tasks_here * shape.accelerators;
+                self.chosen[shape_index].pop();
+                self.candidates[index].available += tasks_here * shape.accelerators;
             }
         }
         false
--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -58,7 +58,7 @@
 /// An action to carry out for the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerAction {
-    /// Send an order.
+    /// Send a message to an agent.
     Send(Notice),
     /// Append a record, and pass its id to [`Planner::appended`].
     Append {
--- a/dragonflyrun/src/job/retention.rs
+++ b/dragonflyrun/src/job/retention.rs
@@ -153,7 +153,7 @@
     }
 
     fn due(&mut self, now: Timestamp, next_offset: u64) -> Vec<Item> {
-        let again = LastWritten {
+        let rewritten = LastWritten {
             offset: next_offset,
             at: now,
             repeat_now: false,
@@ -171,7 +171,7 @@
                 break;
             };
             if current {
-                self.written(item.clone(), again);
+                self.written(item.clone(), rewritten);
                 due.push(item);
             }
         }
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -307,7 +307,7 @@
     }
 
     /// Checks whether a job can ever run: against its workspace's quota, and against the known
-    /// workers once no new one has appeared for [`DISCOVERY_TIME`].
+    /// workers once no new one has appeared for some seconds.
     ///
     /// # Errors
     ///
@@ -389,10 +389,9 @@
         self.pass(now)
     }
 
-    /// Marks the cluster as fully discovered once no new worker has appeared for
-    /// [`DISCOVERY_TIME`]; from then on [`check_possible`](Self::check_possible) rejects jobs that
-    /// no set of workers can hold. An entry that isn't planner decides nothing, but has to reject
-    /// such jobs all the same.
+    /// Marks the cluster as fully discovered once no new worker has appeared for some seconds; from
+    /// then on [`check_possible`](Self::check_possible) rejects jobs that no set of workers can
+    /// hold. An entry that isn't planner decides nothing, but has to reject such jobs all the same.
     pub fn update_discovery(&mut self, now: Timestamp) {
         if !self.discovered_all && now.since(self.last_new_worker) >= DISCOVERY_TIME {
             self.discovered_all = true;
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -105,9 +105,9 @@
         let Some(planned) = self.jobs.get_mut(job) else {
             return;
         };
-        let known = planned.blamed.len() < MAX_BLAMED_WORKERS_PER_JOB
+        let may_blame = planned.blamed.len() < MAX_BLAMED_WORKERS_PER_JOB
             || planned.blamed.contains_key(worker);
-        if !known {
+        if !may_blame {
             return;
         }
         // Once the failures of one job have sufficed to quarantine a worker, more of them prove
