--- a/dragonflyrun/src/job/allotment.rs
+++ b/dragonflyrun/src/job/allotment.rs
@@ -1,4 +1,5 @@
-//! Where guarantees are allotted: when workers come and go, and when jobs start elsewhere.
+//! Allotment of guarantees to workers, updated when workers come and go and when jobs start outside
+//! an allotment.
 
 use crate::{
     job::{
@@ -6,18 +7,19 @@
         guarantee::{GuaranteeId, Guarantees},
         inventory::Inventory,
         packing::pack,
-        placement::{Part, Seat, pick, scope_of},
+        placement::{Candidate, Part, pick, scope_of},
         slots::WorkerId,
     },
     utils::{HashMap, Name},
     version::Adjacency,
 };
 
-/// Workers up to which the exact search is tried.
-const SMALL_CLUSTER: usize = 64;
+/// Maximum number of workers with which the exact search is tried.
+const MAX_EXACT_WORKERS: usize = 64;
 
 impl Guarantees {
-    /// Allots the tasks that a guarantee lacks, next to those it has; returns whether it is whole.
+    /// Allots the missing tasks of a guarantee next to the tasks that it has; returns whether it is
+    /// complete.
     pub(super) fn complete(&mut self, inventory: &mut Inventory, id: GuaranteeId) -> bool {
         let entry = &self.entries[id];
         let allotted: u32 = entry.shares.iter().map(|s| s.tasks).sum();
@@ -30,11 +32,11 @@
             ..entry.shape
         };
         let found = match entry.shares.first() {
-            None => inventory.open.find(&shape),
+            None => inventory.allottable.find(&shape),
             Some(share) => {
-                let at = inventory.open.seat(share.worker);
-                let seats = neighbours(inventory, &at, &shape);
-                pick(&seats, &shape).map(|plan| plan.parts)
+                let at = inventory.allottable.candidate(share.worker);
+                let candidates = neighbours(inventory, &at, &shape);
+                pick(&candidates, &shape).map(|plan| plan.parts)
             }
         };
         let Some(parts) = found else { return false };
@@ -42,9 +44,9 @@
         true
     }
 
-    /// Moves the allotment of a guarantee without jobs so that it contains `parts`. Allotments
-    /// without jobs that are in the way are moved elsewhere; where one of them can't be, all
-    /// stays as it was.
+    /// Moves the allotment of a guarantee without jobs so that it contains `parts`. Other
+    /// allotments without jobs that are in the way are moved elsewhere; if one of them can't be,
+    /// nothing changes. Returns whether the allotment was moved.
     pub(super) fn move_to(
         &mut self,
         inventory: &mut Inventory,
@@ -56,11 +58,11 @@
         if !entry.movable() {
             return false;
         }
-        let Some(wanted) = rounded(inventory, &entry.shape, parts, size) else {
+        let Some(wanted) = round_up(inventory, &entry.shape, parts, size) else {
             return false;
         };
-        let mut moved = vec![(id, self.take_back(inventory, id, |_| true))];
-        let done = self.clear(inventory, id, &wanted, &mut moved)
+        let mut moved = vec![(id, self.remove_shares(inventory, id, |_| true))];
+        let done = self.clear_workers(inventory, id, &wanted, &mut moved)
             && {
                 self.allot(inventory, id, &wanted);
                 self.complete(inventory, id)
@@ -70,7 +72,7 @@
                 .all(|(other, _)| self.complete(inventory, *other));
         if !done {
             for (other, _) in &moved {
-                self.take_back(inventory, *other, |_| true);
+                self.remove_shares(inventory, *other, |_| true);
             }
             for (other, before) in &moved {
                 self.allot(inventory, *other, before);
@@ -79,8 +81,9 @@
         done
     }
 
-    /// Takes back allotments without jobs until `wanted` is open; adds them to `moved`.
-    fn clear(
+    /// Removes allotments without jobs until `wanted` is allottable, and adds them to `moved`;
+    /// returns whether that succeeded.
+    fn clear_workers(
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
@@ -89,28 +92,28 @@
     ) -> bool {
         let size = self.entries[id].shape.accelerators;
         wanted.iter().all(|part| {
-            while inventory.open.value(part.worker) < part.tasks * size {
+            while inventory.allottable.available(part.worker) < part.tasks * size {
                 let in_the_way = self.on(part.worker).iter().copied();
                 let movable = in_the_way.filter(|o| *o != id && self.entries[*o].movable());
                 let Some(other) = movable.min_by_key(|o| self.entries[*o].accelerators()) else {
                     return false;
                 };
-                let before = self.take_back(inventory, other, |_| true);
+                let before = self.remove_shares(inventory, other, |_| true);
                 moved.push((other, before));
             }
             true
         })
     }
 
-    /// Moves allotments away from the workers in `changed` that can't honour them, and allots
-    /// what is not allotted yet. Returns whether all guarantees are allotted.
-    pub(super) fn settle(&mut self, inventory: &mut Inventory, changed: &[WorkerId]) -> bool {
+    /// Moves allotments away from the workers in `changed` that can't provide them any more, and
+    /// allots guarantees that are incomplete. Returns whether all guarantees are complete.
+    pub(super) fn reallot(&mut self, inventory: &mut Inventory, changed: &[WorkerId]) -> bool {
         for worker in changed {
-            self.leave(inventory, *worker);
+            self.withdraw_from(inventory, *worker);
         }
-        let lacking = self.lacking();
-        let whole = lacking.iter().all(|id| self.complete(inventory, *id));
-        whole || self.allot_anew(inventory)
+        let incomplete = self.incomplete();
+        let whole = incomplete.iter().all(|id| self.complete(inventory, *id));
+        whole || self.allot_all(inventory)
     }
 
     /// Moves allotments without jobs away from `worker`, as far as there is room for them
@@ -120,43 +123,43 @@
             if !self.entries[id].movable() {
                 continue;
             }
-            let before = self.take_back(inventory, id, |_| true);
+            let before = self.remove_shares(inventory, id, |_| true);
             if !self.complete(inventory, id) {
                 self.allot(inventory, id, &before);
             }
         }
     }
 
-    /// Returns the guarantees that the hardware in service does not permit.
-    pub(super) fn lacking(&self) -> Vec<GuaranteeId> {
-        let lacks = |id: &GuaranteeId| {
+    /// Returns the guarantees that aren't completely allotted.
+    pub(super) fn incomplete(&self) -> Vec<GuaranteeId> {
+        let is_incomplete = |id: &GuaranteeId| {
             let entry = &self.entries[*id];
             let tasks: u32 = entry.shares.iter().map(|s| s.tasks).sum();
             tasks < entry.shape.tasks
         };
-        (0..self.entries.len()).filter(lacks).collect()
+        (0..self.entries.len()).filter(is_incomplete).collect()
     }
 
-    /// Takes back what is allotted on a worker that is not usable, or has fewer accelerators than
-    /// are allotted. Where a job holds its place, the rest of its allotment stays next to it.
-    fn leave(&mut self, inventory: &mut Inventory, worker: WorkerId) {
+    /// Removes allotments on a worker that isn't usable or has fewer accelerators than are
+    /// allotted. If a job is in an allotment, the shares on other workers stay where they are.
+    fn withdraw_from(&mut self, inventory: &mut Inventory, worker: WorkerId) {
         let usable = inventory.worker(worker).usable();
         if usable && !inventory.is_over_allotted(worker) {
             return;
         }
         for id in self.on(worker).to_vec() {
             if self.entries[id].movable() {
-                self.take_back(inventory, id, |_| true);
+                self.remove_shares(inventory, id, |_| true);
             } else {
-                self.take_back(inventory, id, |s| s.worker == worker && s.used == 0);
+                self.remove_shares(inventory, id, |s| s.worker == worker && s.used == 0);
             }
         }
     }
 
-    /// Allots all guarantees without jobs anew: those hardest to place first; if that leaves one
-    /// out, by exact search; if that fails too, the hardware does not permit them all, and
-    /// workspaces take turns.
-    fn allot_anew(&mut self, inventory: &mut Inventory) -> bool {
+    /// Allots all guarantees without jobs anew. First they are allotted one by one, those that are
+    /// hardest to place first; if one of them doesn't fit, by exact search. If that fails too, the
+    /// hardware can't meet them all, and workspaces take turns.
+    fn allot_all(&mut self, inventory: &mut Inventory) -> bool {
         let mut movable: Vec<GuaranteeId> = (0..self.entries.len())
             .filter(|id| self.entries[*id].movable())
             .collect();
@@ -168,39 +171,39 @@
                 *id,
             )
         });
-        self.take_back_all(inventory, &movable);
+        self.remove_all_shares(inventory, &movable);
         let held = (0..self.entries.len()).filter(|id| !self.entries[*id].movable());
         for id in held.collect::<Vec<_>>() {
             self.complete(inventory, id);
         }
-        let mut one_by_one = movable.iter();
-        if one_by_one.all(|id| self.complete(inventory, *id)) {
-            return self.lacking().is_empty();
+        let mut ids_in_order = movable.iter();
+        if ids_in_order.all(|id| self.complete(inventory, *id)) {
+            return self.incomplete().is_empty();
         }
-        self.take_back_all(inventory, &movable);
-        if !self.allot_exactly(inventory, &movable) {
+        self.remove_all_shares(inventory, &movable);
+        if !self.allot_by_search(inventory, &movable) {
             self.allot_in_turns(inventory, movable);
         }
-        self.lacking().is_empty()
+        self.incomplete().is_empty()
     }
 
-    fn take_back_all(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) {
+    fn remove_all_shares(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) {
         for id in ids {
-            self.take_back(inventory, *id, |_| true);
+            self.remove_shares(inventory, *id, |_| true);
         }
     }
 
-    fn allot_exactly(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) -> bool {
-        let seats: Vec<Seat> = inventory
+    fn allot_by_search(&mut self, inventory: &mut Inventory, ids: &[GuaranteeId]) -> bool {
+        let candidates: Vec<Candidate> = inventory
             .ids()
-            .map(|w| inventory.open.seat(w))
-            .filter(|s| s.value > 0)
+            .map(|w| inventory.allottable.candidate(w))
+            .filter(|s| s.available > 0)
             .collect();
-        if seats.len() > SMALL_CLUSTER {
+        if candidates.len() > MAX_EXACT_WORKERS {
             return false;
         }
         let shapes: Vec<_> = ids.iter().map(|id| self.entries[*id].shape).collect();
-        let Some(found) = pack(&seats, &shapes) else {
+        let Some(found) = pack(&candidates, &shapes) else {
             return false;
         };
         for (id, parts) in ids.iter().zip(found) {
@@ -209,10 +212,10 @@
         true
     }
 
-    /// Allots one guarantee after the other, each time to the workspace that has the smallest
+    /// Allots one guarantee after the other, each time for the workspace that has the smallest
     /// share of what it was promised.
     fn allot_in_turns(&mut self, inventory: &mut Inventory, ids: Vec<GuaranteeId>) {
-        let mut shares: HashMap<Name, Satisfied> = HashMap::default();
+        let mut shares: HashMap<Name, WorkspaceShare> = HashMap::default();
         for (entry, id) in self.entries.iter().zip(0..) {
             let share = shares.entry(entry.workspace.clone()).or_default();
             share.promised += u64::from(entry.accelerators());
@@ -224,7 +227,9 @@
         while !left.is_empty() {
             let share = |id: &GuaranteeId| {
                 let entry = &self.entries[*id];
-                shares.get(&entry.workspace).map_or(0, Satisfied::permille)
+                shares
+                    .get(&entry.workspace)
+                    .map_or(0, WorkspaceShare::permille)
             };
             let next = (0..left.len()).min_by_key(|at| (share(&left[*at]), *at));
             let id = left.remove(next.unwrap_or(0));
@@ -237,10 +242,10 @@
     }
 }
 
-/// Returns the tasks of `shape` that cover `parts`, if they are near enough to each other and no
-/// more than the shape has.
-fn rounded(inventory: &Inventory, shape: &Shape, parts: &[Part], size: u32) -> Option<Vec<Part>> {
-    let scope = |p: &Part| scope_of(&inventory.open.seat(p.worker), shape.adjacency);
+/// Returns the tasks of `shape` that contain `parts`; none if the parts aren't within one scope of
+/// its adjacency or need more tasks than the shape has.
+fn round_up(inventory: &Inventory, shape: &Shape, parts: &[Part], size: u32) -> Option<Vec<Part>> {
+    let scope = |p: &Part| scope_of(&inventory.allottable.candidate(p.worker), shape.adjacency);
     let first = parts.first().map(scope)?;
     if parts.iter().any(|p| scope(p) != first) {
         return None;
@@ -256,28 +261,28 @@
     (tasks <= shape.tasks).then_some(wanted)
 }
 
-/// Returns workers near enough to `at` to take the rest of `shape`, those with most room first.
-fn neighbours(inventory: &mut Inventory, at: &Seat, shape: &Shape) -> Vec<Seat> {
-    let most = shape.tasks as usize;
+/// Returns the workers that may take the rest of `shape` given its adjacency to `at`.
+fn neighbours(inventory: &mut Inventory, at: &Candidate, shape: &Shape) -> Vec<Candidate> {
+    let max_workers = shape.tasks as usize;
     match shape.adjacency {
         Adjacency::Worker => vec![*at],
-        Adjacency::Rack => inventory.open.rack_of(at.worker),
+        Adjacency::Rack => inventory.allottable.rack_members(at.worker),
         Adjacency::FailureDomain => {
-            let mut domains = inventory.open.roomiest_by_domain(most);
+            let mut domains = inventory.allottable.most_available_by_domain(max_workers);
             domains.swap_remove(at.domain)
         }
-        Adjacency::Any => inventory.open.roomiest(most),
+        Adjacency::Any => inventory.allottable.most_available(max_workers),
     }
 }
 
-/// What a workspace has of what it was promised, in accelerators.
+/// The accelerators that are promised and allotted to a workspace.
 #[derive(Clone, Copy, Debug, Default)]
-struct Satisfied {
+struct WorkspaceShare {
     allotted: u64,
     promised: u64,
 }
 
-impl Satisfied {
+impl WorkspaceShare {
     fn permille(&self) -> u64 {
         self.allotted * 1_000 / self.promised.max(1)
     }
--- a/dragonflyrun/src/job/covers.rs
+++ b/dragonflyrun/src/job/coverage.rs
@@ -1,28 +1,28 @@
-//! Which guarantee covers which running job.
+//! Assignment of running jobs to the guarantees that cover them.
 
 use crate::{
     job::{
         JobId, Scheduler,
-        guarantee::{Cover, GuaranteeId},
+        guarantee::{CoverRequest, GuaranteeId},
         placement::Part,
-        queue::{Aged, Class},
+        queue::{AgeKey, Class},
         scheduler::Stage,
     },
     utils::Name,
 };
 
 impl Scheduler {
-    /// Sees to it that each guarantee is allotted, and that workspaces' own jobs count towards
-    /// their guarantees before they count as borrowing.
-    pub(super) fn keep_guarantees(&mut self) {
+    /// Updates the allotments, and covers jobs of a workspace by its guarantees, so that they don't
+    /// count as borrowing as long as there is room.
+    pub(super) fn update_guarantees(&mut self) {
         let changed = std::mem::take(&mut self.changed);
         let uncovered = std::mem::take(&mut self.uncovered);
         if changed.is_empty() && uncovered.is_empty() {
             return;
         }
-        if !self.guarantees.settle(&mut self.inventory, &changed) {
+        if !self.guarantees.reallot(&mut self.inventory, &changed) {
             self.drop_reservations();
-            self.settle_without_temporary();
+            self.reallot_without_temporary();
         }
         self.clear_reserved();
         for workspace in uncovered {
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Allots the guarantees without regard to temporary ones, and puts those back that still can
-    /// be had.
-    fn settle_without_temporary(&mut self) {
+    /// Allots the guarantees without the temporary ones, then restores those temporary ones that
+    /// still fit.
+    fn reallot_without_temporary(&mut self) {
         let entries = self.guarantees.entries.iter();
         let temporary = entries.filter(|e| e.temporary).flat_map(|e| &e.jobs);
         let jobs: Vec<JobId> = temporary.cloned().collect();
@@ -40,15 +40,15 @@
             self.uncover(job);
         }
         self.changed.clear();
-        self.guarantees.settle(&mut self.inventory, &[]);
+        self.guarantees.reallot(&mut self.inventory, &[]);
         for job in &jobs {
             self.protect(job);
         }
     }
 
-    /// Keeps a running or pledged job that borrows from being evicted, if it is as large as a
-    /// worker and all guarantees can be had beside it. A large gang that is evicted waits long
-    /// until it finds room again; small jobs are evicted in its place.
+    /// Protects a borrowing job that is running or has room pledged from eviction, if it is at
+    /// least as large as a worker and all guarantees can be allotted beside it. A large gang that
+    /// is evicted waits long until it finds room again, so small jobs are evicted instead.
     pub(super) fn protect(&mut self, job: &JobId) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
@@ -58,15 +58,15 @@
         }
         let parts = match &entry.stage {
             Stage::Pledged(parts) => parts,
-            Stage::Holds(hold) if !hold.stopping => &hold.parts,
-            Stage::Holds(_) | Stage::Waits => return,
+            Stage::Holding(hold) if !hold.stopping => &hold.parts,
+            Stage::Holding(_) | Stage::Waiting => return,
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: None,
+            except: None,
         };
         let shape = entry.spec.shape();
         entry.cover = self.guarantees.protect(&mut self.inventory, &cover, shape);
@@ -77,13 +77,13 @@
             return;
         }
         let holding = self.holding.get(workspace);
-        let jobs: Vec<Aged> = holding.into_iter().flatten().cloned().collect();
+        let jobs: Vec<AgeKey> = holding.into_iter().flatten().cloned().collect();
         for (_, job) in jobs {
             let Some(entry) = self.jobs.get(&job) else {
                 continue;
             };
             let parts = match &entry.stage {
-                Stage::Holds(hold) if entry.cover.is_none() && !hold.stopping => &hold.parts,
+                Stage::Holding(hold) if entry.cover.is_none() && !hold.stopping => &hold.parts,
                 _ => continue,
             };
             let parts = parts.clone();
@@ -93,36 +93,37 @@
         }
     }
 
-    /// Covers `job` at `parts` by one of its workspace's guarantees, if that can be done.
+    /// Covers `job` at `parts` by one of its workspace's guarantees, if possible; returns whether
+    /// it is covered.
     pub(super) fn cover(&mut self, job: &JobId, parts: &[Part]) -> bool {
         let Some(entry) = self.jobs.get_mut(job) else {
             return false;
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: None,
+            except: None,
         };
         entry.cover = self.guarantees.cover(&mut self.inventory, &cover);
         entry.cover.is_some()
     }
 
-    pub(super) fn has_room_by_guarantee(&self, class: &Class) -> bool {
+    pub(super) fn has_guaranteed_room(&self, class: &Class) -> bool {
         let room = self
             .guarantees
             .room(&self.inventory, &class.workspace, &class.shape());
         room.is_some()
     }
 
-    /// Tries to empty a guarantee that could hold `class`, by covering the smaller jobs in it by
-    /// other guarantees of the workspace.
+    /// Tries to vacate a guarantee that could hold `class`, by covering the jobs in it by other
+    /// guarantees of the workspace; returns whether there is room for `class` then.
     ///
     /// A burst of small jobs spills from a small guarantee into a large one. When the jobs of the
     /// small one end first, the large one stays in use although the small one could cover the
-    /// rest, and a job of the large one's shape would wait.
-    pub(super) fn make_guarantee_whole(&mut self, class: &Class) -> bool {
+    /// remaining jobs, and a job of the large one's shape would have to wait.
+    pub(super) fn vacate_guarantee(&mut self, class: &Class) -> bool {
         let shape = class.shape();
         let mut in_use = self.guarantees.of(&class.workspace).to_vec();
         in_use.retain(|id| {
@@ -132,41 +133,41 @@
         if in_use.is_empty() {
             return false;
         }
-        // Allotments may have to move into room that aged jobs have reserved.
+        // Allotments may have to move into room that is reserved for jobs that have waited long.
         self.lift_reservations();
-        let whole = in_use
+        let vacated = in_use
             .into_iter()
-            .any(|id| self.cover_smaller_elsewhere(id, class));
+            .any(|id| self.cover_jobs_elsewhere(id, class));
         self.put_reservations_back();
-        whole
+        vacated
     }
 
-    /// Covers the jobs in guarantee `id` elsewhere as far as that can be done; returns whether
+    /// Covers the jobs in guarantee `id` by other guarantees as far as possible; returns whether
     /// there is room for `class` then.
-    fn cover_smaller_elsewhere(&mut self, id: GuaranteeId, class: &Class) -> bool {
+    fn cover_jobs_elsewhere(&mut self, id: GuaranteeId, class: &Class) -> bool {
         for job in self.guarantees.entries[id].jobs.clone() {
             self.cover_elsewhere(&job, id);
         }
-        self.has_room_by_guarantee(class)
+        self.has_guaranteed_room(class)
     }
 
-    /// Covers a job by another guarantee than `id` if that can be done. It is taken out of `id`
-    /// first, since the allotment of `id` may be what is in the way of the other.
+    /// Covers a job by a guarantee other than `id`, if possible. The job is removed from `id`
+    /// first, since the allotment of `id` may be in the way of the other one.
     fn cover_elsewhere(&mut self, job: &JobId, id: GuaranteeId) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
         let parts = match &entry.stage {
-            Stage::Waits => return,
+            Stage::Waiting => return,
             Stage::Pledged(parts) => parts,
-            Stage::Holds(hold) => &hold.parts,
+            Stage::Holding(hold) => &hold.parts,
         };
-        let cover = Cover {
+        let cover = CoverRequest {
             workspace: &entry.spec.workspace,
             job,
             parts,
             size: entry.spec.accelerators,
-            not_by: Some(id),
+            except: Some(id),
         };
         self.guarantees.uncover(id, job, parts, cover.size);
         self.changed.extend(parts.iter().map(|p| p.worker));
--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -1,81 +1,82 @@
 //! The allotment of accelerators to guarantees.
 //!
-//! Each guarantee is allotted accelerators that make up its shape on workers in service, no two
-//! guarantees the same ones. A job of the owner that lies within an allotment is covered by it;
-//! every other job borrows and may be evicted. So as long as each guarantee has an allotment, its
-//! shape is free, held by its owner, or to be had by evicting borrowers alone.
+//! Each guarantee is allotted accelerators on workers in service that make up its shape; no
+//! accelerator is allotted twice. A job of the workspace that lies within an allotment is covered
+//! by the guarantee. Every other job borrows and may be evicted. So as long as a guarantee has an
+//! allotment, its shape is free, in use by its workspace, or available by evicting borrowers alone.
 //!
-//! An allotment with no job in it holds no accelerator. It is moved wherever that lets a job
-//! start without an eviction, or a covered job keep its place.
+//! An allotment without a job holds no accelerators. It is moved whenever that lets a job start
+//! without an eviction, or lets a covered job stay where it runs.
 
 use crate::{
     job::{
         JobId, Shape,
         inventory::Inventory,
-        placement::{Part, Seat, pick},
+        placement::{Candidate, Part, pick},
         slots::WorkerId,
     },
     utils::{HashMap, Name},
     version::Version,
 };
 
-/// The number of a guarantee in the tables of one scheduler.
+/// Index of a guarantee in the tables of one scheduler.
 pub(super) type GuaranteeId = usize;
 
 /// All guarantees with their allotments.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Guarantees {
-    pub(super) entries: Vec<Entry>,
+    pub(super) entries: Vec<Guarantee>,
     by_workspace: HashMap<Name, Vec<GuaranteeId>>,
     on_worker: HashMap<WorkerId, Vec<GuaranteeId>>,
 }
 
 /// One guarantee.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct Guarantee {
     pub(super) workspace: Name,
     pub(super) shape: Shape,
-    /// The allotment; empty where the hardware in service does not permit one.
+    /// The allotment; empty or incomplete if the hardware in service can't meet the guarantee.
     pub(super) shares: Vec<Share>,
     /// The covered jobs.
     pub(super) jobs: Vec<JobId>,
-    /// Whether it was made for one running job, and no workspace holds it.
+    /// Whether the guarantee was created to protect one running job and belongs to no workspace's
+    /// configuration.
     pub(super) temporary: bool,
-    /// Whether the document still has it.
-    wanted: bool,
+    /// Whether the configuration contains the guarantee; `true` for temporary ones.
+    configured: bool,
 }
 
 /// The part of an allotment on one worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Share {
     pub(super) worker: WorkerId,
-    /// Tasks of the guaranteed shape.
+    /// Number of tasks of the guaranteed shape.
     pub(super) tasks: u32,
     /// Accelerators that covered jobs hold.
     pub(super) used: u32,
 }
 
-/// A guarantee that was given another number, with the jobs that it covers.
+/// A guarantee whose index has changed, with the jobs that it covers.
 #[derive(Clone, Debug)]
 pub(super) struct Renumbered {
     pub(super) to: GuaranteeId,
     pub(super) jobs: Vec<JobId>,
 }
 
-/// A job that looks for a guarantee to cover it.
+/// A job to be covered by a guarantee.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Cover<'a> {
+pub(super) struct CoverRequest<'a> {
     pub(super) workspace: &'a Name,
     pub(super) job: &'a JobId,
     /// Where it runs or is to run.
     pub(super) parts: &'a [Part],
     /// Accelerators of each task.
     pub(super) size: u32,
-    /// A guarantee that is not to cover it, because another job needs that one whole.
-    pub(super) not_by: Option<GuaranteeId>,
+    /// A guarantee that must not cover the job, because another job needs it whole.
+    pub(super) except: Option<GuaranteeId>,
 }
 
-impl Entry {
+impl Guarantee {
     fn new(workspace: &Name, shape: Shape, temporary: bool) -> Self {
         Self {
             workspace: workspace.clone(),
@@ -83,7 +84,7 @@
             shares: Vec::new(),
             jobs: Vec::new(),
             temporary,
-            wanted: true,
+            configured: true,
         }
     }
 
@@ -92,7 +93,7 @@
         self.shape.tasks.saturating_mul(self.shape.accelerators)
     }
 
-    /// Returns whether nothing holds the allotment in its place.
+    /// Returns whether the allotment may be moved, because no job is in it.
     pub(super) fn movable(&self) -> bool {
         self.jobs.is_empty()
     }
@@ -102,22 +103,22 @@
         self.accelerators().saturating_sub(used)
     }
 
-    /// Returns what is not used of each share.
-    fn seats(&self, inventory: &Inventory) -> Vec<Seat> {
-        let seat = |share: &Share| Seat {
-            value: share.tasks * self.shape.accelerators - share.used,
-            ..inventory.open.seat(share.worker)
+    /// Returns the unused accelerators of each share on a usable worker.
+    fn candidates(&self, inventory: &Inventory) -> Vec<Candidate> {
+        let candidate = |share: &Share| Candidate {
+            available: share.tasks * self.shape.accelerators - share.used,
+            ..inventory.allottable.candidate(share.worker)
         };
         let usable = |share: &&Share| inventory.worker(share.worker).usable();
-        self.shares.iter().filter(usable).map(seat).collect()
+        self.shares.iter().filter(usable).map(candidate).collect()
     }
 }
 
 impl Guarantees {
-    /// Takes over the guarantees of `version`; returns the jobs that are no longer covered.
+    /// Applies the guarantees of `version`; returns the jobs that are no longer covered.
     pub(super) fn configure(&mut self, version: &Version, inventory: &mut Inventory) -> Vec<JobId> {
         for entry in &mut self.entries {
-            entry.wanted = entry.temporary;
+            entry.configured = entry.temporary;
         }
         let mut workspaces: Vec<_> = version.workspaces().collect();
         workspaces.sort_by(|a, b| a.name.cmp(&b.name));
@@ -128,10 +129,10 @@
                     accelerators: guarantee.accelerators,
                     adjacency: guarantee.adjacency,
                 };
-                self.want(&workspace.name, shape);
+                self.add_configured(&workspace.name, shape);
             }
         }
-        self.drop_unwanted(inventory)
+        self.drop_unconfigured(inventory)
     }
 
     /// Returns the guarantees of `workspace`.
@@ -144,8 +145,8 @@
         self.on_worker.get(&worker).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns a guarantee of `workspace` with unused room for `shape`, and where in it. One that
-    /// is partly used comes first, so that others stay whole.
+    /// Returns a guarantee of `workspace` with unused room for `shape`, and the parts of it to use.
+    /// Partly used guarantees are tried first, so that others stay whole.
     pub(super) fn room(
         &self,
         inventory: &Inventory,
@@ -155,12 +156,13 @@
         let mut ids: Vec<_> = self.of(workspace).to_vec();
         ids.sort_by_key(|id| self.entries[*id].unused());
         ids.into_iter().find_map(|id| {
-            let plan = pick(&self.entries[id].seats(inventory), shape)?;
+            let plan = pick(&self.entries[id].candidates(inventory), shape)?;
             Some((id, plan.parts))
         })
     }
 
-    /// Returns room for `shape` in a guarantee of `workspace` that is free for the taking.
+    /// Returns room for `shape` in a guarantee of `workspace` that is free now, without an
+    /// eviction.
     pub(super) fn vacant_room(
         &self,
         inventory: &Inventory,
@@ -170,16 +172,19 @@
         let mut ids: Vec<_> = self.of(workspace).to_vec();
         ids.sort_by_key(|id| self.entries[*id].unused());
         ids.into_iter().find_map(|id| {
-            let mut seats = self.entries[id].seats(inventory);
-            for seat in &mut seats {
-                seat.value = seat.value.min(inventory.free.value(seat.worker));
+            let mut candidates = self.entries[id].candidates(inventory);
+            for candidate in &mut candidates {
+                candidate.available = candidate
+                    .available
+                    .min(inventory.free.available(candidate.worker));
             }
-            pick(&seats, shape).map(|plan| plan.parts)
+            pick(&candidates, shape).map(|plan| plan.parts)
         })
     }
 
-    /// Returns whether a guarantee of `workspace` is of about this size and not in use.
-    pub(super) fn is_whole_for(&self, workspace: &Name, accelerators: u32) -> bool {
+    /// Returns whether `workspace` has an unused guarantee of which a job with this number of
+    /// accelerators takes at least half.
+    pub(super) fn has_unused_for(&self, workspace: &Name, accelerators: u32) -> bool {
         let mut ids = self.of(workspace).iter();
         ids.any(|id| {
             let entry = &self.entries[*id];
@@ -187,48 +192,49 @@
         })
     }
 
-    /// Covers a job by a guarantee of its workspace: one whose allotment is there already, or one
-    /// whose allotment can be moved there.
+    /// Covers a job by a guarantee of its workspace: one whose allotment already contains the job,
+    /// or one whose allotment can be moved to it.
     pub(super) fn cover(
         &mut self,
         inventory: &mut Inventory,
-        cover: &Cover<'_>,
+        cover: &CoverRequest<'_>,
     ) -> Option<GuaranteeId> {
-        let Cover { parts, size, .. } = *cover;
+        let CoverRequest { parts, size, .. } = *cover;
         let mut ids: Vec<_> = self.of(cover.workspace).to_vec();
-        ids.retain(|id| cover.not_by != Some(*id));
+        ids.retain(|id| cover.except != Some(*id));
         ids.sort_by_key(|id| self.entries[*id].unused());
-        let there = ids.iter().find(|id| self.contains(**id, parts, size));
-        let id = match there {
+        let containing = ids.iter().find(|id| self.contains(**id, parts, size));
+        let id = match containing {
             Some(id) => *id,
             None => ids.into_iter().find(|id| {
-                let worth = cover.not_by.is_some() || self.is_worth_moving(*id, parts, size);
-                worth && self.move_to(inventory, *id, parts, size)
+                let may_move = cover.except.is_some() || self.is_worth_moving(*id, parts, size);
+                may_move && self.move_to(inventory, *id, parts, size)
             })?,
         };
         self.cover_by(id, cover);
         Some(id)
     }
 
-    /// Returns whether a job holds enough of the shape to have the allotment moved to where it
-    /// runs. If any small job drew an allotment to itself, allotments would come to lie scattered
-    /// over workers that are in part held, and large gangs would find no worker whole.
+    /// Returns whether a job is large enough to have the allotment moved to where it runs. If every
+    /// small job drew an allotment to itself, allotments would end up scattered over partly held
+    /// workers, and large gangs would find no whole worker.
     fn is_worth_moving(&self, id: GuaranteeId, parts: &[Part], size: u32) -> bool {
         let held: u32 = parts.iter().map(|p| p.tasks * size).sum();
         held >= self.entries[id].accelerators().div_ceil(2)
     }
 
-    /// Keeps a job that no guarantee of its workspace covers from being evicted, if all
-    /// guarantees can still be allotted beside it. It is covered by a temporary guarantee of its
-    /// own shape, which lasts as long as it runs, or until a guarantee needs the room.
+    /// Protects a job that no guarantee of its workspace covers from eviction, if all guarantees
+    /// can still be allotted beside it. The job is covered by a temporary guarantee of its own
+    /// shape, which lasts as long as the job runs or until another guarantee needs the room.
     pub(super) fn protect(
         &mut self,
         inventory: &mut Inventory,
-        cover: &Cover<'_>,
+        cover: &CoverRequest<'_>,
         shape: Shape,
     ) -> Option<GuaranteeId> {
         let id = self.entries.len();
-        self.entries.push(Entry::new(cover.workspace, shape, true));
+        self.entries
+            .push(Guarantee::new(cover.workspace, shape, true));
         if !self.move_to(inventory, id, cover.parts, cover.size) {
             self.entries.pop();
             return None;
@@ -237,14 +243,14 @@
         Some(id)
     }
 
-    /// Drops a temporary guarantee. The last one takes its number, and is returned if it is
-    /// another.
+    /// Removes a temporary guarantee. The last guarantee moves to its index, and is returned if it
+    /// is a different one.
     pub(super) fn drop_temporary(
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
     ) -> Option<Renumbered> {
-        self.take_back(inventory, id, |_| true);
+        self.remove_shares(inventory, id, |_| true);
         self.entries.swap_remove(id);
         let from = self.entries.len();
         if from == id {
@@ -262,7 +268,7 @@
     }
 
     /// Covers a job by a guarantee whose allotment contains it.
-    pub(super) fn cover_by(&mut self, id: GuaranteeId, cover: &Cover<'_>) {
+    pub(super) fn cover_by(&mut self, id: GuaranteeId, cover: &CoverRequest<'_>) {
         let entry = &mut self.entries[id];
         entry.jobs.push(cover.job.clone());
         for part in cover.parts {
@@ -272,7 +278,7 @@
         }
     }
 
-    /// Takes note that `job` at `parts` is covered no longer.
+    /// Removes the cover of `job` at `parts`.
     pub(super) fn uncover(&mut self, id: GuaranteeId, job: &JobId, parts: &[Part], size: u32) {
         let entry = &mut self.entries[id];
         entry.jobs.retain(|j| j != job);
@@ -303,57 +309,58 @@
         }
     }
 
-    /// Takes back the shares of a guarantee that `which` names; returns them.
-    pub(super) fn take_back(
+    /// Removes the shares of a guarantee that `selects` returns `true` for; returns them.
+    pub(super) fn remove_shares(
         &mut self,
         inventory: &mut Inventory,
         id: GuaranteeId,
-        which: impl Fn(&Share) -> bool,
+        selects: impl Fn(&Share) -> bool,
     ) -> Vec<Part> {
         let entry = &mut self.entries[id];
         let size = entry.shape.accelerators;
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         entry.shares.retain(|share| {
-            let take = which(share);
-            if take {
-                taken.push(Part {
+            let remove = selects(share);
+            if remove {
+                removed.push(Part {
                     worker: share.worker,
                     tasks: share.tasks,
                 });
             }
-            !take
+            !remove
         });
-        for part in &taken {
+        for part in &removed {
             inventory.allot(part.worker, -i64::from(part.tasks * size));
             if let Some(ids) = self.on_worker.get_mut(&part.worker) {
                 ids.retain(|other| *other != id);
             }
         }
-        taken
+        removed
     }
 
-    fn want(&mut self, workspace: &Name, shape: Shape) {
-        let known = self
-            .entries
-            .iter_mut()
-            .find(|e| !e.wanted && !e.temporary && e.workspace == *workspace && e.shape == shape);
+    fn add_configured(&mut self, workspace: &Name, shape: Shape) {
+        let known = self.entries.iter_mut().find(|e| {
+            !e.configured && !e.temporary && e.workspace == *workspace && e.shape == shape
+        });
         match known {
-            Some(entry) => entry.wanted = true,
-            None => self.entries.push(Entry::new(workspace, shape, false)),
+            Some(entry) => entry.configured = true,
+            None => self.entries.push(Guarantee::new(workspace, shape, false)),
         }
     }
 
-    /// Drops the guarantees that the document no longer has, and numbers the rest anew.
-    fn drop_unwanted(&mut self, inventory: &mut Inventory) -> Vec<JobId> {
+    /// Removes the guarantees that aren't configured any more and renumbers the rest; returns the
+    /// jobs that are no longer covered.
+    fn drop_unconfigured(&mut self, inventory: &mut Inventory) -> Vec<JobId> {
         let mut uncovered = Vec::new();
         for id in 0..self.entries.len() {
-            if !self.entries[id].wanted {
-                self.take_back(inventory, id, |_| true);
+            if !self.entries[id].configured {
+                self.remove_shares(inventory, id, |_| true);
                 uncovered.append(&mut self.entries[id].jobs);
             }
         }
-        self.entries.retain(|e| e.wanted);
-        // Temporary ones stand at the end, where they come and go without renumbering the rest.
+        self.entries.retain(|e| e.configured);
+        // Temporary guarantees are at the end, so that they are added and removed without
+        // renumbering the configured ones.
         self.entries.sort_by_key(|e| e.temporary);
         self.by_workspace.clear();
         self.on_worker.clear();
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -1,6 +1,7 @@
-//! The scheduling policy: which waiting job starts where, and which running one makes room.
+//! The scheduling policy: which waiting job starts where, and which running jobs are evicted for
+//! it.
 //!
-//! [`Scheduler`] keeps the tables and is told of every change; `pass.rs` holds the decisions.
+//! [`Scheduler`] holds the state and is notified of every change; `pass.rs` makes the decisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,13 +12,13 @@
 use crate::{
     connection::Placement,
     job::{
-        Decision, JobId, JobSpec, LiveJob, Shape, Unreachable, UsageReport, WorkerInfo,
+        Decision, ImpossibleReason, JobId, JobSpec, LiveJob, Shape, UsageReport, WorkerInfo,
         estimate::Estimates,
         guarantee::{GuaranteeId, Guarantees},
         inventory::Inventory,
         placement::Part,
         quarantine::Quarantine,
-        queue::{Aged, Queue},
+        queue::{AgeKey, Queue},
         reservation::Reservation,
         slots::WorkerId,
     },
@@ -25,24 +26,26 @@
     version::{Limits, Version},
 };
 
-/// Ended jobs whose late usage is still learned from.
-const REMEMBERED_JOBS: usize = 4_096;
+/// Number of ended jobs whose specification is kept, so that usage reported after the end still
+/// updates the run-time estimates.
+const MAX_ENDED_JOBS: usize = 4_096;
 
-/// Time without a new worker after which the workers known are taken to be all there are. An entry
-/// that has just started hears its agents one after the other, and must not call a job impossible
-/// because it has not heard enough of them yet.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+/// Time without a new worker after which the known workers are taken to be the whole cluster. An
+/// entry that has just started hears from its agents one by one, and must not reject a job as
+/// impossible before it has heard from enough of them.
+const DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// The decision table that the planner asks.
+/// Decides what the planner starts and evicts.
 ///
-/// It does no I/O and reads no clock; the planner tells it what happens and carries out what
-/// [`Scheduler::decide`] returns.
+/// It does no I/O and reads no clock: the planner reports every event to it and carries out the
+/// decisions that [`Scheduler::decide`] returns.
 ///
-/// An owner that asks for a guaranteed shape has it decided for at once: free room, or the
-/// eviction of borrowers with a pledge of what they give back. It starts at the first decision
-/// after their stops are certain. So a reclaim takes as long as the planner needs to be certain
-/// of a stop, also where a borrower's worker does not answer; twice that if a stop was under way
-/// on the same worker already, or if the worker is lost meanwhile and the allotment moves.
+/// When a workspace requests a guaranteed shape, room is found at once: either free accelerators,
+/// or those that borrowing jobs release when they are evicted, which are pledged to the new job.
+/// The job starts at the first decision after the evicted jobs are certain to have stopped. So a
+/// reclaim takes as long as the planner needs to be certain of a stop, even if a borrower's worker
+/// doesn't answer. It takes twice as long if a stop was already under way on the same worker, or if
+/// the worker is lost meanwhile and the allotment moves.
 #[derive(Clone, Debug, Default)]
 pub struct Scheduler {
     pub(super) version: Option<Arc<Version>>,
@@ -50,55 +53,55 @@
     pub(super) inventory: Inventory,
     pub(super) guarantees: Guarantees,
     pub(super) queue: Queue,
-    pub(super) jobs: HashMap<JobId, Entry>,
+    pub(super) jobs: HashMap<JobId, JobEntry>,
     pub(super) estimates: Estimates,
     pub(super) quarantine: Quarantine,
-    /// Jobs of each workspace that hold accelerators or are pledged some.
-    pub(super) holding: HashMap<Name, BTreeSet<Aged>>,
-    /// Aged jobs with the room that is reserved for them.
-    pub(super) reservations: BTreeMap<Aged, Reservation>,
-    /// Jobs that wait for the rest of their pledge.
-    pub(super) pledged: BTreeSet<Aged>,
+    /// The jobs of each workspace that hold accelerators or have accelerators pledged.
+    pub(super) holding: HashMap<Name, BTreeSet<AgeKey>>,
+    /// The reservations for jobs that have waited long.
+    pub(super) reservations: BTreeMap<AgeKey, Reservation>,
+    /// Jobs with pledged accelerators that aren't all vacant yet.
+    pub(super) pledged: BTreeSet<AgeKey>,
     /// Workers in failure domains that are out of service.
     pub(super) out_of_service: BTreeSet<WorkerId>,
-    /// Workers whose state has changed since the guarantees were last settled.
+    /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
-    /// Workspaces whose borrowing jobs may now be covered by a guarantee.
+    /// Workspaces with running jobs that borrow and that a guarantee may be able to cover now.
     pub(super) uncovered: BTreeSet<Name>,
-    /// Whether something has changed since the last pass over the queue.
-    pub(super) stale: bool,
+    /// Whether anything has changed since the last pass over the queue.
+    pub(super) needs_pass: bool,
     pub(super) last_pass: Timestamp,
     last_new_worker: Timestamp,
-    pub(super) settled: bool,
-    /// Members of running gangs on workers that were not heard of yet. A planner that takes over
-    /// knows the placements from the log before it hears the agents.
-    pub(super) unheard: HashMap<Name, Vec<(JobId, u32)>>,
-    /// Shapes of ended jobs, for usage that is reported late.
+    pub(super) discovered_all: bool,
+    /// Members of running gangs on workers that haven't been heard from yet, by worker. A planner
+    /// that takes over learns the placements from the log before it hears from the agents.
+    pub(super) unknown_worker_members: HashMap<Name, Vec<(JobId, u32)>>,
+    /// Specifications of ended jobs, for usage that is reported late.
     ended: HashMap<JobId, JobSpec>,
     ended_order: std::collections::VecDeque<JobId>,
 }
 
-/// What the scheduler keeps of a live job.
+/// The scheduler's state of a live job.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct JobEntry {
     pub(super) spec: JobSpec,
     pub(super) accepted: u64,
     pub(super) waiting_since: Timestamp,
     pub(super) evictions: u32,
-    /// The guarantee that covers it.
+    /// The guarantee that covers the job; none if it waits or borrows.
     pub(super) cover: Option<GuaranteeId>,
     pub(super) stage: Stage,
 }
 
-/// Where a job is between waiting and running.
+/// Whether a job waits, has room pledged, or holds accelerators.
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
-    /// It waits for room.
-    Waits,
-    /// Room was chosen; it starts when all of it is vacant.
+    /// The job waits for room.
+    Waiting,
+    /// Room has been chosen; the job starts once all of it is vacant.
     Pledged(Vec<Part>),
-    /// It holds its accelerators.
-    Holds(Hold),
+    /// The job holds its accelerators.
+    Holding(Hold),
 }
 
 /// The accelerators that a job holds.
@@ -106,11 +109,11 @@
 pub(super) struct Hold {
     pub(super) parts: Vec<Part>,
     pub(super) since: Timestamp,
-    /// Whether the planner was told to stop it.
+    /// Whether the planner has been told to stop the job.
     pub(super) stopping: bool,
 }
 
-/// A guarantee that the hardware in service does not permit together with the others.
+/// A guarantee that can't be met together with the others on the hardware in service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnmetGuarantee {
     /// The workspace.
@@ -119,33 +122,34 @@
     pub shape: Shape,
 }
 
-/// Where a guarantee can be had.
+/// The accelerators that are allotted to a guarantee.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Allotment {
     /// The workspace.
     pub workspace: Name,
     /// The shape.
     pub shape: Shape,
-    /// The workers, with tasks of the shape; fewer than the shape has where it is unmet.
+    /// The workers, each with its number of tasks of the shape; fewer tasks than the shape has if
+    /// the guarantee is unmet.
     pub placements: Vec<Placement>,
-    /// Whether a job of the workspace holds some of it.
+    /// Whether the guarantee covers a job of the workspace.
     pub held: bool,
 }
 
-impl Entry {
+impl JobEntry {
     pub(super) fn accelerators(&self) -> u32 {
         self.spec.tasks.saturating_mul(self.spec.accelerators)
     }
 }
 
 impl Scheduler {
-    /// Returns a scheduler that knows no worker, no job and no document.
+    /// Returns a scheduler without workers, jobs or a configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts a document in force: guarantees, quotas, limits, and which failure domains are in
-    /// service. What runs in one that is out of service is evicted by the next decisions.
+    /// Applies a configuration: guarantees, quotas, limits, and which failure domains are in
+    /// service. Jobs in a domain that is out of service are evicted by the next decisions.
     pub fn configure(&mut self, version: &Arc<Version>) {
         self.limits = version.limits;
         for id in self.inventory.ids() {
@@ -155,18 +159,18 @@
                 self.inventory.change(id, |w| w.in_service = in_service);
                 self.changed.push(id);
             }
-            self.note_service(id, in_service);
+            self.set_in_service(id, in_service);
         }
-        let before = self.covers();
+        let before = self.covered_jobs();
         self.guarantees.configure(version, &mut self.inventory);
-        self.restore_covers(before);
+        self.renumber_covers(before);
         self.uncovered
             .extend(version.workspaces().map(|w| w.name.clone()));
         self.version = Some(version.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
-    /// Takes note of a new or changed worker.
+    /// Adds a worker, or updates a known one.
     pub fn worker_up(&mut self, now: Timestamp, info: WorkerInfo) {
         let version = self.version.as_ref();
         let in_service = version.is_some_and(|v| v.in_service(&info.failure_domain));
@@ -178,18 +182,18 @@
             return;
         }
         let id = self.inventory.up(info, in_service);
-        self.note_service(id, in_service);
+        self.set_in_service(id, in_service);
         if known != Some(id) {
             self.last_new_worker = now;
-            self.settled = false;
+            self.discovered_all = false;
             self.hold_unheard(id);
         }
         self.changed.push(id);
-        self.stale = true;
+        self.needs_pass = true;
     }
 
-    /// Takes note that a worker is lost, silent or leaving: nothing starts there. What it holds
-    /// stays held until the planner says that those jobs wait again or are gone.
+    /// Marks a worker as lost, silent or leaving, so that nothing starts there. What its jobs hold
+    /// stays held until the planner reports that they wait again or have ended.
     pub fn worker_down(&mut self, _now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker)
             && self.inventory.worker(id).up
@@ -197,15 +201,15 @@
             self.inventory.change(id, |w| w.up = false);
             self.drop_pledges_on(id);
             self.changed.push(id);
-            self.stale = true;
+            self.needs_pass = true;
         }
     }
 
-    /// Takes note of a job that was accepted, or has stopped on all its workers for certain and
+    /// Adds a job that has been accepted, or that is certain to have stopped on all its workers and
     /// waits again.
     pub fn job_waits(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
-            if !matches!(entry.stage, Stage::Holds(_)) {
+            if !matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
             self.let_go(&job.job);
@@ -215,22 +219,23 @@
             self.queue.insert(&job.spec, job.accepted, &job.job);
         }
         self.jobs
-            .insert(job.job.clone(), Entry::new(now, job, evictions));
-        self.stale = true;
+            .insert(job.job.clone(), JobEntry::new(now, job, evictions));
+        self.needs_pass = true;
     }
 
-    /// Takes note of a job that is reserved or running at its placements, also when a planner
+    /// Records that a job is reserved or running at its placements; also called when a planner
     /// takes over.
     pub fn job_runs(&mut self, now: Timestamp, job: &LiveJob) {
         if let Some(entry) = self.jobs.get(&job.job) {
-            if matches!(entry.stage, Stage::Holds(_)) {
+            if matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
             self.let_go(&job.job);
             self.take_reservation(&job.job);
             self.queue.remove(&job.spec, job.accepted, &job.job);
         }
-        self.jobs.insert(job.job.clone(), Entry::new(now, job, 0));
+        self.jobs
+            .insert(job.job.clone(), JobEntry::new(now, job, 0));
         let mut parts = Vec::new();
         for Placement { worker, tasks } in &job.placements {
             match self.inventory.id(worker) {
@@ -239,17 +244,20 @@
                     tasks: *tasks,
                 }),
                 None => {
-                    let unheard = self.unheard.entry(worker.clone()).or_default();
-                    unheard.push((job.job.clone(), *tasks));
+                    let unknown_worker_members = self
+                        .unknown_worker_members
+                        .entry(worker.clone())
+                        .or_default();
+                    unknown_worker_members.push((job.job.clone(), *tasks));
                 }
             }
         }
         self.hold(now, &job.job, parts);
         self.uncovered.insert(job.spec.workspace.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
-    /// Takes note of a job that has ended on all its workers for certain.
+    /// Removes a job that is certain to have ended on all its workers.
     pub fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
         self.let_go(job);
         self.take_reservation(job);
@@ -257,36 +265,37 @@
             return;
         };
         self.queue.remove(&entry.spec, entry.accepted, job);
-        self.remember(job, entry.spec);
-        self.stale = true;
+        self.remember_ended(job, entry.spec);
+        self.needs_pass = true;
     }
 
-    /// Takes note that a worker could not start what it was given.
+    /// Records that a worker failed to start a task.
     pub fn start_failed(&mut self, now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker)
             && self.quarantine.failed(now, id, &self.limits)
         {
             log::warn!(worker:% = worker; "worker_set_aside");
-            self.inventory.change(id, |w| w.set_aside = true);
+            self.inventory.change(id, |w| w.quarantined = true);
             self.drop_pledges_on(id);
             self.changed.push(id);
-            self.stale = true;
+            self.needs_pass = true;
         }
     }
 
-    /// Takes note that a worker has started what it was given.
+    /// Records that a worker has started a task successfully.
     pub fn start_succeeded(&mut self, _now: Timestamp, worker: &Name) {
         if let Some(id) = self.inventory.id(worker) {
             self.quarantine.succeeded(id);
-            if self.inventory.worker(id).set_aside {
-                self.inventory.change(id, |w| w.set_aside = false);
+            if self.inventory.worker(id).quarantined {
+                self.inventory.change(id, |w| w.quarantined = false);
                 self.changed.push(id);
-                self.stale = true;
+                self.needs_pass = true;
             }
         }
     }
 
-    /// Takes note of what a job has used; also after its end, since workers report with a lag.
+    /// Updates the run-time estimates from a usage report, which may arrive after the end of the
+    /// job because workers report with a delay.
     pub fn usage(&mut self, _now: Timestamp, report: &UsageReport) {
         let live = self.jobs.get(&report.job).map(|e| &e.spec);
         let Some(spec) = live.or_else(|| self.ended.get(&report.job)) else {
@@ -297,38 +306,39 @@
         }
     }
 
-    /// Checks that a job can be had: from the document's quota, and from the workers known once no
-    /// new one has come for some seconds.
+    /// Checks whether a job can ever run: against its workspace's quota, and against the known
+    /// workers once no new one has appeared for some seconds.
     ///
     /// # Errors
     ///
-    /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), Unreachable> {
+    /// Returns why the job can never run.
+    pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         if spec.tasks == 0 || spec.accelerators == 0 {
-            return Err(Unreachable::Empty);
+            return Err(ImpossibleReason::Empty);
         }
         let wanted = spec.tasks.saturating_mul(spec.accelerators);
         if self.quota(&spec.workspace).is_some_and(|q| wanted > q) {
-            return Err(Unreachable::OverQuota);
+            return Err(ImpossibleReason::OverQuota);
         }
-        if !self.settled {
+        if !self.discovered_all {
             return Ok(());
         }
         if spec.accelerators > self.inventory.largest_worker() {
-            return Err(Unreachable::TaskTooLarge);
+            return Err(ImpossibleReason::TaskTooLarge);
         }
         if !self.inventory.could_hold(&spec.shape()) {
-            return Err(Unreachable::GangTooLarge);
+            return Err(ImpossibleReason::GangTooLarge);
         }
         Ok(())
     }
 
-    /// Returns the guarantees that the hardware in service does not permit together with the
-    /// others, in no order of importance. Which ones are left out is decided in turns: each time
-    /// the workspace that has the smallest share of what it was promised comes first.
+    /// Returns the guarantees that can't be met together with the others on the hardware in
+    /// service, in no particular order. If they don't all fit, they are allotted in turns, each
+    /// time to the workspace that has the smallest share of what it was promised, and what is left
+    /// out is unmet.
     pub fn unmet(&self) -> Vec<UnmetGuarantee> {
-        let lacking = self.guarantees.lacking().into_iter();
-        lacking
+        let incomplete = self.guarantees.incomplete().into_iter();
+        incomplete
             .map(|id| {
                 let entry = &self.guarantees.entries[id];
                 UnmetGuarantee {
@@ -339,21 +349,21 @@
             .collect()
     }
 
-    /// Returns whether a running job borrows: it lies outside its workspace's guarantees and may
-    /// be evicted for another's.
+    /// Returns whether a running job borrows: no guarantee of its workspace covers it, so it may be
+    /// evicted for another workspace's guarantee.
     pub fn borrows(&self, job: &JobId) -> bool {
         let entry = self.jobs.get(job);
-        entry.is_some_and(|e| matches!(e.stage, Stage::Holds(_)) && e.cover.is_none())
+        entry.is_some_and(|e| matches!(e.stage, Stage::Holding(_)) && e.cover.is_none())
     }
 
-    /// Returns whether a running job lies outside its workspace's guarantees, but is not evicted
-    /// for another's because all guarantees can be had beside it.
+    /// Returns whether a running job lies outside its workspace's guarantees but isn't evicted for
+    /// others, because all guarantees can be allotted beside it.
     pub fn is_protected(&self, job: &JobId) -> bool {
         let cover = self.jobs.get(job).and_then(|e| e.cover);
         cover.is_some_and(|id| self.guarantees.entries[id].temporary)
     }
 
-    /// Returns where each guarantee is allotted.
+    /// Returns the allotment of each guarantee.
     pub fn allotments(&self) -> Vec<Allotment> {
         let entries = self.guarantees.entries.iter();
         entries
@@ -373,19 +383,19 @@
             .collect()
     }
 
-    /// Returns what is to be done now; what is returned counts as under way.
+    /// Returns the decisions to carry out now. The scheduler counts them as under way from here on.
     pub fn decide(&mut self, now: Timestamp) -> Vec<Decision> {
-        self.settle(now);
+        self.update_discovery(now);
         self.pass(now)
     }
 
-    /// Takes note that no new worker has come for some seconds, where that is so, upon which
-    /// [`possible`](Self::possible) can tell what no set of workers holds. An entry that is not
-    /// planner decides nothing, but has to refuse such jobs all the same.
-    pub fn settle(&mut self, now: Timestamp) {
-        if !self.settled && now.since(self.last_new_worker) >= SETTLED_AFTER {
-            self.settled = true;
-            self.stale = true;
+    /// Marks the cluster as fully discovered once no new worker has appeared for some seconds; from
+    /// then on [`check_possible`](Self::check_possible) rejects jobs that no set of workers can
+    /// hold. An entry that isn't planner decides nothing, but has to reject such jobs all the same.
+    pub fn update_discovery(&mut self, now: Timestamp) {
+        if !self.discovered_all && now.since(self.last_new_worker) >= DISCOVERY_TIME {
+            self.discovered_all = true;
+            self.needs_pass = true;
         }
     }
 
@@ -394,21 +404,22 @@
         workspace.quota_accelerators
     }
 
-    fn note_service(&mut self, worker: WorkerId, in_service: bool) {
+    fn set_in_service(&mut self, worker: WorkerId, in_service: bool) {
         match in_service {
             true => self.out_of_service.remove(&worker),
             false => self.out_of_service.insert(worker),
         };
     }
 
-    /// Returns which job each guarantee covers, by what does not change with the document.
-    fn covers(&self) -> HashSet<JobId> {
+    /// Returns the covered jobs. Their ids stay valid when a new configuration renumbers the
+    /// guarantees.
+    fn covered_jobs(&self) -> HashSet<JobId> {
         let covered = self.jobs.iter().filter(|(_, e)| e.cover.is_some());
         covered.map(|(job, _)| job.clone()).collect()
     }
 
-    /// Sets the numbers of the guarantees that cover jobs, after they were numbered anew.
-    fn restore_covers(&mut self, before: HashSet<JobId>) {
+    /// Updates each job's guarantee number after the guarantees were renumbered.
+    fn renumber_covers(&mut self, before: HashSet<JobId>) {
         for job in before {
             if let Some(entry) = self.jobs.get_mut(&job) {
                 entry.cover = None;
@@ -423,11 +434,11 @@
         }
     }
 
-    fn remember(&mut self, job: &JobId, spec: JobSpec) {
+    fn remember_ended(&mut self, job: &JobId, spec: JobSpec) {
         if self.ended.insert(job.clone(), spec).is_none() {
             self.ended_order.push_back(job.clone());
         }
-        if self.ended_order.len() > REMEMBERED_JOBS
+        if self.ended_order.len() > MAX_ENDED_JOBS
             && let Some(old) = self.ended_order.pop_front()
         {
             self.ended.remove(&old);
@@ -435,7 +446,7 @@
     }
 }
 
-impl Entry {
+impl JobEntry {
     fn new(now: Timestamp, job: &LiveJob, evictions: u32) -> Self {
         Self {
             spec: job.spec.clone(),
@@ -443,7 +454,7 @@
             waiting_since: now,
             evictions,
             cover: None,
-            stage: Stage::Waits,
+            stage: Stage::Waiting,
         }
     }
 }
