--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -211,14 +211,14 @@
         accelerators: 32,
         leases: leases.collect(),
     });
-    members.on_look(Timestamp::from_millis(1), Timestamp::from_millis(0), &view);
+    members.on_leases(Timestamp::from_millis(1), Timestamp::from_millis(0), &view);
     let reports = time_of(2_000, |_| {
         black_box(members.reports());
     });
     row("agent: report of 29 members", 1, 8, reports);
     let look = time_of(2_000, |i| {
         let now = Timestamp::from_millis(2 + u64::from(i) / 100);
-        members.on_look(now, now, &view);
+        members.on_leases(now, now, &view);
         black_box(members.calls(now));
     });
     row("agent: look at 29 leases, and the calls due", 1, 8, look);
--- a/dragonflyrun/src/job/covers.rs
+++ b/dragonflyrun/src/job/covers.rs
@@ -24,7 +24,7 @@
             self.drop_reservations();
             self.settle_without_temporary();
         }
-        self.clear_reserved();
+        self.evacuate_reserved();
         for workspace in uncovered {
             self.cover_borrowers(&workspace);
         }
@@ -133,11 +133,11 @@
             return false;
         }
         // Allotments may have to move into room that aged jobs have reserved.
-        self.lift_reservations();
+        self.suspend_reservations();
         let whole = in_use
             .into_iter()
             .any(|id| self.cover_smaller_elsewhere(id, class));
-        self.put_reservations_back();
+        self.restore_reservations();
         whole
     }
 
--- a/dragonflyrun/src/job/election.rs
+++ b/dragonflyrun/src/job/election.rs
@@ -10,10 +10,10 @@
 /// How much longer each further entry waits, in the order of their names, so that as a rule one
 /// claims and the others see its claim on the log. Two claims of one term do no harm: the first
 /// on the log has it in every process.
-const TURN: Duration = Duration::from_millis(1_000);
+const CLAIM_STAGGER: Duration = Duration::from_millis(1_000);
 
 /// How long a claim that was not seen on the log is waited for.
-const CLAIM_WAIT: Duration = Duration::from_millis(10_000);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// What an entry knows when it decides whether to claim.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// The entry that holds it.
     pub planner: Option<Name>,
     /// Whether that entry is heard, and is not leaving.
-    pub planner_heard: bool,
+    pub planner_alive: bool,
     /// Whether this entry knows the latest state of the log.
     pub fresh: bool,
     /// How many live entries have a smaller name.
@@ -36,7 +36,7 @@
     me: Name,
     /// The term that this process holds. An entry whose process was replaced claims anew: its
     /// former orders may still arrive somewhere and must be told from its new ones.
-    held: Option<u64>,
+    held_term: Option<u64>,
     /// The last term seen on the log.
     term: u64,
     silent_since: Option<Timestamp>,
@@ -48,7 +48,7 @@
     pub fn new(me: Name) -> Self {
         Self {
             me,
-            held: None,
+            held_term: None,
             term: 0,
             silent_since: None,
             claimed: None,
@@ -61,8 +61,8 @@
     }
 
     /// Returns the term that this process holds.
-    pub fn held(&self) -> Option<u64> {
-        self.held
+    pub fn held_term(&self) -> Option<u64> {
+        self.held_term
     }
 
     /// Returns whether `term` was not seen on the log before.
@@ -70,14 +70,14 @@
         term > self.term
     }
 
-    /// Takes note of a term that `planner` has on the log; `mine` says that the record is one of
+    /// Takes note of a term that `planner` has on the log; `own` says that the record is one of
     /// this process. Returns whether this process has become planner.
-    pub fn on_term(&mut self, term: u64, mine: bool) -> bool {
+    pub fn on_term(&mut self, term: u64, own: bool) -> bool {
         self.term = term;
         self.claimed = None;
         self.silent_since = None;
-        self.held = mine.then_some(term);
-        mine
+        self.held_term = own.then_some(term);
+        own
     }
 
     /// Takes note that the claim is not on the log.
@@ -89,27 +89,27 @@
     pub fn tick(&mut self, now: Timestamp, view: &ElectionView) -> Option<u64> {
         let pending = self
             .claimed
-            .is_some_and(|(_, at)| now.since(at) < CLAIM_WAIT);
-        if self.held.is_some() || pending {
+            .is_some_and(|(_, at)| now.since(at) < CLAIM_TIMEOUT);
+        if self.held_term.is_some() || pending {
             return None;
         }
-        let was_me = view.planner.as_ref() == Some(&self.me);
-        if view.planner_heard && !was_me {
+        let held_by_predecessor = view.planner.as_ref() == Some(&self.me);
+        if view.planner_alive && !held_by_predecessor {
             self.silent_since = None;
             return None;
         }
         let since = *self.silent_since.get_or_insert(now);
         let silence = match view.planner {
-            Some(_) if !was_me => PLANNER_SILENCE,
+            Some(_) if !held_by_predecessor => PLANNER_SILENCE,
             // Nobody holds a term, or this process's predecessor did, which is gone for certain.
             _ => Duration::ZERO,
         };
-        let turn = if was_me {
+        let stagger = if held_by_predecessor {
             Duration::ZERO
         } else {
-            TURN * view.rank
+            CLAIM_STAGGER * view.rank
         };
-        if !view.fresh || now.since(since) < silence + turn {
+        if !view.fresh || now.since(since) < silence + stagger {
             return None;
         }
         let term = view.term + 1;
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -90,7 +90,7 @@
             return false;
         };
         decisions.remove(at);
-        self.wait_again(job);
+        self.requeue(job);
         true
     }
 
@@ -109,7 +109,7 @@
         let mut seats = self.seats_to_compare(&entry);
         if claim == Claim::Age {
             // Another's reservation is respected; this job's own was taken back.
-            let closed = self.closed_to(now, &entry);
+            let closed = self.reserved_against(now, &entry);
             for seat in &mut seats {
                 let closed = closed.get(&seat.worker).copied().unwrap_or(0);
                 seat.value = seat.value.saturating_sub(closed);
@@ -189,7 +189,7 @@
                 && let Stage::Pledged(pledged) = &entry.stage
                 && pledged.iter().any(|p| workers.contains(&p.worker))
             {
-                self.wait_again(&job);
+                self.requeue(&job);
             }
         }
     }
--- a/dragonflyrun/src/job/gang.rs
+++ b/dragonflyrun/src/job/gang.rs
@@ -26,12 +26,12 @@
     /// Put on the log that the gang is not renewed any more.
     RecordFence,
     /// The gang is over on all workers for certain.
-    Close(Close),
+    Close(GangEnd),
 }
 
 /// How a gang was over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Close {
+pub enum GangEnd {
     /// All tasks ended well.
     Finished,
     /// The job is to wait for another attempt, or to end where it was cancelled.
@@ -59,9 +59,9 @@
 pub(super) struct Member {
     pub(super) worker: Name,
     pub(super) tasks: u32,
-    pub(super) seen: Option<MemberState>,
+    pub(super) reported: Option<MemberState>,
     /// Whether it has run; one that has can't be started again.
-    pub(super) ran: bool,
+    pub(super) has_run: bool,
 }
 
 /// One gang.
@@ -73,9 +73,9 @@
     pub(super) index: HashMap<Name, usize>,
     pub(super) phase: Phase,
     /// An offset of the log at which the start is known to stand, there or before.
-    pub(super) recorded: Option<u64>,
+    pub(super) start_offset: Option<u64>,
     /// When all members were first known to run.
-    pub(super) began: Option<Timestamp>,
+    pub(super) first_running: Option<Timestamp>,
     pub(super) next_order: Timestamp,
 }
 
@@ -106,15 +106,15 @@
         job: LiveJob,
         placements: &[Placement],
         phase: Phase,
-        recorded: Option<u64>,
+        start_offset: Option<u64>,
     ) -> Self {
         let members: Vec<Member> = placements
             .iter()
             .map(|p| Member {
                 worker: p.worker.clone(),
                 tasks: p.tasks,
-                seen: None,
-                ran: false,
+                reported: None,
+                has_run: false,
             })
             .collect();
         let index = members
@@ -128,8 +128,8 @@
             members,
             index,
             phase,
-            recorded,
-            began: None,
+            start_offset,
+            first_running: None,
             next_order: now,
         }
     }
@@ -169,8 +169,9 @@
     }
 
     /// Returns for how long it has run.
-    pub fn ran(&self, now: Timestamp) -> Duration {
-        self.began.map_or(Duration::ZERO, |at| now.since(at))
+    pub fn run_time(&self, now: Timestamp) -> Duration {
+        self.first_running
+            .map_or(Duration::ZERO, |at| now.since(at))
     }
 
     /// Returns whether it is stopping or over.
@@ -180,7 +181,7 @@
 
     /// Returns whether the start is on the log.
     pub fn is_recorded(&self) -> bool {
-        self.recorded.is_some()
+        self.start_offset.is_some()
     }
 
     /// Takes note of a record about the job.
@@ -189,10 +190,10 @@
             && !self.job.fenced
             && let Phase::Stopping(stopping) = &mut self.phase
         {
-            stopping.fence = Fence::Folded {
+            stopping.fence = Fence::Recorded {
                 offset,
-                at: now,
-                obeyed: None,
+                folded_at: now,
+                folded_by_all_at: None,
             };
         }
         let (cancelled, fenced) = (job.cancelled, job.fenced);
@@ -205,8 +206,8 @@
     }
 
     /// Takes note that the start is on the log at `offset`.
-    pub fn recorded(&mut self, now: Timestamp, offset: u64) {
-        self.recorded = Some(offset);
+    pub fn start_recorded(&mut self, now: Timestamp, offset: u64) {
+        self.start_offset = Some(offset);
         if self.phase == Phase::Recording {
             self.phase = Phase::Starting { since: now };
             self.next_order = now;
@@ -216,9 +217,9 @@
     /// Takes note that the fence could not be put on the log.
     pub fn fence_failed(&mut self) {
         if let Phase::Stopping(stopping) = &mut self.phase
-            && stopping.fence == Fence::Asked
+            && stopping.fence == Fence::Requested
         {
-            stopping.fence = Fence::Open;
+            stopping.fence = Fence::NotRequested;
         }
     }
 
@@ -234,13 +235,13 @@
             "gang_stopping"
         );
         // A former planner may have fenced it.
-        let fence = match (self.job.fenced, self.recorded) {
-            (true, Some(offset)) => Fence::Folded {
+        let fence = match (self.job.fenced, self.start_offset) {
+            (true, Some(offset)) => Fence::Recorded {
                 offset,
-                at: now,
-                obeyed: None,
+                folded_at: now,
+                folded_by_all_at: None,
             },
-            _ => Fence::Open,
+            _ => Fence::NotRequested,
         };
         self.phase = Phase::Stopping(Stopping {
             since: now,
@@ -262,13 +263,13 @@
     ) -> Option<MemberState> {
         let index = *self.index.get(worker)?;
         let member = &mut self.members[index];
-        let before = member.seen;
+        let before = member.reported;
         if before.is_some_and(is_over) {
             return before;
         }
         if state.is_some() {
-            member.seen = state;
-            member.ran |= matches!(state, Some(MemberState::Running | MemberState::Finished));
+            member.reported = state;
+            member.has_run |= matches!(state, Some(MemberState::Running | MemberState::Finished));
         }
         match (self.phase, state) {
             (Phase::Reserving { .. } | Phase::Recording, Some(s)) if s != MemberState::Reserved => {
@@ -308,14 +309,14 @@
         let finished = self
             .index
             .get(worker)
-            .is_some_and(|i| self.members[*i].seen == Some(MemberState::Finished));
+            .is_some_and(|i| self.members[*i].reported == Some(MemberState::Finished));
         // After a change of planner an agent may not be linked yet; that has its own timeout.
-        let never_heard = matches!(self.phase, Phase::Starting { .. })
+        let never_reported = matches!(self.phase, Phase::Starting { .. })
             && self
                 .index
                 .get(worker)
-                .is_some_and(|i| self.members[*i].seen.is_none());
-        if !finished && !never_heard {
+                .is_some_and(|i| self.members[*i].reported.is_none());
+        if !finished && !never_reported {
             log::info!(
                 job:% = self.id.job,
                 attempt = self.id.attempt,
--- a/dragonflyrun/src/job/gang_tick.rs
+++ b/dragonflyrun/src/job/gang_tick.rs
@@ -5,7 +5,7 @@
 use crate::{
     connection::{GangMessage, MemberState, TaskOrder},
     job::{
-        Close, Gang, GangAction, StopReason,
+        Gang, GangAction, GangEnd, StopReason,
         gang::{Member, Phase, is_over},
         stopping::{Fence, Stopping},
     },
@@ -13,19 +13,19 @@
 };
 
 /// How long the members have to reserve.
-const RESERVE_WAIT: Duration = Duration::from_millis(4_000);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// How long the members have to start.
-const START_WAIT: Duration = Duration::from_millis(5_000);
+const START_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// How long the members have to stop before the gang is fenced.
-const STOP_WAIT: Duration = Duration::from_millis(1_000);
+const STOP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a reservation that can't start any more is waited for.
-const RELEASE_WAIT: Duration = Duration::from_millis(3_000);
+/// How long a reservation that can't start any more is timed_out for.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Time between two copies of an order that was not followed yet.
-const ORDER_PERIOD: Duration = Duration::from_millis(500);
+const ORDER_RESEND_PERIOD: Duration = Duration::from_millis(500);
 
 impl Gang {
     /// Returns what is to be done now. `folded` is the offset up to which every entry is known to
@@ -34,38 +34,39 @@
         let mut actions = Vec::new();
         if self.has_finished() {
             self.phase = Phase::Closed;
-            actions.push(GangAction::Close(Close::Finished));
+            actions.push(GangAction::Close(GangEnd::Finished));
             return actions;
         }
         self.advance(now);
         if let Phase::Stopping(stopping) = self.phase {
-            self.follow_stop(now, stopping, folded, &mut actions);
+            self.advance_stop(now, stopping, folded, &mut actions);
         }
-        if self.phase == Phase::Recording && self.recorded.is_none() && now >= self.next_order {
+        if self.phase == Phase::Recording && self.start_offset.is_none() && now >= self.next_order {
             // It is asked for once; its fate is always told.
             self.next_order = Timestamp::from_millis(u64::MAX);
             actions.push(GangAction::RecordStart);
         }
         if now >= self.next_order && self.phase != Phase::Closed {
-            self.next_order = now + ORDER_PERIOD;
+            self.next_order = now + ORDER_RESEND_PERIOD;
             self.send_orders(term, &mut actions);
         }
         actions
     }
 
     fn has_finished(&self) -> bool {
-        let all = |state| self.members.iter().all(|m| m.seen == Some(state));
+        let all = |state| self.members.iter().all(|m| m.reported == Some(state));
         self.phase != Phase::Closed && all(MemberState::Finished)
     }
 
     fn advance(&mut self, now: Timestamp) {
-        let all = |f: fn(MemberState) -> bool| self.members.iter().all(|m| m.seen.is_some_and(f));
+        let all =
+            |f: fn(MemberState) -> bool| self.members.iter().all(|m| m.reported.is_some_and(f));
         match self.phase {
             Phase::Reserving { .. } if all(|s| s == MemberState::Reserved) => {
                 self.phase = Phase::Recording;
                 self.next_order = now;
             }
-            Phase::Reserving { since } if now.since(since) > RESERVE_WAIT => {
+            Phase::Reserving { since } if now.since(since) > RESERVE_TIMEOUT => {
                 self.stop(now, StopReason::NotReserved);
             }
             Phase::Starting { .. }
@@ -73,58 +74,67 @@
             {
                 log::info!(job:% = self.id.job, attempt = self.id.attempt; "gang_running");
                 self.phase = Phase::Running { since: now };
-                self.began = Some(now);
+                self.first_running = Some(now);
             }
-            Phase::Starting { since } if now.since(since) > START_WAIT => {
+            Phase::Starting { since } if now.since(since) > START_TIMEOUT => {
                 self.stop(now, StopReason::NotStarted);
             }
             _ => {}
         }
     }
 
-    fn follow_stop(
+    fn advance_stop(
         &mut self,
         now: Timestamp,
         mut stopping: Stopping,
         folded: u64,
         actions: &mut Vec<GangAction>,
     ) {
-        if let Fence::Folded { offset, obeyed, .. } = &mut stopping.fence
-            && obeyed.is_none()
+        if let Fence::Recorded {
+            offset,
+            folded_by_all_at,
+            ..
+        } = &mut stopping.fence
+            && folded_by_all_at.is_none()
             && folded > *offset
         {
-            *obeyed = Some(now);
+            *folded_by_all_at = Some(now);
         }
-        let open: Vec<bool> = self
+        let unended: Vec<bool> = self
             .members
             .iter()
-            .filter(|m| !m.seen.is_some_and(is_over))
-            .map(|m| m.ran)
+            .filter(|m| !m.reported.is_some_and(is_over))
+            .map(|m| m.has_run)
             .collect();
-        let certain = |ran: bool| match self.recorded {
-            None => now.since(stopping.since) > RELEASE_WAIT,
-            Some(_) => stopping.is_lapsed(now, ran),
+        let ended_for_certain = |has_run: bool| match self.start_offset {
+            None => now.since(stopping.since) > RELEASE_TIMEOUT,
+            Some(_) => stopping.has_lapsed(now, has_run),
         };
-        if open.iter().all(|ran| certain(*ran)) {
+        if unended.iter().all(|has_run| ended_for_certain(*has_run)) {
             self.phase = Phase::Closed;
-            actions.push(GangAction::Close(self.close(stopping.reason)));
+            actions.push(GangAction::Close(self.gang_end(stopping.reason)));
             return;
         }
-        let bounded = open.iter().all(|ran| *ran) && stopping.first_stop.is_some();
-        let waited = now.since(stopping.since) > STOP_WAIT;
-        if self.recorded.is_some() && waited && !bounded && stopping.fence == Fence::Open {
-            stopping.fence = Fence::Asked;
+        let lapses_unfenced =
+            unended.iter().all(|has_run| *has_run) && stopping.first_stop.is_some();
+        let timed_out = now.since(stopping.since) > STOP_TIMEOUT;
+        if self.start_offset.is_some()
+            && timed_out
+            && !lapses_unfenced
+            && stopping.fence == Fence::NotRequested
+        {
+            stopping.fence = Fence::Requested;
             actions.push(GangAction::RecordFence);
         }
         self.phase = Phase::Stopping(stopping);
     }
 
-    fn close(&self, reason: StopReason) -> Close {
-        let ends = || self.members.iter().filter_map(|m| m.seen);
-        Close::Stopped {
+    fn gang_end(&self, reason: StopReason) -> GangEnd {
+        let ends = || self.members.iter().filter_map(|m| m.reported);
+        GangEnd::Stopped {
             checkpointed: ends().any(|s| s == MemberState::Stopped { checkpointed: true }),
             failed: reason == StopReason::TaskFailed || ends().any(|s| s == MemberState::Failed),
-            recorded: self.recorded.is_some(),
+            recorded: self.start_offset.is_some(),
         }
     }
 
@@ -141,7 +151,7 @@
 
     fn order(&self, term: u64, index: usize, member: &Member) -> Option<GangMessage> {
         let gang = self.id.clone();
-        match (self.phase, member.seen) {
+        match (self.phase, member.reported) {
             (Phase::Reserving { .. }, None) => {
                 let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
                 Some(GangMessage::Reserve(TaskOrder {
@@ -157,9 +167,9 @@
             (Phase::Starting { .. }, Some(MemberState::Reserved)) => Some(GangMessage::Go {
                 term,
                 gang,
-                offset: self.recorded?,
+                offset: self.start_offset?,
             }),
-            (Phase::Stopping(stopping), seen) if !seen.is_some_and(is_over) => {
+            (Phase::Stopping(stopping), reported) if !reported.is_some_and(is_over) => {
                 Some(GangMessage::Stop {
                     term,
                     gang,
--- a/dragonflyrun/src/job/holding.rs
+++ b/dragonflyrun/src/job/holding.rs
@@ -13,7 +13,7 @@
 
 impl Scheduler {
     /// Returns the accelerators that jobs of `workspace` hold or were pledged.
-    pub(super) fn used_by(&self, workspace: &Name) -> u32 {
+    pub(super) fn accelerators_used_by(&self, workspace: &Name) -> u32 {
         let jobs = self.holding.get(workspace).into_iter().flatten();
         let entries = jobs.filter_map(|(_, job)| self.jobs.get(job));
         entries.map(Entry::accelerators).sum()
@@ -39,7 +39,7 @@
     }
 
     /// Holds what running gangs have on a worker that is heard for the first time.
-    pub(super) fn hold_unheard(&mut self, worker: WorkerId) {
+    pub(super) fn hold_on_new_worker(&mut self, worker: WorkerId) {
         let name = self.inventory.worker(worker).info.name.clone();
         for (job, tasks) in self.unheard.remove(&name).unwrap_or_default() {
             // What covers it covers only the members known so far.
@@ -54,15 +54,15 @@
             let accelerators = tasks.saturating_mul(entry.spec.accelerators);
             self.inventory.hold(worker, &job, accelerators);
             if hold.stopping {
-                let given_back = i64::from(accelerators);
-                self.inventory.stopping(worker, given_back);
+                let stopping = i64::from(accelerators);
+                self.inventory.stopping(worker, stopping);
             }
             self.uncovered.insert(entry.spec.workspace.clone());
         }
     }
 
     /// Takes back what a job holds or was pledged; it waits from then on, but outside the queue.
-    pub(super) fn let_go(&mut self, job: &JobId) {
+    pub(super) fn release_job(&mut self, job: &JobId) {
         self.uncover(job);
         for members in self.unheard.values_mut() {
             members.retain(|(other, _)| other != job);
@@ -137,14 +137,14 @@
                 _ => continue,
             };
             if parts.iter().any(|p| p.worker == worker) {
-                self.wait_again(&job);
+                self.requeue(&job);
             }
         }
     }
 
     /// Takes back what a job has and puts it into the queue.
-    pub(super) fn wait_again(&mut self, job: &JobId) {
-        self.let_go(job);
+    pub(super) fn requeue(&mut self, job: &JobId) {
+        self.release_job(job);
         if let Some(entry) = self.jobs.get(job) {
             self.queue.insert(&entry.spec, entry.accepted, job);
         }
--- a/dragonflyrun/src/job/book.rs
+++ b/dragonflyrun/src/job/job_table.rs
@@ -11,13 +11,13 @@
 };
 
 /// Ended jobs that are remembered for those who ask about them.
-const REMEMBERED_ENDS: usize = 4_096;
+const MAX_REMEMBERED_ENDS: usize = 4_096;
 
 /// Records after the end of a job for which its name can't be used again.
 ///
 /// All processes have to agree on that, also one that began to read in the middle of the log and
 /// does not know of earlier ends. So it is counted in records, and by fewer than the log keeps.
-const NAME_RECORDS: u64 = 4_000;
+const NAME_REUSE_RECORDS: u64 = 4_000;
 
 /// A job that was accepted and has not ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -87,13 +87,13 @@
 
 /// The fold of the records on jobs.
 #[derive(Clone, Debug, Default)]
-pub struct JobBook {
+pub struct JobTable {
     live: HashMap<JobId, LiveJob>,
     ended: BTreeMap<u64, (JobId, JobEnd)>,
     ends: HashMap<JobId, (u64, JobEnd)>,
 }
 
-impl JobBook {
+impl JobTable {
     /// Folds the record at `offset`; records of other kinds change nothing.
     pub fn fold(&mut self, offset: u64, body: &RecordBody) {
         match body {
@@ -111,7 +111,7 @@
                 failed,
                 ..
             } => {
-                if let Some(live) = self.placed(job, *attempt) {
+                if let Some(live) = self.placed_attempt(job, *attempt) {
                     live.updated = offset;
                     live.placements.clear();
                     live.fenced = false;
@@ -120,7 +120,7 @@
                 }
             }
             RecordBody::JobFenced { job, attempt, .. } => {
-                if let Some(live) = self.placed(job, *attempt) {
+                if let Some(live) = self.placed_attempt(job, *attempt) {
                     live.updated = offset;
                     live.fenced = true;
                 }
@@ -154,7 +154,9 @@
 
     fn accept(&mut self, offset: u64, job: &JobId, spec: &JobSpec) {
         let ended = self.ends.get(job);
-        if ended.is_some_and(|(at, _)| offset - at < NAME_RECORDS) || self.live.contains_key(job) {
+        if ended.is_some_and(|(at, _)| offset - at < NAME_REUSE_RECORDS)
+            || self.live.contains_key(job)
+        {
             return;
         }
         let live = LiveJob::new(job.clone(), spec.clone(), offset);
@@ -182,7 +184,7 @@
         }
     }
 
-    fn placed(&mut self, job: &JobId, attempt: u32) -> Option<&mut LiveJob> {
+    fn placed_attempt(&mut self, job: &JobId, attempt: u32) -> Option<&mut LiveJob> {
         let live = self.live.get_mut(job)?;
         (live.is_placed() && live.attempt == attempt).then_some(live)
     }
@@ -204,7 +206,7 @@
         }
         self.ends.insert(job.clone(), (offset, end));
         self.ended.insert(offset, (job.clone(), end));
-        if self.ended.len() > REMEMBERED_ENDS
+        if self.ended.len() > MAX_REMEMBERED_ENDS
             && let Some((at, (old, _))) = self.ended.pop_first()
             && self.ends.get(&old).is_some_and(|(end, _)| *end == at)
         {
--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -16,17 +16,17 @@
         WorkerLease, //
     },
     job::{
-        CHECKPOINT_TIME, DRIFT, GANG_LEASE, GangId, Gate, LeaseName, RENEW_PERIOD, RESERVATION,
-        StartCheck, WORKER_SILENCE, WORKER_TTL, WorkerOp,
+        CHECKPOINT_TIME, CLOCK_TOLERANCE, GANG_LEASE, GangId, LeaseName, RENEW_PERIOD,
+        RESERVATION_TIMEOUT, StartCheck, StartConditions, WORKER_SILENCE, WORKER_TTL, WorkerOp,
     },
     utils::{Name, Timestamp},
 };
 
 /// Pause before a call that the worker did not answer is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const CALL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The end of what was stopped before it had anything to save.
-pub(super) const STOPPED: MemberState = MemberState::Stopped {
+pub(super) const STOPPED_WITHOUT_CHECKPOINT: MemberState = MemberState::Stopped {
     checkpointed: false,
 };
 
@@ -55,21 +55,21 @@
     /// None for a member that a former process of this agent has started.
     order: Option<TaskOrder>,
     phase: Phase,
-    begun: Timestamp,
-    ended: Timestamp,
+    created_at: Timestamp,
+    ended_at: Timestamp,
     /// The offset up to which the log has to be folded to see that the start is on it.
-    go: Option<u64>,
+    start_offset: Option<u64>,
     checkpoint: bool,
     /// When the gang's lease ends; set when the tasks are started.
-    until: Timestamp,
+    gang_lease_until: Timestamp,
     /// When the worker lease has lapsed at the latest.
-    held_until: Timestamp,
+    worker_lease_until: Timestamp,
     /// When the worker was last known to run the tasks or to hold the lease.
-    seen: Timestamp,
+    last_seen: Timestamp,
     next_call: Timestamp,
-    busy: bool,
+    call_pending: bool,
     /// Whether the worker has said that the lease is over, but not how.
-    over: bool,
+    lease_over: bool,
 }
 
 impl Member {
@@ -91,27 +91,27 @@
         Self::new(now, number, name, Phase::Ended(state))
     }
 
-    /// Returns the member whose lease a former process of this agent has obtained; `asked` is when
-    /// the worker was asked for it.
+    /// Returns the member whose lease a former process of this agent has obtained; `called_at` is when
+    /// the worker was called_at for it.
     ///
     /// Its gang's lease is not known any more. It ends no earlier than the worker's, so the tasks
     /// may run as long as that, and go on if a renewal arrives in time.
     pub(super) fn adopt(
-        asked: Timestamp,
+        called_at: Timestamp,
         number: u64,
         name: LeaseName,
         lease: &WorkerLease,
     ) -> Self {
-        let until = asked + Duration::from_millis(lease.ttl_ms);
+        let until = called_at + Duration::from_millis(lease.ttl_ms);
         let phase = match lease.state {
-            LeaseState::Held => Phase::Stopping(STOPPED),
+            LeaseState::Held => Phase::Stopping(STOPPED_WITHOUT_CHECKPOINT),
             LeaseState::Running => Phase::Running,
-            _ => Phase::Ended(end_of(lease)),
+            _ => Phase::Ended(end_state(lease)),
         };
         Self {
-            until,
-            held_until: until,
-            ..Self::new(asked, number, name, phase)
+            gang_lease_until: until,
+            worker_lease_until: until,
+            ..Self::new(called_at, number, name, phase)
         }
     }
 
@@ -122,16 +122,16 @@
             name,
             order: None,
             phase,
-            begun: now,
-            ended: now,
-            go: None,
+            created_at: now,
+            ended_at: now,
+            start_offset: None,
             checkpoint: false,
-            until: now,
-            held_until: now,
-            seen: now,
+            gang_lease_until: now,
+            worker_lease_until: now,
+            last_seen: now,
             next_call: now,
-            busy: false,
-            over: false,
+            call_pending: false,
+            lease_over: false,
         }
     }
 
@@ -170,15 +170,15 @@
 
     /// Returns when the member ended or, before that, when it began.
     pub(super) fn ended_at(&self) -> Timestamp {
-        self.ended
+        self.ended_at
     }
 
     /// Takes note that the planner has the start on the log, at `offset` or before.
-    pub(super) fn go(&mut self, now: Timestamp, offset: u64) {
-        if self.go.is_none() {
+    pub(super) fn on_go(&mut self, now: Timestamp, offset: u64) {
+        if self.start_offset.is_none() {
             self.next_call = now;
         }
-        self.go = self.go.max(Some(offset));
+        self.start_offset = self.start_offset.max(Some(offset));
     }
 
     /// Stops the member where it has not ended; `state` is reported where it ends by this.
@@ -194,57 +194,63 @@
     /// Prolongs the gang's lease.
     pub(super) fn renew(&mut self, until: Timestamp) {
         if self.phase == Phase::Running {
-            self.until = self.until.max(until);
+            self.gang_lease_until = self.gang_lease_until.max(until);
         }
     }
 
     /// Returns the next call to the worker, where one is due; it then counts as under way.
     pub(super) fn next_call(&mut self, now: Timestamp) -> Option<WorkerOp> {
-        self.expire(now);
-        if self.busy || now < self.next_call {
+        self.stop_if_expired(now);
+        if self.call_pending || now < self.next_call {
             return None;
         }
         let op = match self.phase {
             Phase::Obtaining => WorkerOp::Obtain {
                 accelerators: self.order.as_ref()?.total_accelerators(),
-                until: self.begun + RESERVATION,
+                until: self.created_at + RESERVATION_TIMEOUT,
             },
-            Phase::Reserved | Phase::Starting if self.go.is_some() && !self.over => {
+            Phase::Reserved | Phase::Starting
+                if self.start_offset.is_some() && !self.lease_over =>
+            {
                 WorkerOp::Start(self.tasks()?)
             }
             Phase::Reserved => WorkerOp::Renew {
-                until: self.begun + RESERVATION,
+                until: self.created_at + RESERVATION_TIMEOUT,
+            },
+            Phase::Starting | Phase::Running if self.lease_over => WorkerOp::Inspect,
+            Phase::Starting | Phase::Running => WorkerOp::Renew {
+                until: self.gang_lease_until,
             },
-            Phase::Starting | Phase::Running if self.over => WorkerOp::Inspect,
-            Phase::Starting | Phase::Running => WorkerOp::Renew { until: self.until },
             Phase::Stopping(_) => WorkerOp::Stop {
                 checkpoint: self.checkpoint,
             },
             Phase::Ended(_) => return None,
         };
-        self.busy = true;
+        self.call_pending = true;
         Some(op)
     }
 
     /// Stops the member where its time is up or its worker is silent.
-    fn expire(&mut self, now: Timestamp) {
-        let silent = now.since(self.seen) > WORKER_SILENCE;
+    fn stop_if_expired(&mut self, now: Timestamp) {
+        let silent = now.since(self.last_seen) > WORKER_SILENCE;
         match self.phase {
-            Phase::Obtaining | Phase::Reserved if now >= self.begun + RESERVATION => {
-                self.stop(now, false, STOPPED);
+            Phase::Obtaining | Phase::Reserved if now >= self.created_at + RESERVATION_TIMEOUT => {
+                self.stop(now, false, STOPPED_WITHOUT_CHECKPOINT);
             }
-            Phase::Starting | Phase::Running if now + CHECKPOINT_TIME >= self.until || silent => {
+            Phase::Starting | Phase::Running
+                if now + CHECKPOINT_TIME >= self.gang_lease_until || silent =>
+            {
                 log::info!(
                     job:% = self.gang().job,
                     attempt = self.gang().attempt,
                     silent = silent;
                     "gang_lease_ended"
                 );
-                self.stop(now, true, STOPPED);
+                self.stop(now, true, STOPPED_WITHOUT_CHECKPOINT);
             }
-            // The worker does not answer, so nothing more can be asked of it: its own clock has
+            // The worker does not answer, so nothing more can be called_at of it: its own clock has
             // stopped the tasks by then.
-            Phase::Stopping(state) if now > self.held_until + DRIFT && silent => {
+            Phase::Stopping(state) if now > self.worker_lease_until + CLOCK_TOLERANCE && silent => {
                 self.finish(now, state);
             }
             _ => {}
@@ -252,30 +258,30 @@
     }
 
     /// Decides right before the start whether it may be sent.
-    pub(super) fn may_start(&mut self, now: Timestamp, gate: Gate) -> StartCheck {
+    pub(super) fn may_start(&mut self, now: Timestamp, conditions: StartConditions) -> StartCheck {
         let check = match self.phase {
-            Phase::Reserved | Phase::Starting if !gate.in_service => StartCheck::Never,
+            Phase::Reserved | Phase::Starting if !conditions.in_service => StartCheck::Never,
             // The agent may be fresh and yet lack the last second's records, the start among them.
             Phase::Reserved | Phase::Starting
-                if !gate.fresh || self.go >= Some(gate.next_offset) =>
+                if !conditions.fresh || self.start_offset >= Some(conditions.next_offset) =>
             {
                 StartCheck::Wait
             }
-            Phase::Reserved | Phase::Starting if !gate.allowed => StartCheck::Never,
+            Phase::Reserved | Phase::Starting if !conditions.allowed => StartCheck::Never,
             Phase::Reserved => StartCheck::Start,
             // The answer to the first start was lost. Its lease counts from the first.
-            Phase::Starting if now < self.until => StartCheck::Start,
+            Phase::Starting if now < self.gang_lease_until => StartCheck::Start,
             _ => StartCheck::Never,
         };
         match check {
             StartCheck::Start if self.phase == Phase::Reserved => {
                 self.phase = Phase::Starting;
-                self.until = now + GANG_LEASE;
+                self.gang_lease_until = now + GANG_LEASE;
             }
             StartCheck::Start => {}
-            StartCheck::Wait => self.release(now),
+            StartCheck::Wait => self.end_call(now),
             StartCheck::Never => {
-                self.release(now);
+                self.end_call(now);
                 self.stop(now, false, MemberState::Refused);
             }
         }
@@ -283,52 +289,52 @@
     }
 
     /// Returns how long after an answer the next call follows.
-    fn pause(&self) -> Duration {
+    fn pause_after_answer(&self) -> Duration {
         match self.phase {
-            Phase::Reserved if self.go.is_some() => Duration::ZERO,
+            Phase::Reserved if self.start_offset.is_some() => Duration::ZERO,
             Phase::Stopping(_) => Duration::ZERO,
             _ => RENEW_PERIOD,
         }
     }
 
     /// Takes note that the call under way is over and the next may follow after a pause.
-    fn release(&mut self, now: Timestamp) {
-        self.busy = false;
-        self.next_call = now + RETRY_PAUSE;
+    fn end_call(&mut self, now: Timestamp) {
+        self.call_pending = false;
+        self.next_call = now + CALL_RETRY_PAUSE;
     }
 
-    /// Takes the worker's answer to `op`, which was asked at `asked`.
-    pub(super) fn answered(
+    /// Takes the worker's answer to `op`, which was called_at at `called_at`.
+    pub(super) fn on_answer(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        called_at: Timestamp,
         op: &WorkerOp,
         answer: &Result<WorkerLease, WorkerError>,
     ) {
-        self.release(now);
+        self.end_call(now);
         match (op, answer) {
             (_, Ok(lease)) => {
-                self.seen_lease(now, asked, lease);
-                self.next_call = now + self.pause();
+                self.on_lease(now, called_at, lease);
+                self.next_call = now + self.pause_after_answer();
             }
             (WorkerOp::Stop { .. } | WorkerOp::Inspect, Err(WorkerError::Over)) => {
-                self.stopped(now);
+                self.on_stopped(now);
             }
             // The tasks may have ended by themselves. To report them as lost would stop the rest
             // of a gang whose members end one after the other.
             (WorkerOp::Renew { .. } | WorkerOp::Start(_), Err(WorkerError::Over))
                 if matches!(self.phase, Phase::Starting | Phase::Running) =>
             {
-                self.over = true;
+                self.lease_over = true;
                 self.next_call = now;
             }
-            (_, Err(WorkerError::Over)) => self.stop(now, false, STOPPED),
+            (_, Err(WorkerError::Over)) => self.stop(now, false, STOPPED_WITHOUT_CHECKPOINT),
             (WorkerOp::Obtain { .. }, Err(WorkerError::NotFree | WorkerError::Refused(_))) => {
-                self.refused(now);
+                self.on_refused(now);
             }
             (WorkerOp::Obtain { .. } | WorkerOp::Renew { .. }, Err(error)) => {
                 if matches!(error, WorkerError::Uncertain(_)) {
-                    self.held_until = now + WORKER_TTL;
+                    self.worker_lease_until = now + WORKER_TTL;
                 }
                 if self.phase == Phase::Obtaining {
                     self.stop(now, false, MemberState::Refused);
@@ -345,36 +351,36 @@
     }
 
     /// Takes note of what the worker says of the lease.
-    pub(super) fn seen_lease(&mut self, now: Timestamp, asked: Timestamp, lease: &WorkerLease) {
-        self.seen = self.seen.max(asked);
-        let held_until = now + Duration::from_millis(lease.ttl_ms);
-        self.held_until = self.held_until.max(held_until);
+    pub(super) fn on_lease(&mut self, now: Timestamp, called_at: Timestamp, lease: &WorkerLease) {
+        self.last_seen = self.last_seen.max(called_at);
+        let worker_lease_until = now + Duration::from_millis(lease.ttl_ms);
+        self.worker_lease_until = self.worker_lease_until.max(worker_lease_until);
         match (lease.state, self.phase) {
             (LeaseState::Held, Phase::Obtaining) => self.phase = Phase::Reserved,
             (LeaseState::Running, Phase::Starting) => self.phase = Phase::Running,
             (LeaseState::Held | LeaseState::Running, _) => {}
-            _ => self.finish(now, end_of(lease)),
+            _ => self.finish(now, end_state(lease)),
         }
     }
 
-    /// Takes note that the worker, asked at `asked`, does not know the lease.
-    pub(super) fn missing(&mut self, now: Timestamp, asked: Timestamp) {
-        if self.phase == Phase::Running && !self.busy && self.seen < asked {
-            self.stopped(now);
+    /// Takes note that the worker, called_at at `called_at`, does not know the lease.
+    pub(super) fn on_lease_missing(&mut self, now: Timestamp, called_at: Timestamp) {
+        if self.phase == Phase::Running && !self.call_pending && self.last_seen < called_at {
+            self.on_stopped(now);
         }
     }
 
-    fn refused(&mut self, now: Timestamp) {
+    fn on_refused(&mut self, now: Timestamp) {
         match self.phase {
             Phase::Obtaining => self.finish(now, MemberState::Refused),
-            _ => self.stopped(now),
+            _ => self.on_stopped(now),
         }
     }
 
-    fn stopped(&mut self, now: Timestamp) {
+    fn on_stopped(&mut self, now: Timestamp) {
         let state = match self.phase {
             Phase::Stopping(state) => state,
-            _ => STOPPED,
+            _ => STOPPED_WITHOUT_CHECKPOINT,
         };
         self.finish(now, state);
     }
@@ -391,7 +397,7 @@
             (_, state) => state,
         };
         self.phase = Phase::Ended(state);
-        self.ended = now;
+        self.ended_at = now;
     }
 
     fn tasks(&self) -> Option<StartTasks> {
@@ -413,7 +419,7 @@
     }
 }
 
-fn end_of(lease: &WorkerLease) -> MemberState {
+fn end_state(lease: &WorkerLease) -> MemberState {
     match lease.state {
         LeaseState::Finished => MemberState::Finished,
         LeaseState::Failed => MemberState::Failed,
--- a/dragonflyrun/src/job/members.rs
+++ b/dragonflyrun/src/job/members.rs
@@ -17,24 +17,25 @@
         WorkerView, //
     },
     job::{
-        GANG_LEASE, GangId, Gate, JobId, LAPSE, LeaseName, StartCheck, WorkerCall, WorkerOp,
-        member::{Member, STOPPED},
+        GANG_LEASE, GangId, JobId, LAPSE, LeaseName, StartCheck, StartConditions, WorkerCall,
+        WorkerOp,
+        member::{Member, STOPPED_WITHOUT_CHECKPOINT},
     },
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
 /// How long an agent remembers that it was told to stop a gang, so that an order to reserve that
 /// was overtaken is not followed.
-const REMEMBER_STOP: Duration = Duration::from_secs(60);
+const STOP_RETENTION: Duration = Duration::from_secs(60);
 
 /// Ended members that are kept for a planner, at the most, where none takes note of them.
-const KEPT_ENDS: usize = 4_096;
+const MAX_ENDED_MEMBERS: usize = 4_096;
 
 /// Time between two looks at all leases of the worker.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+const LIST_PERIOD: Duration = Duration::from_millis(500);
 
 /// Silence of the worker after which the agent no longer reports its accelerators.
-const WORKER_LOST: Duration = Duration::from_millis(2_000);
+const WORKER_LOST_AFTER: Duration = Duration::from_millis(2_000);
 
 /// The members at one agent.
 #[derive(Debug)]
@@ -44,15 +45,15 @@
     members: BTreeMap<u64, Member>,
     by_gang: HashMap<GangId, u64>,
     next_number: u64,
-    leaving: bool,
+    draining: bool,
     /// Whether the worker's leases have been seen since the process started.
     synced: bool,
-    stops: HashSet<GangId>,
-    looking: bool,
-    next_look: Timestamp,
-    seen: Timestamp,
+    pending_stops: HashSet<GangId>,
+    list_pending: bool,
+    next_list: Timestamp,
+    worker_seen: Timestamp,
     accelerators: u32,
-    unwanted: Vec<Name>,
+    unneeded_leases: Vec<Name>,
 }
 
 impl Members {
@@ -64,14 +65,14 @@
             members: BTreeMap::new(),
             by_gang: HashMap::default(),
             next_number: 1,
-            leaving: false,
+            draining: false,
             synced: false,
-            stops: HashSet::default(),
-            looking: false,
-            next_look: now,
-            seen: now,
+            pending_stops: HashSet::default(),
+            list_pending: false,
+            next_list: now,
+            worker_seen: now,
             accelerators: 0,
-            unwanted: Vec::new(),
+            unneeded_leases: Vec::new(),
         }
     }
 
@@ -82,7 +83,7 @@
 
     /// Returns the accelerators of the worker; zero while it does not answer.
     pub fn accelerators(&self, now: Timestamp) -> u32 {
-        let lost = !self.synced || now.since(self.seen) > WORKER_LOST;
+        let lost = !self.synced || now.since(self.worker_seen) > WORKER_LOST_AFTER;
         if lost { 0 } else { self.accelerators }
     }
 
@@ -97,17 +98,17 @@
             RecordBody::Term { term, .. } => self.term = self.term.max(*term),
             RecordBody::JobStopped {
                 term, job, attempt, ..
-            } => self.on_settled(now, job, Some((*term, *attempt))),
-            RecordBody::JobEnded { job, .. } => self.on_settled(now, job, None),
+            } => self.on_attempts_ended(now, job, Some((*term, *attempt))),
+            RecordBody::JobEnded { job, .. } => self.on_attempts_ended(now, job, None),
             _ => {}
         }
     }
 
     /// Stops all members with a checkpoint and takes no order from now on.
     pub fn drain(&mut self, now: Timestamp) {
-        self.leaving = true;
+        self.draining = true;
         for member in self.members.values_mut() {
-            member.stop(now, true, STOPPED);
+            member.stop(now, true, STOPPED_WITHOUT_CHECKPOINT);
         }
     }
 
@@ -116,10 +117,10 @@
         match message {
             GangMessage::Reserve(order) => self.reserve(now, order),
             GangMessage::Go { term, gang, offset } => {
-                if self.obeys(term)
+                if self.accepts_term(term)
                     && let Some(member) = self.member(&gang)
                 {
-                    member.go(now, offset);
+                    member.on_go(now, offset);
                 }
             }
             GangMessage::Stop {
@@ -127,7 +128,7 @@
                 gang,
                 checkpoint,
             } => {
-                if self.obeys(term) {
+                if self.accepts_term(term) {
                     self.stop(now, gang, checkpoint);
                 }
             }
@@ -138,7 +139,7 @@
             } => self.renew(now, echo_ms, age_ms, &members),
             GangMessage::Broken { gang } => {
                 if let Some(member) = self.member(&gang) {
-                    member.stop(now, true, STOPPED);
+                    member.stop(now, true, STOPPED_WITHOUT_CHECKPOINT);
                 }
             }
         }
@@ -146,15 +147,15 @@
 
     /// Takes note that the log has the end of all attempts of `job` up to `last`, or of the job
     /// itself where `last` is none.
-    fn on_settled(&mut self, now: Timestamp, job: &JobId, last: Option<(u64, u32)>) {
-        let settled: Vec<u64> = self
+    fn on_attempts_ended(&mut self, now: Timestamp, job: &JobId, last: Option<(u64, u32)>) {
+        let ended: Vec<u64> = self
             .members
             .iter()
             .filter(|(_, m)| m.gang().job == *job)
             .filter(|(_, m)| last.is_none_or(|l| (m.gang().term, m.gang().attempt) <= l))
             .map(|(number, _)| *number)
             .collect();
-        for number in settled {
+        for number in ended {
             let Some(member) = self.members.get_mut(&number) else {
                 continue;
             };
@@ -163,16 +164,16 @@
             } else {
                 // The planner knew that it had stopped, so only an attempt that was given up
                 // before its start can be left over.
-                member.stop(now, false, STOPPED);
+                member.stop(now, false, STOPPED_WITHOUT_CHECKPOINT);
             }
         }
     }
 
     /// Returns the calls that are due.
     pub fn calls(&mut self, now: Timestamp) -> Vec<WorkerCall> {
-        self.forget_old(now);
-        self.confirm_unsynced(now);
-        let removals = std::mem::take(&mut self.unwanted);
+        self.forget_old_ends(now);
+        self.report_unsynced_stops(now);
+        let removals = std::mem::take(&mut self.unneeded_leases);
         let mut calls: Vec<WorkerCall> = removals
             .into_iter()
             .map(|lease| WorkerCall::Remove { lease })
@@ -186,17 +187,22 @@
                 });
             }
         }
-        if !self.looking && now >= self.next_look {
-            self.looking = true;
-            calls.push(WorkerCall::Look);
+        if !self.list_pending && now >= self.next_list {
+            self.list_pending = true;
+            calls.push(WorkerCall::ListLeases);
         }
         calls
     }
 
-    /// Decides right before a start is sent whether it may be; see [`Gate`].
-    pub fn may_start(&mut self, now: Timestamp, number: u64, gate: Gate) -> StartCheck {
+    /// Decides right before a start is sent whether it may be; see [`StartConditions`].
+    pub fn may_start(
+        &mut self,
+        now: Timestamp,
+        number: u64,
+        conditions: StartConditions,
+    ) -> StartCheck {
         match self.members.get_mut(&number) {
-            Some(member) => member.may_start(now, gate),
+            Some(member) => member.may_start(now, conditions),
             None => StartCheck::Never,
         }
     }
@@ -206,53 +212,53 @@
         self.members.get(&number).map(Member::gang)
     }
 
-    /// Takes the answer to a call on a lease that was made at `asked`.
+    /// Takes the answer to a call on a lease that was made at `called_at`.
     pub fn on_answer(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        called_at: Timestamp,
         number: u64,
         op: &WorkerOp,
         answer: &Result<WorkerLease, WorkerError>,
     ) {
         if let Some(member) = self.members.get_mut(&number) {
-            member.answered(now, asked, op, answer);
+            member.on_answer(now, called_at, op, answer);
         }
     }
 
-    /// Takes the answer to a look at all leases that was made at `asked`.
-    pub fn on_look(
+    /// Takes the answer to a look at all leases that was made at `called_at`.
+    pub fn on_leases(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        called_at: Timestamp,
         answer: &Result<WorkerView, WorkerError>,
     ) {
-        self.looking = false;
-        self.next_look = now + LOOK_PERIOD;
+        self.list_pending = false;
+        self.next_list = now + LIST_PERIOD;
         let Ok(view) = answer else {
             return;
         };
-        self.seen = now;
+        self.worker_seen = now;
         self.accelerators = view.accelerators;
         let leases: HashMap<&Name, &WorkerLease> =
             view.leases.iter().map(|l| (&l.lease, l)).collect();
         for member in self.members.values_mut() {
             match leases.get(member.lease()) {
-                Some(lease) => member.seen_lease(now, asked, lease),
-                None => member.missing(now, asked),
+                Some(lease) => member.on_lease(now, called_at, lease),
+                None => member.on_lease_missing(now, called_at),
             }
         }
         if self.synced {
             self.remove_unknown(view);
         } else {
-            self.adopt(asked, view);
+            self.adopt(called_at, view);
         }
     }
 
-    fn obeys(&mut self, term: u64) -> bool {
-        let obeys = term >= self.term;
+    fn accepts_term(&mut self, term: u64) -> bool {
+        let accepted = term >= self.term;
         self.term = self.term.max(term);
-        obeys
+        accepted
     }
 
     fn member(&mut self, gang: &GangId) -> Option<&mut Member> {
@@ -262,16 +268,19 @@
 
     fn reserve(&mut self, now: Timestamp, order: TaskOrder) {
         // An order that came before the worker was read is repeated by the planner.
-        if !self.obeys(order.gang.term) || !self.synced || self.by_gang.contains_key(&order.gang) {
+        if !self.accepts_term(order.gang.term)
+            || !self.synced
+            || self.by_gang.contains_key(&order.gang)
+        {
             return;
         }
         let job = &order.gang.job;
-        let busy = self
+        let job_active = self
             .members
             .values()
             .any(|m| m.gang().job == *job && m.end().is_none());
-        let number = self.take_number();
-        let member = if busy || self.leaving || self.stops.contains(&order.gang) {
+        let number = self.allocate_number();
+        let member = if job_active || self.draining || self.pending_stops.contains(&order.gang) {
             let name = LeaseName {
                 gang: order.gang,
                 member: order.member,
@@ -286,32 +295,35 @@
 
     fn stop(&mut self, now: Timestamp, gang: GangId, checkpoint: bool) {
         if let Some(member) = self.member(&gang) {
-            member.stop(now, checkpoint, STOPPED);
+            member.stop(now, checkpoint, STOPPED_WITHOUT_CHECKPOINT);
         } else if self.synced {
-            self.confirm_stop(now, gang);
+            self.report_stopped(now, gang);
         } else {
             // The worker may hold it from a former process of this agent; it is looked at first.
-            self.stops.insert(gang);
+            self.pending_stops.insert(gang);
         }
     }
 
     /// Reports as stopped what this agent does not hold, and will not.
-    fn confirm_stop(&mut self, now: Timestamp, gang: GangId) {
+    fn report_stopped(&mut self, now: Timestamp, gang: GangId) {
         let name = LeaseName {
             gang,
             member: 0,
             members: 0,
         };
-        let number = self.take_number();
-        self.insert(number, Member::ended(now, number, name, STOPPED));
+        let number = self.allocate_number();
+        self.insert(
+            number,
+            Member::ended(now, number, name, STOPPED_WITHOUT_CHECKPOINT),
+        );
     }
 
     /// Confirms what it was told to stop where the worker could not be read for so long that all
     /// leases from the time before this process have lapsed.
-    fn confirm_unsynced(&mut self, now: Timestamp) {
+    fn report_unsynced_stops(&mut self, now: Timestamp) {
         if !self.synced && now.since(self.started) > LAPSE {
-            for gang in std::mem::take(&mut self.stops) {
-                self.confirm_stop(now, gang);
+            for gang in std::mem::take(&mut self.pending_stops) {
+                self.report_stopped(now, gang);
             }
         }
     }
@@ -320,27 +332,27 @@
         if echo_ms > now.as_millis() {
             return;
         }
-        let alive = Timestamp::from_millis(echo_ms.saturating_sub(age_ms));
+        let alive_at = Timestamp::from_millis(echo_ms.saturating_sub(age_ms));
         for number in members {
             if let Some(member) = self.members.get_mut(number) {
-                member.renew(alive + GANG_LEASE);
+                member.renew(alive_at + GANG_LEASE);
             }
         }
     }
 
     /// Takes over the leases that a former process of this agent has left.
-    fn adopt(&mut self, asked: Timestamp, view: &WorkerView) {
+    fn adopt(&mut self, called_at: Timestamp, view: &WorkerView) {
         self.synced = true;
         for lease in &view.leases {
             let Some(name) = LeaseName::parse(&lease.lease) else {
                 continue;
             };
             log::info!(lease:% = lease.lease, state:? = lease.state; "lease_adopted");
-            let number = self.take_number();
-            self.insert(number, Member::adopt(asked, number, name, lease));
+            let number = self.allocate_number();
+            self.insert(number, Member::adopt(called_at, number, name, lease));
         }
-        for gang in std::mem::take(&mut self.stops) {
-            self.stop(asked, gang, true);
+        for gang in std::mem::take(&mut self.pending_stops) {
+            self.stop(called_at, gang, true);
         }
     }
 
@@ -354,21 +366,21 @@
             .map(|l| &l.lease)
             .filter(|lease| !known.contains(*lease) && LeaseName::parse(lease).is_some())
             .cloned();
-        self.unwanted.extend(unknown);
+        self.unneeded_leases.extend(unknown);
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn forget_old_ends(&mut self, now: Timestamp) {
         let old: Vec<u64> = self
             .members
             .iter()
             .filter(|(_, m)| m.end().is_some_and(|end| !is_result(end)))
-            .filter(|(_, m)| now.since(m.ended_at()) > REMEMBER_STOP)
+            .filter(|(_, m)| now.since(m.ended_at()) > STOP_RETENTION)
             .map(|(number, _)| *number)
             .collect();
         for number in old {
             self.forget(number);
         }
-        while self.members.len() > KEPT_ENDS {
+        while self.members.len() > MAX_ENDED_MEMBERS {
             let ended = self.members.iter().find(|(_, m)| m.end().is_some());
             let Some(number) = ended.map(|(number, _)| *number) else {
                 return;
@@ -380,7 +392,7 @@
     fn forget(&mut self, number: u64) {
         if let Some(member) = self.members.remove(&number) {
             self.by_gang.remove(member.gang());
-            self.unwanted.push(member.lease().clone());
+            self.unneeded_leases.push(member.lease().clone());
         }
     }
 
@@ -389,7 +401,7 @@
         self.members.insert(number, member);
     }
 
-    fn take_number(&mut self) -> u64 {
+    fn allocate_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -398,5 +410,5 @@
 
 /// Returns whether the end tells the planner something that it can't learn elsewhere.
 fn is_result(end: MemberState) -> bool {
-    !matches!(end, MemberState::Refused | STOPPED)
+    !matches!(end, MemberState::Refused | STOPPED_WITHOUT_CHECKPOINT)
 }
--- a/dragonflyrun/src/job/mod.rs
+++ b/dragonflyrun/src/job/mod.rs
@@ -1,7 +1,6 @@
 //! What lives for one job, which outlives any process.
 
 mod allotment;
-mod book;
 mod closing;
 mod covers;
 mod decision;
@@ -14,44 +13,46 @@
 mod guarantee;
 mod holding;
 mod inventory;
+mod job_table;
 mod member;
 mod members;
 mod packing;
 mod pass;
 mod placement;
 mod planner;
+mod planner_records;
 mod quarantine;
 mod queue;
 mod reclaim;
 mod renewal;
 mod reservation;
 mod retention;
-mod ring;
+mod ring_updater;
 mod scheduler;
 mod slots;
 mod spec;
 mod starting;
 mod stopping;
-mod take_over;
 mod timing;
 mod worker_op;
 
-pub use book::{JobBook, LiveJob};
 pub use decision::{Decision, UsageReport};
 pub use election::{Election, ElectionView, PLANNER_SILENCE};
-pub use gang::{Close, Gang, GangAction};
+pub use gang::{Gang, GangAction, GangEnd};
 pub use gang_id::{GangId, LeaseName};
+pub use job_table::{JobTable, LiveJob};
 pub use members::Members;
 pub use planner::{Planner, PlannerAction, PlannerView, Purpose};
-pub use renewal::{LATE, Notice, Renewals};
+pub use planner_records::JobRecord;
+pub use renewal::{AgentMessage, LATE_AFTER, Renewals};
 pub use retention::{CARRY, Carry, Item, MEMBERSHIP_CARRY, Retention};
-pub use ring::Ring;
+pub use ring_updater::RingUpdater;
 pub use scheduler::{Allotment, Scheduler, UnmetGuarantee};
 pub use spec::{JobId, JobSpec, Shape, Unreachable, WorkerInfo};
 pub use stopping::StopReason;
-pub use take_over::JobRecord;
 pub use timing::{
-    AUTONOMY, CHECKPOINT_TIME, DRIFT, GANG_LEASE, LAPSE, LAPSE_UNSTARTED, PARTIAL_BOUND,
-    RENEW_PERIOD, RESERVATION, START_BOUND, WORKER_SILENCE, WORKER_TTL,
+    CHECKPOINT_TIME, CLOCK_TOLERANCE, GANG_LEASE, LAPSE, LAPSE_UNSTARTED, PARTIAL_BOUND,
+    RENEW_PERIOD, RENEWAL_WITHOUT_LOG, RESERVATION_TIMEOUT, START_BOUND, WORKER_SILENCE,
+    WORKER_TTL,
 };
-pub use worker_op::{Gate, StartCheck, WorkerCall, WorkerOp};
+pub use worker_op::{StartCheck, StartConditions, WorkerCall, WorkerOp};
--- a/dragonflyrun/src/job/pass.rs
+++ b/dragonflyrun/src/job/pass.rs
@@ -81,7 +81,7 @@
             }
         }
         for job in stranded {
-            self.wait_again(&job);
+            self.requeue(&job);
         }
     }
 
@@ -167,12 +167,12 @@
         }
         let wanted = entry.accelerators();
         if let Some(quota) = self.quota(&spec.workspace)
-            && self.used_by(&spec.workspace) + wanted > quota
+            && self.accelerators_used_by(&spec.workspace) + wanted > quota
         {
             return false;
         }
         let waited = now.since(entry.waiting_since);
-        let reservation = self.take_reservation(job);
+        let reservation = self.remove_reservation(job);
         if owner && let Some(parts) = self.vacant_room(class) {
             self.leave_queue(job);
             self.cover(job, &parts);
--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -12,6 +12,7 @@
 use crate::{
     connection::{GangMessage, MemberReport, MemberState, RecordBody},
     job::{
+        AgentMessage,
         Election,
         ElectionView,
         Gang,
@@ -21,14 +22,13 @@
         JobId,
         JobSpec,
         LiveJob,
-        Notice,
         Retention,
-        Ring,
+        RingUpdater,
         Scheduler,
         StopReason,
         Unreachable,
         WorkerInfo,
-        closing::Closing,
+        closing::ClosingRecord,
         starting::PROVED, //
     },
     utils::{HashMap, HashSet, Name, Timestamp},
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerAction {
     /// Send an order.
-    Send(Notice),
+    Send(AgentMessage),
     /// Append a record, and tell [`Planner::appended`] its id.
     Append {
         /// The record.
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub struct Planner {
     pub(super) election: Election,
-    pub(super) ring: Ring,
+    pub(super) ring: RingUpdater,
     pub(super) next_ring: Timestamp,
     pub(super) retention: Retention,
     pub(super) scheduler: Scheduler,
@@ -113,7 +113,7 @@
     pub(super) agents: BTreeSet<Name>,
     /// Jobs whose gang is not known to run steadily.
     pub(super) touched: HashSet<JobId>,
-    pub(super) closing: HashMap<JobId, Closing>,
+    pub(super) closing: HashMap<JobId, ClosingRecord>,
     pub(super) resting: BTreeSet<(Timestamp, JobId)>,
     pub(super) proving: VecDeque<(Timestamp, GangId)>,
     pub(super) pending: HashMap<Name, Purpose>,
@@ -139,7 +139,7 @@
         scheduler.configure(&version);
         Self {
             election: Election::new(me),
-            ring: Ring::default(),
+            ring: RingUpdater::default(),
             next_ring: Timestamp::default(),
             retention: Retention::default(),
             scheduler,
@@ -157,7 +157,7 @@
 
     /// Returns the term that this process holds as planner; none where it is not planner.
     pub fn term(&self) -> Option<u64> {
-        self.election.held()
+        self.election.held_term()
     }
 
     /// Returns the name of the entry.
@@ -193,7 +193,7 @@
                     gang.fence_failed();
                 }
             }
-            Some(Purpose::Close(job)) => self.close_failed(now, &job),
+            Some(Purpose::Close(job)) => self.closing_record_failed(now, &job),
             Some(Purpose::Carry(item)) => self.retention.outdated(now, item),
             Some(Purpose::Ring) | None => {}
         }
@@ -246,8 +246,8 @@
         agent: &Name,
         members: &[MemberReport],
         knows_worker: bool,
-    ) -> Vec<Notice> {
-        let Some(term) = self.election.held() else {
+    ) -> Vec<AgentMessage> {
+        let Some(term) = self.election.held_term() else {
             return Vec::new();
         };
         let mut absent = self.jobs_on(agent);
@@ -258,7 +258,7 @@
                 self.member_state(now, agent, member);
             } else if is_held(member.state) {
                 // An attempt that was given up before the log had it, or that has ended.
-                notices.push(Notice {
+                notices.push(AgentMessage {
                     to: agent.clone(),
                     message: GangMessage::Stop {
                         term,
@@ -285,10 +285,10 @@
             let entry = self.election.me().clone();
             actions.push(append(RecordBody::Term { entry, term }, Purpose::Term));
         }
-        let Some(term) = self.election.held() else {
+        let Some(term) = self.election.held_term() else {
             return actions;
         };
-        self.wake_resting(now);
+        self.requeue_due_jobs(now);
         self.prove_starts(now);
         // A planner that may have been replaced without knowing starts nothing.
         if view.election.fresh {
@@ -298,7 +298,7 @@
             actions.extend(due.into_iter().map(PlannerAction::Carry));
         }
         self.tick_gangs(now, term, view.folded_by_all, &mut actions);
-        self.append_closing(now, &mut actions);
+        self.append_closing_records(now, &mut actions);
         actions
     }
 
@@ -358,7 +358,7 @@
         let GangId { term, attempt, .. } = *gang.id();
         match action {
             GangAction::Send { to, message } => {
-                actions.push(PlannerAction::Send(Notice { to, message }));
+                actions.push(PlannerAction::Send(AgentMessage { to, message }));
             }
             GangAction::RecordStart => {
                 let body = RecordBody::JobStarted {
@@ -371,14 +371,14 @@
             }
             GangAction::RecordFence => {
                 let body = RecordBody::JobFenced {
-                    term: self.election.held().unwrap_or(term),
+                    term: self.election.held_term().unwrap_or(term),
                     job: job.clone(),
                     attempt,
                 };
                 log::warn!(job:% = job, attempt = attempt; "gang_fenced");
                 actions.push(append(body, Purpose::Fence(gang.id().clone())));
             }
-            GangAction::Close(close) => self.close(now, job, close),
+            GangAction::Close(close) => self.close_gang(now, job, close),
         }
     }
 
--- a/dragonflyrun/src/job/take_over.rs
+++ b/dragonflyrun/src/job/planner_records.rs
@@ -28,10 +28,10 @@
     /// Follows a record of the log. Returns whether this process has become planner by it, so that
     /// the agents' reports are to be given to it once more.
     pub fn on_record(&mut self, now: Timestamp, folded: JobRecord<'_>) -> bool {
-        let mine = self.pending.remove(&folded.record.id).is_some();
+        let own = self.pending.remove(&folded.record.id).is_some();
         match &folded.record.body {
             RecordBody::Term { term, .. } if *term == folded.term => {
-                return self.on_term(now, *term, mine, folded.offset);
+                return self.on_term(now, *term, own, folded.offset);
             }
             RecordBody::Term { .. } => {}
             RecordBody::Edit(_) => self
@@ -52,14 +52,14 @@
         false
     }
 
-    fn on_term(&mut self, now: Timestamp, term: u64, mine: bool, offset: u64) -> bool {
+    fn on_term(&mut self, now: Timestamp, term: u64, own: bool, offset: u64) -> bool {
         self.retention.changed(now, Item::Membership, offset);
         // A second claim of the term has no effect, also where both are this entry's.
         if !self.election.is_new(term) {
             return false;
         }
         let was_planner = self.term().is_some();
-        if self.election.on_term(term, mine) {
+        if self.election.on_term(term, own) {
             log::info!(term = term; "planner_taken_over");
             self.take_over(now, offset);
             return true;
@@ -89,7 +89,7 @@
                 gang.update(now, live, offset);
                 self.place(gang);
             } else if live.cancelled {
-                self.end(now, &job, JobEnd::Cancelled);
+                self.end_job(now, &job, JobEnd::Cancelled);
             }
         }
     }
@@ -124,10 +124,10 @@
             .jobs
             .entry(job.clone())
             .or_insert_with(|| Planned::new(live));
-        let before = std::mem::replace(&mut planned.live, live.clone());
+        let previous = std::mem::replace(&mut planned.live, live.clone());
         if live.is_placed() {
             self.scheduler.job_runs(now, live);
-        } else if before.is_placed() {
+        } else if previous.is_placed() {
             self.on_stopped(now, job, live);
         } else if matches!(folded.record.body, RecordBody::JobAccepted { .. }) {
             self.scheduler.job_waits(now, live);
@@ -144,7 +144,7 @@
         }
         self.unplace(job);
         self.closing.remove(job);
-        self.rest(now, job);
+        self.requeue_after_pause(now, job);
     }
 
     /// Brings the planner's gang of `job` in line with the log.
@@ -154,7 +154,7 @@
         match gang {
             Some(gang) if live.is_placed() && *gang.id() == live.gang() => {
                 if !gang.is_recorded() {
-                    gang.recorded(now, offset);
+                    gang.start_recorded(now, offset);
                 }
                 gang.update(now, live.clone(), offset);
             }
@@ -167,7 +167,7 @@
                 self.place(late);
             }
             None if live.cancelled && !self.closing.contains_key(job) => {
-                self.end(now, job, JobEnd::Cancelled)
+                self.end_job(now, job, JobEnd::Cancelled)
             }
             _ => {}
         }
@@ -187,27 +187,27 @@
         let offset = folded.offset;
         match carried {
             Carried::Configuration(_) => {
-                self.repeated(now, Item::Configuration, offset, folded.current);
+                self.on_item_carried(now, Item::Configuration, offset, folded.current);
             }
             Carried::Membership(_) => {
-                self.repeated(now, Item::Membership, offset, folded.current);
+                self.on_item_carried(now, Item::Membership, offset, folded.current);
             }
             Carried::Job { job, .. } => match folded.live {
                 Some(live) => {
                     let item = Item::Job(job.job.clone());
-                    self.repeated(now, item, offset, folded.current);
+                    self.on_item_carried(now, item, offset, folded.current);
                     let known = self.jobs.get(&job.job);
                     if known.is_none_or(|k| k.live != *live) {
-                        self.learn(now, live);
+                        self.add_carried_job(now, live);
                     }
                 }
-                None => self.repeat_end(now, &job.job, folded.ended),
+                None => self.append_end_again(now, &job.job, folded.ended),
             },
         }
     }
 
-    fn repeated(&mut self, now: Timestamp, item: Item, offset: u64, whole: bool) {
-        if whole {
+    fn on_item_carried(&mut self, now: Timestamp, item: Item, offset: u64, current: bool) {
+        if current {
             self.retention.written(now, item, offset);
         } else {
             self.retention.outdated(now, item);
@@ -215,7 +215,7 @@
     }
 
     /// Takes in a job whose first records the log had dropped before this process read it.
-    fn learn(&mut self, now: Timestamp, live: &LiveJob) {
+    fn add_carried_job(&mut self, now: Timestamp, live: &LiveJob) {
         self.jobs.insert(live.job.clone(), Planned::new(live));
         if live.is_placed() {
             self.scheduler.job_runs(now, live);
@@ -226,11 +226,11 @@
 
     /// Repeats the end of a job that ended between the moment at which its state was read and that
     /// at which it was repeated: a reader that starts at the repeated state would never see it end.
-    fn repeat_end(&mut self, now: Timestamp, job: &JobId, ended: Option<JobEnd>) {
+    fn append_end_again(&mut self, now: Timestamp, job: &JobId, ended: Option<JobEnd>) {
         if self.term().is_some()
             && let Some(end) = ended
         {
-            self.end(now, job, end);
+            self.end_job(now, job, end);
         }
     }
 }
--- a/dragonflyrun/src/job/renewal.rs
+++ b/dragonflyrun/src/job/renewal.rs
@@ -5,8 +5,8 @@
 //! lease as soon as none does.
 //!
 //! The work for a heartbeat grows with the members of that agent and not with the size of their
-//! gangs: an agent that was not heard for [`LATE`] is marked at each of its gangs, and a gang
-//! without such a mark has all members alive since [`LATE`] at the latest.
+//! gangs: an agent that was not heard for [`LATE_AFTER`] is last_tick at each of its gangs, and a gang
+//! without such a mark has all members alive since [`LATE_AFTER`] at the latest.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 
 /// Age of the last proof that an agent was alive up to which its gangs are renewed without a look
 /// at each member.
-pub const LATE: Duration = Duration::from_millis(750);
+pub const LATE_AFTER: Duration = Duration::from_millis(750);
 
 /// A message for an agent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Notice {
+pub struct AgentMessage {
     /// The agent.
     pub to: Name,
     /// The message.
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 struct Agent {
     incarnation: u64,
-    confirmed: Option<Timestamp>,
+    alive_at: Option<Timestamp>,
     late: bool,
     members: Vec<MemberReport>,
 }
@@ -46,9 +46,9 @@
     finished: HashSet<Name>,
     lost: u32,
     late: u32,
-    /// Whether the members were told that it is broken. They are told once: each of them that
+    /// Whether the members were notified that it is broken. They are notified once: each of them that
     /// stops is lost in its turn, and whoever is not reached stops at the end of its lease.
-    told: bool,
+    notified: bool,
 }
 
 /// The gangs and their members as one entry hears them.
@@ -57,70 +57,70 @@
     agents: HashMap<Name, Agent>,
     gangs: HashMap<GangId, Gang>,
     fenced: HashSet<GangId>,
-    /// When the agents that were not heard for a while were last marked.
-    marked: Timestamp,
+    /// When the agents that were not heard for a while were last last_tick.
+    last_tick: Timestamp,
 }
 
 impl Renewals {
     /// Takes an agent's report in place of its last one, and returns what the other members of
-    /// broken gangs are to be told. `incarnation` tells the agent's process from its predecessor,
+    /// broken gangs are to be notified. `incarnation` tells the agent's process from its predecessor,
     /// whose proofs of life say nothing about this one.
     pub fn report(
         &mut self,
         agent: &Name,
         incarnation: u64,
         members: Vec<MemberReport>,
-    ) -> Vec<Notice> {
-        let known = self.agents.remove(agent).unwrap_or_default();
-        self.leave(agent, &known);
+    ) -> Vec<AgentMessage> {
+        let previous = self.agents.remove(agent).unwrap_or_default();
+        self.remove_members(agent, &previous);
         let mut next = Agent {
             members,
             incarnation,
             // Nothing was proved for the new report before its agent is heard again.
-            confirmed: None,
+            alive_at: None,
             late: true,
         };
-        if known.incarnation == incarnation {
-            next.confirmed = known.confirmed;
-            next.late = known.late;
+        if previous.incarnation == incarnation {
+            next.alive_at = previous.alive_at;
+            next.late = previous.late;
         }
-        self.join(agent, &next);
+        self.add_members(agent, &next);
         let lost = next.members.iter().filter(|m| is_lost(m.state));
-        let notices = lost.flat_map(|m| self.broken(&m.gang)).collect();
+        let messages = lost.flat_map(|m| self.notify_broken(&m.gang)).collect();
         self.agents.insert(agent.clone(), next);
-        notices
+        messages
     }
 
-    /// Takes note of a heartbeat, and returns the renewal that answers it. `confirmed` is a moment
+    /// Takes note of a heartbeat, and returns the renewal that answers it. `alive_at` is a moment
     /// of this entry's clock at which the agent was alive for certain.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         now: Timestamp,
         agent: &Name,
-        confirmed: Option<Timestamp>,
+        alive_at: Option<Timestamp>,
         sent_ms: u64,
     ) -> Option<GangMessage> {
         let state = self.agents.get_mut(agent)?;
-        state.confirmed = state.confirmed.max(confirmed);
-        let late = is_late(now, state.confirmed);
+        state.alive_at = state.alive_at.max(alive_at);
+        let late = is_late(now, state.alive_at);
         if late != state.late {
-            self.mark(agent, late);
+            self.set_late(agent, late);
         }
         self.renewal(now, agent, sent_ms)
     }
 
     /// Marks the agents that were not heard for a while; to be called several times within
-    /// [`LATE`].
+    /// [`LATE_AFTER`].
     pub fn tick(&mut self, now: Timestamp) {
-        self.marked = now;
+        self.last_tick = now;
         let late: Vec<Name> = self
             .agents
             .iter()
-            .filter(|(_, a)| !a.late && is_late(now, a.confirmed))
+            .filter(|(_, a)| !a.late && is_late(now, a.alive_at))
             .map(|(name, _)| name.clone())
             .collect();
         for agent in late {
-            self.mark(&agent, true);
+            self.set_late(&agent, true);
         }
     }
 
@@ -130,14 +130,14 @@
     }
 
     /// Takes note that the log has the end of all attempts of a job so far.
-    pub fn settled(&mut self, job: &JobId) {
+    pub fn attempts_ended(&mut self, job: &JobId) {
         self.fenced.retain(|gang| gang.job != *job);
     }
 
     /// Forgets an agent that is gone.
-    pub fn gone(&mut self, agent: &Name) {
+    pub fn remove_agent(&mut self, agent: &Name) {
         if let Some(state) = self.agents.remove(agent) {
-            self.leave(agent, &state);
+            self.remove_members(agent, &state);
         }
     }
 
@@ -161,52 +161,52 @@
     }
 
     /// Returns a time since which all members of the gang were alive and running; none where that
-    /// is not known, or so long ago that a renewal would be worth nothing.
+    /// is not previous, or so long ago that a renewal would be worth nothing.
     fn age(&self, now: Timestamp, gang: &GangId) -> Option<Duration> {
         let gang = self.gangs.get(gang)?;
-        let whole = gang.running as usize + gang.finished.len() == gang.members as usize;
-        if gang.lost > 0 || !whole {
+        let complete = gang.running as usize + gang.finished.len() == gang.members as usize;
+        if gang.lost > 0 || !complete {
             return None;
         }
         if gang.late == 0 {
-            // This process may have been frozen since it marked the late ones, and then some of
-            // those that are not marked were not heard for that much longer.
-            let age = LATE + now.since(self.marked);
+            // This process may have been frozen since it last_tick the late ones, and then some of
+            // those that are not last_tick were not heard for that much longer.
+            let age = LATE_AFTER + now.since(self.last_tick);
             return (age < GANG_LEASE).then_some(age);
         }
         let mut age = Duration::ZERO;
         for (agent, state) in &gang.states {
             // What has finished need not be alive.
             if *state == MemberState::Running {
-                let confirmed = self.agents.get(agent)?.confirmed?;
-                age = age.max(now.since(confirmed));
+                let alive_at = self.agents.get(agent)?.alive_at?;
+                age = age.max(now.since(alive_at));
             }
         }
         (age < GANG_LEASE).then_some(age)
     }
 
-    fn broken(&mut self, gang: &GangId) -> Vec<Notice> {
-        let Some(members) = self.gangs.get_mut(gang).filter(|g| !g.told) else {
+    fn notify_broken(&mut self, gang: &GangId) -> Vec<AgentMessage> {
+        let Some(members) = self.gangs.get_mut(gang).filter(|g| !g.notified) else {
             return Vec::new();
         };
-        members.told = true;
+        members.notified = true;
         members
             .states
             .iter()
             .filter(|(_, s)| matches!(s, MemberState::Running | MemberState::Reserved))
-            .map(|(agent, _)| Notice {
+            .map(|(agent, _)| AgentMessage {
                 to: agent.clone(),
                 message: GangMessage::Broken { gang: gang.clone() },
             })
             .collect()
     }
 
-    fn mark(&mut self, agent: &Name, late: bool) {
+    fn set_late(&mut self, agent: &Name, late: bool) {
         let Some(state) = self.agents.get_mut(agent) else {
             return;
         };
         state.late = late;
-        for member in state.members.iter().filter(|m| needs_life(m.state)) {
+        for member in state.members.iter().filter(|m| must_be_alive(m.state)) {
             if let Some(gang) = self.gangs.get_mut(&member.gang) {
                 gang.late = if late {
                     gang.late + 1
@@ -217,7 +217,7 @@
         }
     }
 
-    fn join(&mut self, agent: &Name, state: &Agent) {
+    fn add_members(&mut self, agent: &Name, state: &Agent) {
         for member in &state.members {
             let gang = self.gangs.entry(member.gang.clone()).or_default();
             gang.members = gang.members.max(member.members);
@@ -229,7 +229,7 @@
         }
     }
 
-    fn leave(&mut self, agent: &Name, state: &Agent) {
+    fn remove_members(&mut self, agent: &Name, state: &Agent) {
         for member in &state.members {
             let Some(gang) = self.gangs.get_mut(&member.gang) else {
                 continue;
@@ -250,17 +250,17 @@
             s if is_lost(s) => self.lost = change(self.lost),
             _ => {}
         }
-        if late && needs_life(state) {
+        if late && must_be_alive(state) {
             self.late = change(self.late);
         }
     }
 }
 
-fn is_late(now: Timestamp, confirmed: Option<Timestamp>) -> bool {
-    confirmed.is_none_or(|at| now.since(at) > LATE)
+fn is_late(now: Timestamp, alive_at: Option<Timestamp>) -> bool {
+    alive_at.is_none_or(|at| now.since(at) > LATE_AFTER)
 }
 
-fn needs_life(state: MemberState) -> bool {
+fn must_be_alive(state: MemberState) -> bool {
     state == MemberState::Running
 }
 
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -21,27 +21,27 @@
 
 /// Usable workers for each reservation, beside the first. With few, one reservation that holds
 /// a failure domain idle is enough.
-const WORKERS_A_RESERVATION: usize = 8;
+const WORKERS_PER_RESERVATION: usize = 8;
 
 /// What a job that has outlived its expected run time is taken to need still.
-const OVERDUE: Duration = Duration::from_secs(60);
+const OVERDUE_REMAINING_TIME: Duration = Duration::from_secs(60);
 
 /// Room that is reserved for one job.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     parts: Vec<Part>,
-    size: u32,
+    task_accelerators: u32,
     /// When the job is expected to start there.
     ready: Timestamp,
 }
 
 impl Scheduler {
     /// Takes the reservation of `job` back and returns it.
-    pub(super) fn take_reservation(&mut self, job: &JobId) -> Option<Reservation> {
-        let aged = self.aged(job)?;
-        let reservation = self.reservations.remove(&aged)?;
+    pub(super) fn remove_reservation(&mut self, job: &JobId) -> Option<Reservation> {
+        let queue_key = self.queue_key(job)?;
+        let reservation = self.reservations.remove(&queue_key)?;
         for part in &reservation.parts {
-            let reserved = i64::from(part.tasks * reservation.size);
+            let reserved = i64::from(part.tasks * reservation.task_accelerators);
             self.inventory.reserve(part.worker, -reserved);
         }
         Some(reservation)
@@ -49,59 +49,61 @@
 
     /// Reserves room for `job`, which can't start yet: the room that it had, as long as that is
     /// expected to become free in time, or other room.
-    pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, before: Option<Reservation>) {
+    pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, previous: Option<Reservation>) {
         let workers = self.inventory.ids().len();
         let large = self.inventory.largest_worker();
         if self.jobs.get(job).is_none_or(|e| e.accelerators() < large) {
             return;
         }
-        if self.reservations.len() > workers / WORKERS_A_RESERVATION {
+        if self.reservations.len() > workers / WORKERS_PER_RESERVATION {
             return;
         }
-        let kept = before.filter(|r| r.ready > now && self.is_usable(&r.parts));
-        let Some(reservation) = kept.or_else(|| self.earliest(now, job)) else {
+        let kept = previous.filter(|r| r.ready > now && self.is_usable(&r.parts));
+        let Some(reservation) = kept.or_else(|| self.earliest_reservation(now, job)) else {
+            return;
+        };
+        let Some(queue_key) = self.queue_key(job) else {
             return;
         };
-        let Some(aged) = self.aged(job) else { return };
         for part in &reservation.parts {
-            let reserved = i64::from(part.tasks * reservation.size);
+            let reserved = i64::from(part.tasks * reservation.task_accelerators);
             self.inventory.reserve(part.worker, reserved);
         }
         for part in &reservation.parts {
             self.guarantees.evacuate(&mut self.inventory, part.worker);
         }
-        self.reservations.insert(aged, reservation);
+        self.reservations.insert(queue_key, reservation);
     }
 
     /// Takes all reservations back.
     pub(super) fn drop_reservations(&mut self) {
         let jobs: Vec<Aged> = self.reservations.keys().cloned().collect();
         for (_, job) in jobs {
-            self.take_reservation(&job);
+            self.remove_reservation(&job);
         }
     }
 
     /// Lets allotments be moved into reserved room, until the reservations are put back.
-    pub(super) fn lift_reservations(&mut self) {
+    pub(super) fn suspend_reservations(&mut self) {
         self.change_reserved(-1);
     }
 
-    /// Ends what [`Self::lift_reservations`] began.
-    pub(super) fn put_reservations_back(&mut self) {
+    /// Ends what [`Self::suspend_reservations`] began.
+    pub(super) fn restore_reservations(&mut self) {
         self.change_reserved(1);
     }
 
     fn change_reserved(&mut self, sign: i64) {
         for reservation in self.reservations.values() {
             for part in &reservation.parts {
-                let reserved = i64::from(part.tasks * reservation.size);
+                let reserved = i64::from(part.tasks * reservation.task_accelerators);
                 self.inventory.reserve(part.worker, sign * reserved);
             }
         }
     }
 
     /// Moves allotments that no job holds any more away from reserved room.
-    pub(super) fn clear_reserved(&mut self) {
+    pub(super) fn evacuate_reserved(&mut self) {
         for reservation in self.reservations.values() {
             for part in &reservation.parts {
                 self.guarantees.evacuate(&mut self.inventory, part.worker);
@@ -122,15 +124,18 @@
             return None;
         }
         let entry = self.jobs.get(job)?;
-        let closed = self.closed_to(now, entry);
+        let reserved = self.reserved_against(now, entry);
         let workers = self.reservations.values().flat_map(|r| &r.parts);
-        let lenders: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
-        let mut seats: Vec<Seat> = lenders
+        let reserved_workers: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
+        let mut seats: Vec<Seat> = reserved_workers
             .iter()
             .map(|worker| {
-                let closed = closed.get(worker).copied().unwrap_or(0);
+                let reserved = reserved.get(worker).copied().unwrap_or(0);
                 Seat {
-                    value: self.inventory.with_reserved(*worker).saturating_sub(closed),
+                    value: self
+                        .inventory
+                        .with_reserved(*worker)
+                        .saturating_sub(reserved),
                     ..self.inventory.free.seat(*worker)
                 }
             })
@@ -139,7 +144,7 @@
         seats.extend(
             roomiest
                 .into_iter()
-                .filter(|s| !lenders.contains(&s.worker)),
+                .filter(|s| !reserved_workers.contains(&s.worker)),
         );
         pick(&seats, &entry.spec.shape()).map(|plan| plan.parts)
     }
@@ -147,34 +152,35 @@
     /// Returns what is reserved of each worker and not lent to `entry`. Room is lent to a job that
     /// the holder may evict, that is expected to end before the holder could start, or that is
     /// older than the holder.
-    pub(super) fn closed_to(&self, now: Timestamp, entry: &Entry) -> HashMap<WorkerId, u32> {
+    pub(super) fn reserved_against(&self, now: Timestamp, entry: &Entry) -> HashMap<WorkerId, u32> {
         let expected = self.estimates.run_time(&entry.spec);
-        let mut closed = HashMap::default();
+        let mut reserved = HashMap::default();
         for ((accepted, holder), reservation) in &self.reservations {
             let holder = self.jobs.get(holder);
-            let movable = holder.is_some_and(|h| may_evict(h, Claim::Age, entry));
-            let in_time = now + expected < reservation.ready;
-            if movable || in_time || entry.accepted < *accepted {
+            let evictable = holder.is_some_and(|h| may_evict(h, Claim::Age, entry));
+            let ends_in_time = now + expected < reservation.ready;
+            if evictable || ends_in_time || entry.accepted < *accepted {
                 continue;
             }
             for part in &reservation.parts {
-                *closed.entry(part.worker).or_default() += part.tasks * reservation.size;
+                *reserved.entry(part.worker).or_default() +=
+                    part.tasks * reservation.task_accelerators;
             }
         }
-        closed
+        reserved
     }
 
     /// Returns the room where `job` is expected to start first.
-    fn earliest(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
+    fn earliest_reservation(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
         let entry = self.jobs.get(job)?.clone();
         let shape = entry.spec.shape();
         let mut seats = self.seats_to_compare(&entry);
-        let closed = self.closed_to(now, &entry);
+        let reserved = self.reserved_against(now, &entry);
         for seat in &mut seats {
-            let closed = closed.get(&seat.worker).copied().unwrap_or(0);
-            seat.value = seat.value.saturating_sub(closed);
+            let reserved = reserved.get(&seat.worker).copied().unwrap_or(0);
+            seat.value = seat.value.saturating_sub(reserved);
         }
-        let mut ends = self.ends(now, &entry, &seats);
+        let mut ends = self.expected_ends(now, &entry, &seats);
         ends.sort_by_key(|e| e.at);
         let mut at = now;
         let mut due = ends.into_iter().peekable();
@@ -185,8 +191,8 @@
             if let Some(plan) = pick(&seats, &shape) {
                 return Some(Reservation {
                     parts: plan.parts,
-                    size: shape.accelerators,
-                    ready: at.max(now + OVERDUE),
+                    task_accelerators: shape.accelerators,
+                    ready: at.max(now + OVERDUE_REMAINING_TIME),
                 });
             }
             at = due.peek()?.at;
@@ -194,7 +200,7 @@
     }
 
     /// Returns when the accelerators on `seats` are expected to be free for `entry`.
-    fn ends(&self, now: Timestamp, entry: &Entry, seats: &[Seat]) -> Vec<End> {
+    fn expected_ends(&self, now: Timestamp, entry: &Entry, seats: &[Seat]) -> Vec<ExpectedEnd> {
         let mut ends = Vec::new();
         for (seat, i) in seats.iter().zip(0..) {
             for holding in &self.inventory.worker(seat.worker).jobs {
@@ -212,9 +218,9 @@
                 let at = match may_evict(entry, Claim::Age, other) {
                     true => now,
                     false if expected > now => expected,
-                    false => now + OVERDUE,
+                    false => now + OVERDUE_REMAINING_TIME,
                 };
-                ends.push(End {
+                ends.push(ExpectedEnd {
                     at,
                     seat: i,
                     accelerators: holding.accelerators,
@@ -230,14 +236,14 @@
             .all(|p| self.inventory.worker(p.worker).usable())
     }
 
-    fn aged(&self, job: &JobId) -> Option<Aged> {
+    fn queue_key(&self, job: &JobId) -> Option<Aged> {
         let entry = self.jobs.get(job)?;
         Some((entry.accepted, job.clone()))
     }
 }
 
 /// The end of a job on one worker.
-struct End {
+struct ExpectedEnd {
     at: Timestamp,
     /// The number of the worker among those looked at.
     seat: usize,
--- a/dragonflyrun/src/job/ring.rs
+++ b/dragonflyrun/src/job/ring_updater.rs
@@ -11,19 +11,19 @@
 ///
 /// Each change refuses the keys that move for a few seconds, so an agent that is only replaced
 /// should not cause two. Until a lost agent is left out, its keys are refused.
-const SETTLE: Duration = Duration::from_millis(4_000);
+const SETTLE_TIME: Duration = Duration::from_millis(4_000);
 
 /// The same where there are no owners yet, and so no key can be granted.
-const FIRST_SETTLE: Duration = Duration::from_millis(1_000);
+const INITIAL_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 
 /// Decides when the owners of keys change.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct RingUpdater {
     differs_since: Option<Timestamp>,
     wanted: Vec<Name>,
 }
 
-impl Ring {
+impl RingUpdater {
     /// Returns the new owners, where it is time to change them. `live` are the agents that may
     /// get work and `owners` those on the log, both in the order of their names.
     pub fn tick(
@@ -42,12 +42,12 @@
             self.differs_since = None;
         }
         let since = *self.differs_since.get_or_insert(now);
-        let settle = if owners.is_empty() {
-            FIRST_SETTLE
+        let settle_time = if owners.is_empty() {
+            INITIAL_SETTLE_TIME
         } else {
-            SETTLE
+            SETTLE_TIME
         };
-        if now.since(since) < settle {
+        if now.since(since) < settle_time {
             return None;
         }
         // Asked again after the same time where the record does not reach the log.
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -182,7 +182,7 @@
         if known != Some(id) {
             self.last_new_worker = now;
             self.settled = false;
-            self.hold_unheard(id);
+            self.hold_on_new_worker(id);
         }
         self.changed.push(id);
         self.stale = true;
@@ -208,7 +208,7 @@
             if !matches!(entry.stage, Stage::Holds(_)) {
                 return;
             }
-            self.let_go(&job.job);
+            self.release_job(&job.job);
         }
         let evictions = self.jobs.get(&job.job).map_or(0, |e| e.evictions);
         if !job.cancelled {
@@ -226,8 +226,8 @@
             if matches!(entry.stage, Stage::Holds(_)) {
                 return;
             }
-            self.let_go(&job.job);
-            self.take_reservation(&job.job);
+            self.release_job(&job.job);
+            self.remove_reservation(&job.job);
             self.queue.remove(&job.spec, job.accepted, &job.job);
         }
         self.jobs.insert(job.job.clone(), Entry::new(now, job, 0));
@@ -251,8 +251,8 @@
 
     /// Takes note of a job that has ended on all its workers for certain.
     pub fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
-        self.let_go(job);
-        self.take_reservation(job);
+        self.release_job(job);
+        self.remove_reservation(job);
         let Some(entry) = self.jobs.remove(job) else {
             return;
         };
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -57,7 +57,7 @@
         let since = *planned.impossible_since.get_or_insert(now);
         log::warn!(job:% = job, why:? = why; "job_impossible");
         if now.since(since) > IMPOSSIBLE_FOR {
-            self.end(now, job, JobEnd::Impossible);
+            self.end_job(now, job, JobEnd::Impossible);
         } else {
             self.resting.insert((now + IMPOSSIBLE_PAUSE, job.clone()));
         }
--- a/dragonflyrun/src/job/stopping.rs
+++ b/dragonflyrun/src/job/stopping.rs
@@ -1,7 +1,7 @@
 //! When a member that was told to stop, and does not answer, has stopped for certain.
 
 use crate::{
-    job::{AUTONOMY, LAPSE, LAPSE_UNSTARTED},
+    job::{LAPSE, LAPSE_UNSTARTED, RENEWAL_WITHOUT_LOG},
     utils::Timestamp,
 };
 
@@ -36,30 +36,36 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fence {
-    Open,
-    Asked,
-    Folded {
+    NotRequested,
+    Requested,
+    Recorded {
         offset: u64,
-        at: Timestamp,
+        folded_at: Timestamp,
         /// When all entries were known to have folded it.
-        obeyed: Option<Timestamp>,
+        folded_by_all_at: Option<Timestamp>,
     },
 }
 
 impl Stopping {
     /// Returns whether a member that was not heard to have stopped has done so for certain.
-    pub(super) fn is_lapsed(&self, now: Timestamp, ran: bool) -> bool {
-        // A renewal needs all members running, so the first stop ends them for those that ran.
-        let by_stop = ran && self.first_stop.is_some_and(|at| now.since(at) > LAPSE);
-        by_stop || self.is_lapsed_by_fence(now, ran)
+    pub(super) fn has_lapsed(&self, now: Timestamp, has_run: bool) -> bool {
+        // A renewal needs all members running, so the first stop ends them for those that has_run.
+        let lapsed_after_stop = has_run && self.first_stop.is_some_and(|at| now.since(at) > LAPSE);
+        lapsed_after_stop || self.has_lapsed_after_fence(now, has_run)
     }
 
-    fn is_lapsed_by_fence(&self, now: Timestamp, ran: bool) -> bool {
-        let Fence::Folded { at, obeyed, .. } = self.fence else {
+    fn has_lapsed_after_fence(&self, now: Timestamp, has_run: bool) -> bool {
+        let Fence::Recorded {
+            folded_at,
+            folded_by_all_at,
+            ..
+        } = self.fence
+        else {
             return false;
         };
-        let unrenewed = obeyed.is_some_and(|since| now.since(since) > LAPSE);
-        let by_itself = now.since(at) > AUTONOMY + LAPSE_UNSTARTED;
-        (unrenewed || by_itself) && (ran || now.since(at) > LAPSE_UNSTARTED)
+        let fenced_everywhere = folded_by_all_at.is_some_and(|since| now.since(since) > LAPSE);
+        let renewals_expired = now.since(folded_at) > RENEWAL_WITHOUT_LOG + LAPSE_UNSTARTED;
+        (fenced_everywhere || renewals_expired)
+            && (has_run || now.since(folded_at) > LAPSE_UNSTARTED)
     }
 }
--- a/dragonflyrun/src/job/timing.rs
+++ b/dragonflyrun/src/job/timing.rs
@@ -22,20 +22,20 @@
 pub const CHECKPOINT_TIME: Duration = Duration::from_millis(500);
 
 /// How long an agent keeps a reservation that it is not told to start.
-pub const RESERVATION: Duration = Duration::from_millis(10_000);
+pub const RESERVATION_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// Time between two renewals of a worker lease.
 pub const RENEW_PERIOD: Duration = Duration::from_millis(500);
 
 /// How much two clocks may differ over the longest of these times, and what a thread may lose
 /// between two lines of code that belong together.
-pub const DRIFT: Duration = Duration::from_millis(500);
+pub const CLOCK_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// How long an entry goes on renewing gangs after it has last known the latest state of the log.
 ///
 /// It is long, since a gang is not to stop because the log is down and an entry has died besides.
 /// It is bounded, since a job whose worker and entry were both lost waits for it.
-pub const AUTONOMY: Duration = Duration::from_secs(600);
+pub const RENEWAL_WITHOUT_LOG: Duration = Duration::from_secs(600);
 
 /// The longest time for which some members of a gang run while another does not.
 ///
@@ -54,7 +54,9 @@
 pub const START_BOUND: Duration = FRESH.saturating_add(WORKER_TTL);
 
 /// Time after which a member that nobody renews any more has stopped for certain.
-pub const LAPSE: Duration = GANG_LEASE.saturating_add(WORKER_TTL).saturating_add(DRIFT);
+pub const LAPSE: Duration = GANG_LEASE
+    .saturating_add(WORKER_TTL)
+    .saturating_add(CLOCK_TOLERANCE);
 
 /// Time after which a member that was not known to run, and which the log no longer allows to
 /// start, has stopped for certain.
--- a/dragonflyrun/src/job/worker_op.rs
+++ b/dragonflyrun/src/job/worker_op.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerCall {
     /// Look at all leases.
-    Look,
+    ListLeases,
     /// Do something about one member's lease.
     Lease {
         /// The member.
@@ -66,7 +66,7 @@
 
 /// What the agent knows right before it starts a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Gate {
+pub struct StartConditions {
     /// Whether it knows the latest state of the log.
     pub fresh: bool,
     /// The offset after the last record it has folded.
--- a/dragonflyrun/src/process/agent_jobs.rs
+++ b/dragonflyrun/src/process/agent_jobs.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     connection::{GangMessage, MemberReport, WorkerClient, WorkerError, WorkerLease},
-    job::{GangId, Gate, Members, StartCheck, WorkerCall, WorkerOp},
+    job::{GangId, Members, StartCheck, StartConditions, WorkerCall, WorkerOp},
     process::{Context, Folded, RoleSettings, lock},
     utils::{Name, Timestamp},
 };
@@ -138,9 +138,9 @@
     fn run_call(&self, worker: &WorkerClient, call: WorkerCall) {
         let asked = self.cx.now();
         match call {
-            WorkerCall::Look => {
+            WorkerCall::ListLeases => {
                 let view = worker.view();
-                lock(&self.members).on_look(self.cx.now(), asked, &view);
+                lock(&self.members).on_leases(self.cx.now(), asked, &view);
             }
             WorkerCall::Lease { number, lease, op } => {
                 if let Some(answer) = self.call_lease(worker, asked, number, &lease, &op) {
@@ -210,7 +210,7 @@
         check == StartCheck::Start
     }
 
-    fn gate(&self, gang: &GangId) -> Gate {
+    fn gate(&self, gang: &GangId) -> StartConditions {
         let fresh = self.cx.is_fresh();
         let ledger = lock(&self.cx.ledger);
         let version = ledger.history.current();
@@ -219,7 +219,7 @@
             RoleSettings::Entry { .. } => false,
         };
         let live = ledger.jobs.live(&gang.job);
-        Gate {
+        StartConditions {
             fresh,
             next_offset: ledger.next_offset(),
             in_service,
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     connection::{GangMessage, Message, Peer, RecordBody, Role},
-    job::{Item, JobId, JobSpec, LiveJob, Notice, PlannerAction, Purpose},
+    job::{AgentMessage, Item, JobId, JobSpec, LiveJob, PlannerAction, Purpose},
     process::{
         AppendError,
         Context,
@@ -82,7 +82,7 @@
             };
             lock(&self.table).on_heartbeat(self.cx.now(), peer)
         };
-        for Notice { to, message } in notices {
+        for AgentMessage { to, message } in notices {
             self.send(&to, message);
         }
     }
@@ -206,7 +206,7 @@
     /// the planner knows its id. None of this waits.
     fn follow(&self, table: &mut GangTable, action: PlannerAction, carried: &mut Vec<Item>) {
         match action {
-            PlannerAction::Send(Notice { to, message }) => self.send(&to, message),
+            PlannerAction::Send(AgentMessage { to, message }) => self.send(&to, message),
             PlannerAction::Append { body, purpose } => {
                 let id = self.cx.appender.append(*body);
                 table.appended(id, purpose);
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -8,8 +8,8 @@
 use crate::{
     connection::{Carried, MemberReport, Record, RecordBody, Report, Role},
     job::{
-        AUTONOMY, ElectionView, Item, JobId, JobRecord, JobSpec, Notice, Planner, PlannerAction,
-        PlannerView, Purpose, Renewals, Unreachable, WorkerInfo,
+        AgentMessage, ElectionView, Item, JobId, JobRecord, JobSpec, Planner, PlannerAction,
+        PlannerView, Purpose, RENEWAL_WITHOUT_LOG, Renewals, Unreachable, WorkerInfo,
     },
     process::{FRESH, Folded, Ledger, PeerState, Roster, SILENCE},
     utils::{HashMap, Name, Timestamp},
@@ -47,7 +47,7 @@
         let membership = &ledger.membership;
         let next_offset = ledger.next_offset();
         let planner = membership.planner().cloned();
-        let planner_heard = planner
+        let planner_alive = planner
             .as_ref()
             .and_then(|p| roster.peer(p))
             .is_some_and(|p| p.is_live(now));
@@ -72,7 +72,7 @@
             planner: PlannerView {
                 election: ElectionView {
                     term: membership.term(),
-                    planner_heard,
+                    planner_alive,
                     planner,
                     fresh,
                     rank: u32::try_from(smaller).unwrap_or(u32::MAX),
@@ -133,16 +133,18 @@
     }
 
     /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
-    pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<Notice> {
+    pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<AgentMessage> {
         let agent = &peer.peer.name;
         let mut notices = self.take_report(now, agent, peer);
         let renewal = self
             .renewals
-            .heard(now, agent, peer.confirmed, peer.sent_ms);
-        let may_renew = self.fresh_at.is_some_and(|at| now.since(at) <= AUTONOMY);
+            .on_heartbeat(now, agent, peer.confirmed, peer.sent_ms);
+        let may_renew = self
+            .fresh_at
+            .is_some_and(|at| now.since(at) <= RENEWAL_WITHOUT_LOG);
         if let Some(message) = renewal.filter(|_| may_renew) {
             let to = agent.clone();
-            notices.push(Notice { to, message });
+            notices.push(AgentMessage { to, message });
         }
         notices
     }
@@ -172,7 +174,7 @@
         let live = job.and_then(|j| ledger.jobs.live(j));
         match body {
             RecordBody::JobStopped { job, .. } | RecordBody::JobEnded { job, .. } => {
-                self.renewals.settled(job);
+                self.renewals.attempts_ended(job);
             }
             _ => {
                 if let Some(live) = live.filter(|l| l.fenced) {
@@ -236,7 +238,7 @@
                 continue;
             }
             log::info!(agent:% = agent; "agent_lost");
-            self.renewals.gone(agent);
+            self.renewals.remove_agent(agent);
             self.planner.agent_live(agent, false);
             self.planner.worker_down(now, agent);
             self.planner.worker_lost(now, agent);
@@ -250,7 +252,8 @@
             }
             // One that leaves by itself renews nothing from then on.
             RecordBody::EntryLeft { entry } if record.author != *entry => {
-                self.removed.insert(entry.clone(), now + FRESH + AUTONOMY);
+                self.removed
+                    .insert(entry.clone(), now + FRESH + RENEWAL_WITHOUT_LOG);
             }
             _ => {}
         }
@@ -263,11 +266,11 @@
     fn begin_anew(&mut self, now: Timestamp, ledger: &Ledger) {
         let me = self.planner.me().clone();
         *self = Self::new(now, me.clone(), ledger.history.current().clone());
-        self.removed.insert(me, now + FRESH + AUTONOMY);
+        self.removed.insert(me, now + FRESH + RENEWAL_WITHOUT_LOG);
         self.gaps = ledger.gaps();
     }
 
-    fn take_report(&mut self, now: Timestamp, agent: &Name, peer: &PeerState) -> Vec<Notice> {
+    fn take_report(&mut self, now: Timestamp, agent: &Name, peer: &PeerState) -> Vec<AgentMessage> {
         let Some(Report::Agent(report)) = &peer.report else {
             return Vec::new();
         };
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     connection::{Carried, LogRecord, OpenError, Record, RecordBody, editor_of, open},
-    job::JobBook,
+    job::JobTable,
     process::Membership,
     utils::{HashSet, Name},
     version::{History, LoggedEdit, Verdict},
@@ -25,7 +25,7 @@
     /// Terms, entries and key owners.
     pub membership: Membership,
     /// The jobs.
-    pub jobs: JobBook,
+    pub jobs: JobTable,
     next_offset: u64,
     gaps: u64,
     /// Whether a planner's record was seen since the last gap.
@@ -114,7 +114,7 @@
             self.kept.clear();
             self.history.gap(first);
             self.membership.gap();
-            self.jobs = JobBook::default();
+            self.jobs = JobTable::default();
         }
     }
 
--- a/dragonflyrun/tests/gang_faults.rs
+++ b/dragonflyrun/tests/gang_faults.rs
@@ -25,7 +25,7 @@
 /// When all jobs have ended at the latest.
 ///
 /// A job whose workers were lost, together with an entry that may have gone on renewing their
-/// leases, waits for `AUTONOMY`.
+/// leases, waits for `RENEWAL_WITHOUT_LOG`.
 const END: u64 = 1_200_000;
 
 /// Seeds that CI runs. `GANG_SEEDS` sets another number; `GANG_SEED` runs a single one that was
--- a/dragonflyrun/tests/gang_protocol.rs
+++ b/dragonflyrun/tests/gang_protocol.rs
@@ -11,8 +11,8 @@
         WorkerError, WorkerLease, WorkerView,
     },
     job::{
-        GANG_LEASE, GangId, Gate, JobSpec, LAPSE, LeaseName, Members, RESERVATION, Renewals,
-        StartCheck, WorkerCall, WorkerOp,
+        GANG_LEASE, GangId, JobSpec, LAPSE, LeaseName, Members, RESERVATION_TIMEOUT, Renewals,
+        StartCheck, StartConditions, WorkerCall, WorkerOp,
     },
     utils::{Name, Timestamp},
 };
@@ -91,7 +91,7 @@
 fn agent() -> Members {
     let mut members = Members::new(at(0));
     members.calls(at(0));
-    members.on_look(at(1), at(0), &view(Vec::new()));
+    members.on_leases(at(1), at(0), &view(Vec::new()));
     members
 }
 
@@ -111,7 +111,7 @@
     ops
 }
 
-const OPEN: Gate = Gate {
+const OPEN: StartConditions = StartConditions {
     fresh: true,
     next_offset: 11,
     in_service: true,
@@ -157,7 +157,7 @@
     let mut members = agent();
     members.on_message(at(10), reserve(1, 1));
     serve(&mut members, 20, LeaseState::Held);
-    let end = 10 + RESERVATION.as_millis() as u64;
+    let end = 10 + RESERVATION_TIMEOUT.as_millis() as u64;
     for now in (600..end).step_by(600) {
         assert!(!serve(&mut members, now, LeaseState::Held).is_empty());
     }
@@ -173,28 +173,28 @@
     let cases = [
         (OPEN, StartCheck::Start),
         (
-            Gate {
+            StartConditions {
                 next_offset: 10,
                 ..OPEN
             },
             StartCheck::Wait,
         ),
         (
-            Gate {
+            StartConditions {
                 fresh: false,
                 ..OPEN
             },
             StartCheck::Wait,
         ),
         (
-            Gate {
+            StartConditions {
                 in_service: false,
                 ..OPEN
             },
             StartCheck::Never,
         ),
         (
-            Gate {
+            StartConditions {
                 allowed: false,
                 ..OPEN
             },
@@ -258,11 +258,11 @@
 #[test]
 fn late_renewal() {
     let mut members = agent();
-    members.on_look(at(2), at(1), &view(Vec::new()));
+    members.on_leases(at(2), at(1), &view(Vec::new()));
     let mut restarted = Members::new(at(10_000));
     restarted.calls(at(10_000));
     let running = lease(LeaseState::Running);
-    restarted.on_look(at(10_001), at(10_000), &view(vec![running]));
+    restarted.on_leases(at(10_001), at(10_000), &view(vec![running]));
     assert_eq!(states(&restarted), [MemberState::Running]);
     let renewal = |echo_ms, age_ms| GangMessage::Renewal {
         echo_ms,
@@ -286,7 +286,7 @@
             state: MemberState::Running,
         };
         renewals.report(agent, 1, vec![report]);
-        renewals.heard(at(1_000), agent, Some(at(1_000)), 7);
+        renewals.on_heartbeat(at(1_000), agent, Some(at(1_000)), 7);
     }
     (renewals, agents)
 }
@@ -299,7 +299,7 @@
     let mut renewed = 0;
     for now in (1_000..6_000).step_by(100) {
         renewals.tick(at(now));
-        let answer = renewals.heard(at(now), &agents[0], Some(at(now)), now);
+        let answer = renewals.on_heartbeat(at(now), &agents[0], Some(at(now)), now);
         if let Some(GangMessage::Renewal { age_ms, .. }) = answer {
             assert!(now - age_ms <= 1_000, "age {age_ms} at {now}");
             renewed = now;
@@ -318,12 +318,12 @@
     renewals.tick(at(1_000));
     assert!(
         renewals
-            .heard(at(1_010), &agents[0], Some(at(1_005)), 8)
+            .on_heartbeat(at(1_010), &agents[0], Some(at(1_005)), 8)
             .is_some()
     );
     renewals.fence(gang(1, 1));
     assert_eq!(
-        renewals.heard(at(1_020), &agents[0], Some(at(1_015)), 9),
+        renewals.on_heartbeat(at(1_020), &agents[0], Some(at(1_015)), 9),
         None
     );
 }
@@ -334,8 +334,9 @@
 fn entry_resumes() {
     let (mut renewals, agents) = two_members();
     renewals.tick(at(1_000));
-    let renewal =
-        |renewals: &mut Renewals, now| renewals.heard(at(now), &agents[0], Some(at(now - 10)), 8);
+    let renewal = |renewals: &mut Renewals, now| {
+        renewals.on_heartbeat(at(now), &agents[0], Some(at(now - 10)), 8)
+    };
     assert!(renewal(&mut renewals, 1_050).is_some());
     assert_eq!(renewal(&mut renewals, 11_000), None);
 }
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -20,7 +20,8 @@
         WorkerLease, WorkerView,
     },
     job::{
-        JobSpec, Notice, PARTIAL_BOUND, PlannerAction, Purpose, StartCheck, WorkerCall, WorkerOp,
+        AgentMessage, JobSpec, PARTIAL_BOUND, PlannerAction, Purpose, StartCheck, WorkerCall,
+        WorkerOp,
     },
     process::{TickView, carried_body},
     utils::{Name, Timestamp},
@@ -568,7 +569,7 @@
         }
     }
 
-    fn notify(&mut self, from: usize, notice: Notice) {
+    fn notify(&mut self, from: usize, notice: AgentMessage) {
         let to = self.nodes.iter().position(|n| n.name == notice.to);
         let Some(to) = to else { return };
         if self.trace && !matches!(notice.message, GangMessage::Renewal { .. }) {
@@ -683,8 +684,8 @@
         let refused = || WorkerError::Refused("connection refused".to_owned());
         let reached = worker.alive && worker.epoch == epoch;
         match call {
-            WorkerCall::Look if !reached => Reply::Look(Err(refused())),
-            WorkerCall::Look => Reply::Look(Ok(worker.view(now))),
+            WorkerCall::ListLeases if !reached => Reply::Look(Err(refused())),
+            WorkerCall::ListLeases => Reply::Look(Ok(worker.view(now))),
             WorkerCall::Remove { lease } => {
                 if reached {
                     worker.remove(now, lease);
@@ -710,7 +711,7 @@
             return;
         };
         match (call, reply) {
-            (_, Reply::Look(view)) => members.on_look(now, asked, view),
+            (_, Reply::Look(view)) => members.on_leases(now, asked, view),
             (WorkerCall::Lease { number, op, .. }, Reply::Lease(answer)) => {
                 members.on_answer(now, asked, *number, op, answer);
             }
@@ -869,7 +870,7 @@
 fn lost(call: &WorkerCall) -> Reply {
     let error = || WorkerError::Uncertain("timeout".to_owned());
     match call {
-        WorkerCall::Look => Reply::Look(Err(error())),
+        WorkerCall::ListLeases => Reply::Look(Err(error())),
         WorkerCall::Lease { .. } => Reply::Lease(Err(error())),
         WorkerCall::Remove { .. } => Reply::Nothing,
     }
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -12,7 +12,7 @@
         Report,
         Role, //
     },
-    job::{Gate, Members},
+    job::{Members, StartConditions},
     process::{EntryView, Folded, Freshness, GangTable, Ledger, Roster},
     utils::{Name, Timestamp},
 };
@@ -195,14 +195,14 @@
         }
     }
 
-    pub fn gate(&self, now: u64, number: u64) -> Option<Gate> {
+    pub fn gate(&self, now: u64, number: u64) -> Option<StartConditions> {
         let RoleTable::Agent(members) = &self.table else {
             return None;
         };
         let gang = members.gang(number)?;
         let live = self.ledger.jobs.live(&gang.job);
         let version = self.ledger.history.current();
-        Some(Gate {
+        Some(StartConditions {
             fresh: self.is_fresh(now),
             next_offset: self.ledger.next_offset(),
             in_service: version.in_service(&domain_name(self.domain)),
--- a/dragonflyrun/tests/job_book.rs
+++ b/dragonflyrun/tests/job_book.rs
@@ -2,7 +2,7 @@
 
 use dragonflyrun::{
     connection::{Carried, JobEnd, Placement, RecordBody},
-    job::{GangId, JobBook, JobSpec, LiveJob},
+    job::{GangId, JobSpec, JobTable, LiveJob},
     utils::Name,
     version::{Adjacency, Urgency},
 };
@@ -60,15 +60,15 @@
     }
 }
 
-fn book(records: &[RecordBody]) -> JobBook {
-    let mut book = JobBook::default();
+fn book(records: &[RecordBody]) -> JobTable {
+    let mut book = JobTable::default();
     for (offset, body) in (1..).zip(records) {
         book.fold(offset, body);
     }
     book
 }
 
-fn live(book: &JobBook) -> &LiveJob {
+fn live(book: &JobTable) -> &LiveJob {
     book.live(&job()).expect("the job is live")
 }
 
@@ -154,7 +154,7 @@
     book.fold(3, &carried(&before));
     assert!(live(&book).cancelled);
     // A process that begins here takes the older one, and then the newer one that follows.
-    let mut late = JobBook::default();
+    let mut late = JobTable::default();
     late.fold(3, &carried(&before));
     assert!(!live(&late).cancelled);
     late.fold(4, &carried(live(&book)));
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -83,7 +83,7 @@
                 election: ElectionView {
                     term: membership.term(),
                     planner: membership.planner().cloned(),
-                    planner_heard: false,
+                    planner_alive: false,
                     fresh: true,
                     rank: 0,
                 },
