--- a/dragonflyrun/src/job/closing.rs
+++ b/dragonflyrun/src/job/closing.rs
@@ -1,4 +1,5 @@
-//! How the planner ends attempts and jobs: the records that say so, and when a job is tried again.
+//! The end of attempts and jobs at the planner: the closing records that it appends to the log, and
+//! the delay before a job is tried again.
 
 use std::time::Duration;
 
@@ -17,22 +18,25 @@
     utils::Timestamp,
 };
 
-/// Attempts of one job that may fail beyond those that it takes to set those workers aside, so that
-/// they can't fail a good job.
+/// Failed attempts that a job is allowed beyond those needed to quarantine the faulty workers, so
+/// that faulty workers alone can't make a sound job fail.
 const EXTRA_FAILURES: u32 = 2;
 
-/// Pause before a job is tried again, for each of its failures, and the longest such pause.
+/// Delay before a job is tried again; it grows by this much with each failed attempt, up to
+/// [`MAX_RETRY_PAUSE`].
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
+
+/// Upper bound of the delay before a job is tried again.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(4_000);
 
-/// Pause before a record that did not reach the log is appended again.
+/// Delay before a closing record that did not reach the log is appended again.
 const APPEND_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// A record that ends an attempt or a job, until it is on the log.
+/// A record that ends an attempt or a job and is not known to be on the log yet.
 #[derive(Debug)]
 pub(super) struct ClosingRecord {
     body: RecordBody,
-    /// None while the record is under way.
+    /// When to append the record; none while an append is outstanding.
     retry_at: Option<Timestamp>,
 }
 
@@ -77,7 +81,8 @@
         }
     }
 
-    /// Counts the time that an attempt ran, unless its work is lost.
+    /// Adds the run time of an attempt to that of the job, unless its work was lost because no
+    /// checkpoint was saved.
     pub(super) fn add_run_time(&mut self, now: Timestamp, job: &JobId, checkpointed: bool) {
         if let Some(planned) = self.jobs.get_mut(job)
             && let Some(gang) = &planned.gang
@@ -121,7 +126,7 @@
         self.closing.insert(job.clone(), closing);
     }
 
-    /// Takes note that the record that ends an attempt or a job is not known to be on the log.
+    /// Schedules another append of a job's closing record, which is not known to be on the log.
     pub(super) fn closing_record_failed(&mut self, now: Timestamp, job: &JobId) {
         if let Some(closing) = self.closing.get_mut(job) {
             closing.retry_at = Some(now + APPEND_RETRY_PAUSE);
@@ -141,8 +146,8 @@
         }
     }
 
-    /// Lets a job wait again after a pause, so that one that can't be started does not keep the
-    /// agents and the log busy.
+    /// Queues a job again after a delay, so that a job that can't be started does not load the
+    /// agents and the log with repeated attempts.
     pub(super) fn requeue_after_pause(&mut self, now: Timestamp, job: &JobId) {
         let failures = self.jobs.get(job).map_or(0, |j| j.live.failures);
         let pause = (RETRY_PAUSE * (failures + 1)).min(MAX_RETRY_PAUSE);
@@ -161,7 +166,7 @@
                 && !self.closing.contains_key(&job)
             {
                 if planned.impossible_since.is_some() {
-                    // It is no longer in the scheduler's queue.
+                    // The scheduler no longer has the job in its queue.
                     self.scheduler.job_gone(now, &job);
                 }
                 self.scheduler.job_waits(now, &planned.live);
@@ -170,7 +175,8 @@
     }
 }
 
-/// Returns how many attempts of a job may fail, where a worker is set aside after that many.
+/// Returns the number of failed attempts at which a job fails, if a worker is quarantined after
+/// `worker_failures` failures.
 fn failure_limit(worker_failures: u32) -> u32 {
     let blamed = u32::try_from(BLAMED_WORKERS).unwrap_or(u32::MAX);
     worker_failures
--- a/dragonflyrun/src/job/election.rs
+++ b/dragonflyrun/src/job/election.rs
@@ -1,32 +1,32 @@
-//! When an entry claims the next term, and with it the planner's part.
+//! When an entry claims the next term and thereby becomes planner.
 
 use std::time::Duration;
 
 use crate::utils::{Name, Timestamp};
 
-/// Silence of the planner after which another entry claims the next term.
+/// Time without a heartbeat of the planner after which another entry claims the next term.
 pub const PLANNER_SILENCE: Duration = Duration::from_millis(3_000);
 
-/// How much longer each further entry waits, in the order of their names, so that as a rule one
-/// claims and the others see its claim on the log. Two claims of one term do no harm: the first
-/// on the log has it in every process.
+/// Additional delay of each further entry, in the order of their names, so that usually one entry
+/// claims the term and the others see its claim on the log. Two claims of one term are harmless:
+/// every process accepts the first one on the log.
 const CLAIM_STAGGER: Duration = Duration::from_millis(1_000);
 
-/// How long a claim that was not seen on the log is waited for.
+/// How long an entry waits for its claim to appear on the log before it may claim again.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// What an entry knows when it decides whether to claim.
+/// What an entry knows when it decides whether to claim the next term.
 #[derive(Clone, Debug)]
 pub struct ElectionView {
     /// The current term on the log; 0 before the first.
     pub term: u64,
-    /// The entry that holds it.
+    /// The entry that holds that term.
     pub planner: Option<Name>,
-    /// Whether that entry is heard, and is not leaving.
+    /// Whether that entry sends heartbeats and is not shutting down.
     pub planner_alive: bool,
     /// Whether this entry knows the latest state of the log.
     pub fresh: bool,
-    /// How many live entries have a smaller name.
+    /// The number of live entries with a smaller name.
     pub rank: u32,
 }
 
@@ -34,17 +34,17 @@
 #[derive(Debug)]
 pub struct Election {
     me: Name,
-    /// The term that this process holds. An entry whose process was replaced claims anew: its
-    /// former orders may still arrive somewhere and must be told from its new ones.
+    /// The term that this process holds. An entry whose process was replaced claims a new term:
+    /// orders of the previous process may still arrive and must be distinguishable from new ones.
     held_term: Option<u64>,
-    /// The last term seen on the log.
+    /// The latest term seen on the log.
     term: u64,
     silent_since: Option<Timestamp>,
     claimed: Option<(u64, Timestamp)>,
 }
 
 impl Election {
-    /// Returns the decision of the entry called `me`, which holds no term.
+    /// Creates the election state of the entry called `me`, which holds no term.
     pub fn new(me: Name) -> Self {
         Self {
             me,
@@ -65,13 +65,13 @@
         self.held_term
     }
 
-    /// Returns whether `term` was not seen on the log before.
+    /// Returns whether `term` is newer than any term seen on the log.
     pub fn is_new(&self, term: u64) -> bool {
         term > self.term
     }
 
-    /// Takes note of a term that `planner` has on the log; `own` says that the record is one of
-    /// this process. Returns whether this process has become planner.
+    /// Handles a new term on the log; `own` says whether this process appended the record. Returns
+    /// whether this process has become planner.
     pub fn on_term(&mut self, term: u64, own: bool) -> bool {
         self.term = term;
         self.claimed = None;
@@ -80,12 +80,12 @@
         own
     }
 
-    /// Takes note that the claim is not on the log.
+    /// Allows another claim after the last one failed to reach the log.
     pub fn claim_failed(&mut self) {
         self.claimed = None;
     }
 
-    /// Returns the term to claim, where it is time to.
+    /// Returns the term to claim, if a claim is due.
     pub fn tick(&mut self, now: Timestamp, view: &ElectionView) -> Option<u64> {
         let pending = self
             .claimed
@@ -101,7 +101,8 @@
         let since = *self.silent_since.get_or_insert(now);
         let silence = match view.planner {
             Some(_) if !held_by_predecessor => PLANNER_SILENCE,
-            // Nobody holds a term, or this process's predecessor did, which is gone for certain.
+            // No entry holds a term, or the previous process of this entry does, which has ended
+            // for certain.
             _ => Duration::ZERO,
         };
         let stagger = if held_by_predecessor {
--- a/dragonflyrun/src/job/gang.rs
+++ b/dragonflyrun/src/job/gang.rs
@@ -1,4 +1,5 @@
-//! One gang at the planner: from its reservation to the end of its last member.
+//! The planner's state machine of one gang, from the reservation of its members to the end of the
+//! last one.
 
 use std::time::Duration;
 
@@ -11,36 +12,36 @@
     utils::{HashMap, Name, Timestamp},
 };
 
-/// What is to be done about a gang.
+/// An action that a gang needs from the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GangAction {
-    /// Send an order.
+    /// Send an order to an agent.
     Send {
-        /// The agent.
+        /// The receiving agent.
         to: Name,
         /// The order.
         message: GangMessage,
     },
-    /// Put the start on the log.
+    /// Append the start of the attempt to the log.
     RecordStart,
-    /// Put on the log that the gang is not renewed any more.
+    /// Append a record that forbids all further renewals of the gang's leases.
     RecordFence,
-    /// The gang is over on all workers for certain.
+    /// End the attempt: all its members have ended for certain.
     Close(GangEnd),
 }
 
-/// How a gang was over.
+/// How a gang ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GangEnd {
-    /// All tasks ended well.
+    /// All tasks succeeded.
     Finished,
-    /// The job is to wait for another attempt, or to end where it was cancelled.
+    /// The gang was stopped: the job waits for another attempt, or ends if it was cancelled.
     Stopped {
-        /// Whether the next attempt goes on from a checkpoint.
+        /// Whether the next attempt resumes from a checkpoint.
         checkpointed: bool,
         /// Whether a task failed.
         failed: bool,
-        /// Whether the attempt is on the log.
+        /// Whether the start of the attempt is on the log.
         recorded: bool,
     },
 }
@@ -60,11 +61,11 @@
     pub(super) worker: Name,
     pub(super) tasks: u32,
     pub(super) reported: Option<MemberState>,
-    /// Whether it has run; one that has can't be started again.
+    /// Whether the member has ever run; if so, it can't be started again.
     pub(super) has_run: bool,
 }
 
-/// One gang.
+/// One gang, as the planner tracks it.
 #[derive(Clone, Debug)]
 pub struct Gang {
     pub(super) id: GangId,
@@ -72,15 +73,16 @@
     pub(super) members: Vec<Member>,
     pub(super) index: HashMap<Name, usize>,
     pub(super) phase: Phase,
-    /// An offset of the log at which the start is known to stand, there or before.
+    /// A log offset at or after that of the start record; none until the start is known to be on
+    /// the log.
     pub(super) start_offset: Option<u64>,
-    /// When all members were first known to run.
+    /// When all members were first known to be running.
     pub(super) first_running: Option<Timestamp>,
     pub(super) next_order: Timestamp,
 }
 
 impl Gang {
-    /// Returns a gang that is to be reserved at `placements`.
+    /// Creates a gang whose members have yet to be reserved at `placements`.
     pub fn reserve(now: Timestamp, id: GangId, job: LiveJob, placements: &[Placement]) -> Self {
         Self::new(
             now,
@@ -92,8 +94,8 @@
         )
     }
 
-    /// Returns the gang of a job that the log, as of `offset`, says is placed, and of whose members
-    /// nothing is known yet.
+    /// Creates the gang of a job that the log records as placed, as of `offset`. The state of its
+    /// members is unknown until their agents report.
     pub fn adopt(now: Timestamp, job: LiveJob, offset: u64) -> Self {
         let placements = job.placements.clone();
         let phase = Phase::Starting { since: now };
@@ -134,17 +136,17 @@
         }
     }
 
-    /// Returns which attempt it is.
+    /// Returns the identifier of the attempt.
     pub fn id(&self) -> &GangId {
         &self.id
     }
 
-    /// Returns the job as of the last record on it.
+    /// Returns the job as of its last record on the log.
     pub fn job(&self) -> &LiveJob {
         &self.job
     }
 
-    /// Returns where the members are placed.
+    /// Returns the placements of the members.
     pub fn placements(&self) -> Vec<Placement> {
         self.members
             .iter()
@@ -160,7 +162,7 @@
         self.members.iter().map(|m| &m.worker)
     }
 
-    /// Returns since when all members run; none where not all do.
+    /// Returns the time since which all members have been running, or none while some are not.
     pub fn running_since(&self) -> Option<Timestamp> {
         match self.phase {
             Phase::Running { since } => Some(since),
@@ -168,13 +170,13 @@
         }
     }
 
-    /// Returns for how long it has run.
+    /// Returns the time since all members were first known to be running; zero before that.
     pub fn run_time(&self, now: Timestamp) -> Duration {
         self.first_running
             .map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// Returns whether it is stopping or over.
+    /// Returns whether the gang is stopping or has ended.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping(_) | Phase::Closed)
     }
@@ -184,7 +186,8 @@
         self.start_offset.is_some()
     }
 
-    /// Takes note of a record about the job.
+    /// Updates the job after a log record at `offset`, and stops the gang if the job is cancelled
+    /// or fenced.
     pub fn update(&mut self, now: Timestamp, job: LiveJob, offset: u64) {
         if job.fenced
             && !self.job.fenced
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Takes note that the start is on the log at `offset`.
+    /// Records that the start is on the log at `offset`.
     pub fn start_recorded(&mut self, now: Timestamp, offset: u64) {
         self.start_offset = Some(offset);
         if self.phase == Phase::Recording {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Takes note that the fence could not be put on the log.
+    /// Allows the fence to be requested again after it could not be appended to the log.
     pub fn fence_failed(&mut self) {
         if let Phase::Stopping(stopping) = &mut self.phase
             && stopping.fence == Fence::Requested
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Stops the gang where it does not stop yet.
+    /// Starts to stop the gang, unless it is already stopping or has ended.
     pub fn stop(&mut self, now: Timestamp, reason: StopReason) {
         if self.is_stopping() {
             return;
@@ -234,7 +237,7 @@
             reason:? = reason;
             "gang_stopping"
         );
-        // A former planner may have fenced it.
+        // The previous planner may already have fenced the attempt.
         let fence = match (self.job.fenced, self.start_offset) {
             (true, Some(offset)) => Fence::Recorded {
                 offset,
@@ -253,8 +256,8 @@
         self.next_order = now;
     }
 
-    /// Takes what an agent reports of its member; none where it does not know it. Returns the
-    /// state before.
+    /// Applies the member state that an agent reports, or none if the agent does not know the
+    /// member. Returns the state reported before.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -281,7 +284,7 @@
             (Phase::Starting { .. } | Phase::Running { .. }, Some(s)) if !is_healthy(s) => {
                 self.stop(now, StopReason::MemberLost);
             }
-            // Its process was replaced and found nothing.
+            // The agent's process was replaced and found no lease of this member.
             (Phase::Starting { .. } | Phase::Running { .. }, None) if before.is_some() => {
                 self.stop(now, StopReason::MemberLost);
             }
@@ -304,13 +307,14 @@
         before
     }
 
-    /// Takes note that an agent is silent or gone.
+    /// Stops the gang because the agent of a member is lost: it has been silent for too long. A
+    /// member that has finished does not need its agent any more.
     pub fn worker_lost(&mut self, now: Timestamp, worker: &Name) {
         let finished = self
             .index
             .get(worker)
             .is_some_and(|i| self.members[*i].reported == Some(MemberState::Finished));
-        // After a change of planner an agent may not be linked yet; that has its own timeout.
+        // An agent may not have connected yet to a new planner; the start timeout covers that case.
         let never_reported = matches!(self.phase, Phase::Starting { .. })
             && self
                 .index
@@ -328,12 +332,12 @@
     }
 }
 
-/// Returns whether the member holds and runs nothing any more.
+/// Returns whether the member no longer holds accelerators or runs tasks.
 pub(super) fn is_over(state: MemberState) -> bool {
     state == MemberState::Finished || is_stopped(state)
 }
 
-/// Returns whether the member has ended before its work was done.
+/// Returns whether the member ended before its work was done.
 pub(super) fn is_stopped(state: MemberState) -> bool {
     matches!(
         state,
--- a/dragonflyrun/src/job/gang_id.rs
+++ b/dragonflyrun/src/job/gang_id.rs
@@ -1,46 +1,47 @@
-//! What tells one attempt of a job from every other.
+//! Identifiers of attempts, and the names of their worker leases.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{job::JobId, utils::Name};
 
-/// One attempt to run a job.
+/// Identifies one attempt to run a job.
 ///
-/// The planner of each term counts its own attempts, so an attempt that was given up before it
-/// reached the log, and which a later planner can't know of, still differs from all later ones.
+/// The term is part of it because the planner of each term counts its own attempts: an attempt that
+/// was abandoned before it reached the log is unknown to later planners, and still differs from all
+/// their attempts.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct GangId {
     /// The job.
     pub job: JobId,
-    /// The term of the planner that began the attempt.
+    /// The term of the planner that started the attempt.
     pub term: u64,
-    /// The attempt, from 1.
+    /// The number of the attempt, from 1.
     pub attempt: u32,
 }
 
-/// A member of a gang as the name of its worker lease tells it.
+/// The member of a gang that is encoded in the name of its worker lease.
 ///
-/// The name says all that an agent needs to go on with a member after its process was replaced,
-/// since hosts keep nothing.
+/// The name contains everything that an agent needs to continue with a member after its process was
+/// replaced, since hosts store nothing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseName {
     /// The gang.
     pub gang: GangId,
     /// The number of the member, from 0.
     pub member: u32,
-    /// How many members the gang has.
+    /// The number of members of the gang.
     pub members: u32,
 }
 
 impl LeaseName {
-    /// Returns the name of the lease, which is safe in the path of a URL where the job's name is.
+    /// Returns the name of the lease, which is safe in a URL path if the job's name is.
     pub fn to_name(&self) -> Name {
         let GangId { job, term, attempt } = &self.gang;
         let (member, members) = (self.member, self.members);
         format!("{term}.{attempt}.{member}.{members}.{job}").into()
     }
 
-    /// Reads the name of a lease; none where the system did not make it.
+    /// Parses the name of a lease; returns none if this system did not create it.
     pub fn parse(name: &str) -> Option<Self> {
         let mut parts = name.splitn(5, '.');
         let term = parts.next()?.parse().ok()?;
--- a/dragonflyrun/src/job/gang_tick.rs
+++ b/dragonflyrun/src/job/gang_tick.rs
@@ -1,4 +1,4 @@
-//! What becomes of a gang as time passes: its next phase, and the orders that its agents get.
+//! Periodic processing of a gang: phase changes, timeouts and the orders sent to its agents.
 
 use std::time::Duration;
 
@@ -12,24 +12,25 @@
     utils::Timestamp,
 };
 
-/// How long the members have to reserve.
+/// Time within which all members have to reserve their accelerators.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// How long the members have to start.
+/// Time within which all members have to start.
 const START_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// How long the members have to stop before the gang is fenced.
+/// Time within which the members have to stop before the gang is fenced.
 const STOP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a reservation that can't start any more is timed_out for.
+/// How long a stopping gang waits for its members to release their reservations if its start is not
+/// on the log, so that they can no longer start.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Time between two copies of an order that was not followed yet.
+/// Interval at which an order is sent again until the agent has followed it.
 const ORDER_RESEND_PERIOD: Duration = Duration::from_millis(500);
 
 impl Gang {
-    /// Returns what is to be done now. `folded` is the offset up to which every entry is known to
-    /// have folded the log.
+    /// Advances the gang and returns the actions that are due. `folded` is the offset up to which
+    /// every entry is known to have folded the log.
     pub fn tick(&mut self, now: Timestamp, term: u64, folded: u64) -> Vec<GangAction> {
         let mut actions = Vec::new();
         if self.has_finished() {
@@ -42,7 +43,7 @@
             self.advance_stop(now, stopping, folded, &mut actions);
         }
         if self.phase == Phase::Recording && self.start_offset.is_none() && now >= self.next_order {
-            // It is asked for once; its fate is always told.
+            // Requested once only: the appender always reports whether the record reached the log.
             self.next_order = Timestamp::from_millis(u64::MAX);
             actions.push(GangAction::RecordStart);
         }
--- a/dragonflyrun/src/job/holding.rs
+++ b/dragonflyrun/src/job/holding.rs
@@ -1,4 +1,4 @@
-//! What jobs hold or have been pledged, and how they come by it and let it go.
+//! The accelerators that jobs hold or have been pledged: how they are assigned and released.
 
 use crate::{
     job::{
@@ -12,14 +12,14 @@
 };
 
 impl Scheduler {
-    /// Returns the accelerators that jobs of `workspace` hold or were pledged.
+    /// Returns the number of accelerators that jobs of `workspace` hold or have been pledged.
     pub(super) fn accelerators_used_by(&self, workspace: &Name) -> u32 {
         let jobs = self.holding.get(workspace).into_iter().flatten();
         let entries = jobs.filter_map(|(_, job)| self.jobs.get(job));
         entries.map(Entry::accelerators).sum()
     }
 
-    /// Gives `job` the accelerators at `parts`.
+    /// Assigns the accelerators at `parts` to `job`.
     pub(super) fn hold(&mut self, now: Timestamp, job: &JobId, parts: Vec<Part>) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
@@ -38,11 +38,12 @@
         holding.or_default().insert(aged);
     }
 
-    /// Holds what running gangs have on a worker that is heard for the first time.
+    /// Marks the accelerators of running gangs as held on a worker that has reported for the first
+    /// time.
     pub(super) fn hold_on_new_worker(&mut self, worker: WorkerId) {
         let name = self.inventory.worker(worker).info.name.clone();
         for (job, tasks) in self.unheard.remove(&name).unwrap_or_default() {
-            // What covers it covers only the members known so far.
+            // The guarantee that covers the job covers only the members known so far.
             self.uncover(&job);
             let Some(entry) = self.jobs.get_mut(&job) else {
                 continue;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes back what a job holds or was pledged; it waits from then on, but outside the queue.
+    /// Releases what a job holds or has been pledged. The job then waits, but is not in the queue.
     pub(super) fn release_job(&mut self, job: &JobId) {
         self.uncover(job);
         for members in self.unheard.values_mut() {
@@ -98,7 +99,7 @@
         self.uncovered.insert(workspace);
     }
 
-    /// Takes note that `job` is covered no longer.
+    /// Ends the coverage of `job` by a guarantee.
     pub(super) fn uncover(&mut self, job: &JobId) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
@@ -128,7 +129,7 @@
         self.uncovered.insert(entry.spec.workspace.clone());
     }
 
-    /// Takes back the pledges on a worker; those jobs look for room elsewhere.
+    /// Revokes all pledges that include a worker and puts their jobs back into the queue.
     pub(super) fn drop_pledges_on(&mut self, worker: WorkerId) {
         let jobs: Vec<Aged> = self.pledged.iter().cloned().collect();
         for (_, job) in jobs {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Takes back what a job has and puts it into the queue.
+    /// Releases what a job holds or has been pledged, and puts the job back into the queue.
     pub(super) fn requeue(&mut self, job: &JobId) {
         self.release_job(job);
         if let Some(entry) = self.jobs.get(job) {
--- a/dragonflyrun/src/job/job_table.rs
+++ b/dragonflyrun/src/job/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs that were accepted and have not ended, as the log says.
+//! The table of accepted jobs that have not ended, as folded from the log.
 
 use std::collections::BTreeMap;
 
@@ -10,44 +10,45 @@
     utils::{HashMap, Name},
 };
 
-/// Ended jobs that are remembered for those who ask about them.
+/// Number of ended jobs whose end is remembered, to answer queries about them.
 const MAX_REMEMBERED_ENDS: usize = 4_096;
 
-/// Records after the end of a job for which its name can't be used again.
+/// Number of log records after the end of a job during which its name can't be reused.
 ///
-/// All processes have to agree on that, also one that began to read in the middle of the log and
-/// does not know of earlier ends. So it is counted in records, and by fewer than the log keeps.
+/// All processes have to agree on this, including one that started to read in the middle of the log
+/// and does not know of earlier ends. It is therefore counted in records, and is smaller than the
+/// number of records that the log keeps.
 const NAME_REUSE_RECORDS: u64 = 4_000;
 
 /// A job that was accepted and has not ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LiveJob {
-    /// Its name.
+    /// The name of the job.
     pub job: JobId,
-    /// What it asks for.
+    /// The resources and the program that the job requests.
     pub spec: JobSpec,
-    /// The offset of its acceptance, which orders the queue.
+    /// The offset of the record that accepted it, which orders the queue.
     pub accepted: u64,
     /// The offset of the last record that changed it.
     pub updated: u64,
     /// The last attempt that reached the log, 0 before the first.
     pub attempt: u32,
-    /// The term of the planner that began that attempt.
+    /// The term of the planner that started that attempt.
     pub term: u64,
     /// Where that attempt runs; empty while the job waits.
     pub placements: Vec<Placement>,
     /// Whether the leases of that attempt are no longer renewed.
     pub fenced: bool,
-    /// How many attempts ended because a task failed.
+    /// The number of attempts that ended because a task failed.
     pub failures: u32,
-    /// Whether the next attempt goes on from a checkpoint.
+    /// Whether the next attempt resumes from a checkpoint.
     pub checkpointed: bool,
-    /// Whether somebody asked to cancel it.
+    /// Whether cancellation of the job was requested.
     pub cancelled: bool,
 }
 
 impl LiveJob {
-    /// Returns a job that was accepted at the offset `accepted` and waits for its first attempt.
+    /// Creates a job that was accepted at the offset `accepted` and waits for its first attempt.
     pub fn new(job: JobId, spec: JobSpec, accepted: u64) -> Self {
         Self {
             job,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Returns the last attempt that reached the log.
+    /// Returns the identifier of the last attempt that reached the log.
     pub fn gang(&self) -> GangId {
         GangId {
             job: self.job.clone(),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Returns whether an attempt is placed.
+    /// Returns whether an attempt of the job is placed.
     pub fn is_placed(&self) -> bool {
         !self.placements.is_empty()
     }
@@ -85,7 +86,7 @@
     }
 }
 
-/// The fold of the records on jobs.
+/// The state of the jobs, folded from the log records about them.
 #[derive(Clone, Debug, Default)]
 pub struct JobTable {
     live: HashMap<JobId, LiveJob>,
@@ -94,7 +95,7 @@
 }
 
 impl JobTable {
-    /// Folds the record at `offset`; records of other kinds change nothing.
+    /// Folds the record at `offset`; records that are not about jobs are ignored.
     pub fn fold(&mut self, offset: u64, body: &RecordBody) {
         match body {
             RecordBody::JobAccepted { job, spec } => self.accept(offset, job, spec),
@@ -137,17 +138,17 @@
         }
     }
 
-    /// Returns the live job called `job`.
+    /// Returns the live job named `job`.
     pub fn live(&self, job: &JobId) -> Option<&LiveJob> {
         self.live.get(job)
     }
 
-    /// Returns all live jobs, in no order.
+    /// Returns all live jobs in arbitrary order.
     pub fn all_live(&self) -> impl Iterator<Item = &LiveJob> {
         self.live.values()
     }
 
-    /// Returns how the job called `job` ended, where that is still remembered.
+    /// Returns how the job named `job` ended, if its end is still remembered.
     pub fn ended(&self, job: &JobId) -> Option<JobEnd> {
         self.ends.get(job).map(|(_, end)| *end)
     }
@@ -163,8 +164,8 @@
         self.live.insert(job.clone(), live);
     }
 
-    /// Takes note of an attempt. A record that was delayed until its planner had given the attempt
-    /// up may follow a later one, and then changes nothing.
+    /// Applies the start of an attempt. The record may be delayed until its planner has abandoned
+    /// the attempt and come after the start of a later one; it is then ignored.
     fn start(
         &mut self,
         offset: u64,
@@ -189,8 +190,8 @@
         (live.is_placed() && live.attempt == attempt).then_some(live)
     }
 
-    /// Takes over a carried job that is not older than this one. A process that has missed nothing
-    /// holds the same state already, or has seen the job end.
+    /// Adopts the state of a carried job unless the known one is newer. A process that has read all
+    /// records already has the same state, or has seen the job end.
     fn adopt(&mut self, carried: &LiveJob) {
         let known = self.live.get(&carried.job);
         let older = known.is_some_and(|live| carried.updated < live.updated);
--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -1,7 +1,7 @@
-//! One member of a gang at its agent: from the reservation to its end.
+//! The agent's state machine of one gang member, from the reservation to the end.
 //!
-//! A member has at most one call to the worker under way, so that nothing prolongs its lease
-//! between the check before its start and the start itself.
+//! A member has at most one outstanding call to the worker, so that nothing extends its lease
+//! between the check before the start and the start itself.
 
 use std::time::Duration;
 
@@ -22,58 +22,58 @@
     utils::{Name, Timestamp},
 };
 
-/// Pause before a call that the worker did not answer is repeated.
+/// Delay before a call that the worker did not answer is retried.
 const CALL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The end of what was stopped before it had anything to save.
+/// The final state of a member that was stopped without saving a checkpoint.
 pub(super) const STOPPED_WITHOUT_CHECKPOINT: MemberState = MemberState::Stopped {
     checkpointed: false,
 };
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
-    /// The lease is being obtained.
+    /// The worker lease is being obtained.
     Obtaining,
-    /// The lease is held.
+    /// The worker lease is held, and the tasks have not been started.
     Reserved,
-    /// The start was sent, and the tasks may run.
+    /// The start was sent; the tasks may be running.
     Starting,
-    /// The tasks run.
+    /// The tasks are running.
     Running,
-    /// They are being stopped, and this is to be reported where they had not ended by themselves.
+    /// The member is being stopped; holds the state to report unless the tasks ended by themselves.
     Stopping(MemberState),
-    /// Nothing runs and nothing is held.
+    /// No task runs and no lease is held; holds the final state.
     Ended(MemberState),
 }
 
-/// One member of a gang.
+/// One member of a gang, as its agent tracks it.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     number: u64,
     name: LeaseName,
     lease: Name,
-    /// None for a member that a former process of this agent has started.
+    /// The order to reserve; none for a member started by a previous process of this agent.
     order: Option<TaskOrder>,
     phase: Phase,
     created_at: Timestamp,
     ended_at: Timestamp,
-    /// The offset up to which the log has to be folded to see that the start is on it.
+    /// A log offset at or after that of the start record, which has to be folded before the start.
     start_offset: Option<u64>,
     checkpoint: bool,
     /// When the gang's lease ends; set when the tasks are started.
     gang_lease_until: Timestamp,
-    /// When the worker lease has lapsed at the latest.
+    /// The latest time at which the worker lease lapses.
     worker_lease_until: Timestamp,
     /// When the worker was last known to run the tasks or to hold the lease.
     last_seen: Timestamp,
     next_call: Timestamp,
     call_pending: bool,
-    /// Whether the worker has said that the lease is over, but not how.
+    /// Whether the worker reported that the lease has ended, but not how.
     lease_over: bool,
 }
 
 impl Member {
-    /// Returns a member whose accelerators are to be obtained.
+    /// Creates a member whose accelerators have yet to be obtained.
     pub(super) fn reserve(now: Timestamp, number: u64, order: TaskOrder) -> Self {
         let name = LeaseName {
             gang: order.gang.clone(),
@@ -86,16 +86,17 @@
         }
     }
 
-    /// Returns a member that holds nothing and only reports `state`.
+    /// Creates a member that holds no lease and only reports `state`.
     pub(super) fn ended(now: Timestamp, number: u64, name: LeaseName, state: MemberState) -> Self {
         Self::new(now, number, name, Phase::Ended(state))
     }
 
-    /// Returns the member whose lease a former process of this agent has obtained; `called_at` is when
-    /// the worker was called_at for it.
+    /// Creates the member of a lease that a previous process of this agent obtained; `called_at` is
+    /// when the worker was asked for its leases.
     ///
-    /// Its gang's lease is not known any more. It ends no earlier than the worker's, so the tasks
-    /// may run as long as that, and go on if a renewal arrives in time.
+    /// The end of the gang's lease is no longer known, but it is not before that of the worker
+    /// lease. The tasks may therefore run until the worker lease ends, and continue if a renewal
+    /// arrives in time.
     pub(super) fn adopt(
         called_at: Timestamp,
         number: u64,
@@ -143,7 +144,7 @@
         &self.lease
     }
 
-    /// Returns what the agent's report says of the member; none before it holds anything.
+    /// Returns the member's entry in the agent's report, or none before it holds a lease.
     pub(super) fn report(&self) -> Option<MemberReport> {
         let state = match self.phase {
             Phase::Obtaining => return None,
@@ -160,7 +161,7 @@
         })
     }
 
-    /// Returns how the member ended; none while it may hold something.
+    /// Returns the final state of the member, or none while it may hold a lease.
     pub(super) fn end(&self) -> Option<MemberState> {
         match self.phase {
             Phase::Ended(state) => Some(state),
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Returns when the member ended or, before that, when it began.
+    /// Returns when the member ended or, before that, when it was created.
     pub(super) fn ended_at(&self) -> Timestamp {
         self.ended_at
     }
 
-    /// Takes note that the planner has the start on the log, at `offset` or before.
+    /// Records the planner's message that the start is on the log, at `offset` or before.
     pub(super) fn on_go(&mut self, now: Timestamp, offset: u64) {
         if self.start_offset.is_none() {
             self.next_call = now;
@@ -181,7 +182,8 @@
         self.start_offset = self.start_offset.max(Some(offset));
     }
 
-    /// Stops the member where it has not ended; `state` is reported where it ends by this.
+    /// Starts to stop the member unless it is already stopping or has ended. `state` is reported if
+    /// the tasks end because of it.
     pub(super) fn stop(&mut self, now: Timestamp, checkpoint: bool, state: MemberState) {
         if matches!(self.phase, Phase::Stopping(_) | Phase::Ended(_)) {
             return;
@@ -191,14 +193,14 @@
         self.next_call = now;
     }
 
-    /// Prolongs the gang's lease.
+    /// Extends the gang's lease.
     pub(super) fn renew(&mut self, until: Timestamp) {
         if self.phase == Phase::Running {
             self.gang_lease_until = self.gang_lease_until.max(until);
         }
     }
 
-    /// Returns the next call to the worker, where one is due; it then counts as under way.
+    /// Returns the next call to the worker if one is due, and marks it as outstanding.
     pub(super) fn next_call(&mut self, now: Timestamp) -> Option<WorkerOp> {
         self.stop_if_expired(now);
         if self.call_pending || now < self.next_call {
@@ -230,7 +232,7 @@
         Some(op)
     }
 
-    /// Stops the member where its time is up or its worker is silent.
+    /// Stops the member if its reservation or lease is about to end or its worker is silent.
     fn stop_if_expired(&mut self, now: Timestamp) {
         let silent = now.since(self.last_seen) > WORKER_SILENCE;
         match self.phase {
@@ -248,8 +250,8 @@
                 );
                 self.stop(now, true, STOPPED_WITHOUT_CHECKPOINT);
             }
-            // The worker does not answer, so nothing more can be called_at of it: its own clock has
-            // stopped the tasks by then.
+            // The worker does not answer any more calls. By its own clock the lease has lapsed, and
+            // it has stopped the tasks.
             Phase::Stopping(state) if now > self.worker_lease_until + CLOCK_TOLERANCE && silent => {
                 self.finish(now, state);
             }
@@ -257,11 +259,12 @@
         }
     }
 
-    /// Decides right before the start whether it may be sent.
+    /// Checks whether the start may be sent; to be called directly before sending it.
     pub(super) fn may_start(&mut self, now: Timestamp, conditions: StartConditions) -> StartCheck {
         let check = match self.phase {
             Phase::Reserved | Phase::Starting if !conditions.in_service => StartCheck::Never,
-            // The agent may be fresh and yet lack the last second's records, the start among them.
+            // An agent that counts as fresh may still lack the records of the last second, and the
+            // start record among them.
             Phase::Reserved | Phase::Starting
                 if !conditions.fresh || self.start_offset >= Some(conditions.next_offset) =>
             {
@@ -269,7 +272,7 @@
             }
             Phase::Reserved | Phase::Starting if !conditions.allowed => StartCheck::Never,
             Phase::Reserved => StartCheck::Start,
-            // The answer to the first start was lost. Its lease counts from the first.
+            // The answer to the first start was lost. The gang's lease counts from that start.
             Phase::Starting if now < self.gang_lease_until => StartCheck::Start,
             _ => StartCheck::Never,
         };
@@ -288,7 +291,7 @@
         check
     }
 
-    /// Returns how long after an answer the next call follows.
+    /// Returns the delay between an answer of the worker and the next call.
     fn pause_after_answer(&self) -> Duration {
         match self.phase {
             Phase::Reserved if self.start_offset.is_some() => Duration::ZERO,
@@ -297,13 +300,13 @@
         }
     }
 
-    /// Takes note that the call under way is over and the next may follow after a pause.
+    /// Ends the outstanding call and schedules the next one after the retry delay.
     fn end_call(&mut self, now: Timestamp) {
         self.call_pending = false;
         self.next_call = now + CALL_RETRY_PAUSE;
     }
 
-    /// Takes the worker's answer to `op`, which was called_at at `called_at`.
+    /// Applies the worker's answer to `op`, a call made at `called_at`.
     pub(super) fn on_answer(
         &mut self,
         now: Timestamp,
@@ -320,8 +323,8 @@
             (WorkerOp::Stop { .. } | WorkerOp::Inspect, Err(WorkerError::Over)) => {
                 self.on_stopped(now);
             }
-            // The tasks may have ended by themselves. To report them as lost would stop the rest
-            // of a gang whose members end one after the other.
+            // The tasks may have ended by themselves. Reporting them as lost would stop the
+            // remaining members of a gang whose members finish one after another.
             (WorkerOp::Renew { .. } | WorkerOp::Start(_), Err(WorkerError::Over))
                 if matches!(self.phase, Phase::Starting | Phase::Running) =>
             {
@@ -343,14 +346,14 @@
             (WorkerOp::Start(_), Err(WorkerError::NotFree | WorkerError::Refused(_))) => {
                 self.stop(now, true, MemberState::Refused);
             }
-            // The tasks may run. Starting them again changes nothing where they do.
+            // The tasks may be running, in which case a second start has no effect.
             (WorkerOp::Start(_), Err(WorkerError::Uncertain(_))) => {}
-            // Both are repeated until the worker answers or its lease has lapsed.
+            // Both calls are retried until the worker answers or its lease has lapsed.
             (WorkerOp::Stop { .. } | WorkerOp::Inspect, Err(_)) => {}
         }
     }
 
-    /// Takes note of what the worker says of the lease.
+    /// Applies the state of the lease that the worker reported for a call made at `called_at`.
     pub(super) fn on_lease(&mut self, now: Timestamp, called_at: Timestamp, lease: &WorkerLease) {
         self.last_seen = self.last_seen.max(called_at);
         let worker_lease_until = now + Duration::from_millis(lease.ttl_ms);
@@ -363,7 +366,7 @@
         }
     }
 
-    /// Takes note that the worker, called_at at `called_at`, does not know the lease.
+    /// Handles that the worker's list of leases, requested at `called_at`, lacks this one.
     pub(super) fn on_lease_missing(&mut self, now: Timestamp, called_at: Timestamp) {
         if self.phase == Phase::Running && !self.call_pending && self.last_seen < called_at {
             self.on_stopped(now);
@@ -389,7 +392,7 @@
         if matches!(self.phase, Phase::Ended(_)) {
             return;
         }
-        // An order that was refused holds nothing that could be stopped; say so.
+        // A refused order never held anything that could be stopped, so it is reported as refused.
         let state = match (self.phase, state) {
             (Phase::Stopping(MemberState::Refused), MemberState::Stopped { .. }) => {
                 MemberState::Refused
--- a/dragonflyrun/src/job/members.rs
+++ b/dragonflyrun/src/job/members.rs
@@ -1,4 +1,5 @@
-//! All gang members at one agent: which orders it takes, and what it asks of its worker.
+//! The table of all gang members at one agent: it follows the planner's orders and the entries'
+//! renewals, and determines the calls to the worker.
 
 use std::{
     collections::BTreeMap,
@@ -24,20 +25,21 @@
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
-/// How long an agent remembers that it was told to stop a gang, so that an order to reserve that
-/// was overtaken is not followed.
+/// How long an agent remembers an order to stop a gang, so that an older order to reserve which
+/// arrives after it is not followed.
 const STOP_RETENTION: Duration = Duration::from_secs(60);
 
-/// Ended members that are kept for a planner, at the most, where none takes note of them.
+/// Maximum number of members, above which the oldest ended ones are removed even though no planner
+/// has recorded their end.
 const MAX_ENDED_MEMBERS: usize = 4_096;
 
-/// Time between two looks at all leases of the worker.
+/// Time between an answer to a request for all leases of the worker and the next request.
 const LIST_PERIOD: Duration = Duration::from_millis(500);
 
-/// Silence of the worker after which the agent no longer reports its accelerators.
+/// Time without an answer of the worker after which the agent no longer reports its accelerators.
 const WORKER_LOST_AFTER: Duration = Duration::from_millis(2_000);
 
-/// The members at one agent.
+/// The gang members at one agent.
 #[derive(Debug)]
 pub struct Members {
     started: Timestamp,
@@ -46,7 +48,7 @@
     by_gang: HashMap<GangId, u64>,
     next_number: u64,
     draining: bool,
-    /// Whether the worker's leases have been seen since the process started.
+    /// Whether the worker's leases have been read since the process started.
     synced: bool,
     pending_stops: HashSet<GangId>,
     list_pending: bool,
@@ -57,7 +59,7 @@
 }
 
 impl Members {
-    /// Returns an agent's table as its process starts.
+    /// Creates the table of an agent whose process starts at `now`.
     pub fn new(now: Timestamp) -> Self {
         Self {
             started: now,
@@ -76,23 +78,23 @@
         }
     }
 
-    /// Returns what the agent's report says of its members.
+    /// Returns the members' entries in the agent's report.
     pub fn reports(&self) -> Vec<MemberReport> {
         self.members.values().filter_map(Member::report).collect()
     }
 
-    /// Returns the accelerators of the worker; zero while it does not answer.
+    /// Returns the number of accelerators of the worker, or zero while it does not answer.
     pub fn accelerators(&self, now: Timestamp) -> u32 {
         let lost = !self.synced || now.since(self.worker_seen) > WORKER_LOST_AFTER;
         if lost { 0 } else { self.accelerators }
     }
 
-    /// Returns whether some member may hold something.
+    /// Returns whether any member may still hold a lease.
     pub fn is_active(&self) -> bool {
         self.members.values().any(|m| m.end().is_none())
     }
 
-    /// Follows a record of the log that is in effect.
+    /// Applies a log record that is in effect.
     pub fn on_record(&mut self, now: Timestamp, body: &RecordBody) {
         match body {
             RecordBody::Term { term, .. } => self.term = self.term.max(*term),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Stops all members with a checkpoint and takes no order from now on.
+    /// Stops all members with a checkpoint, and refuses all further orders to reserve.
     pub fn drain(&mut self, now: Timestamp) {
         self.draining = true;
         for member in self.members.values_mut() {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Follows an order or a renewal.
+    /// Handles an order of the planner or a renewal of an entry.
     pub fn on_message(&mut self, now: Timestamp, message: GangMessage) {
         match message {
             GangMessage::Reserve(order) => self.reserve(now, order),
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Takes note that the log has the end of all attempts of `job` up to `last`, or of the job
-    /// itself where `last` is none.
+    /// Handles that the log has the end of all attempts of `job` up to `last` (term and attempt
+    /// number), or the end of the job itself if `last` is none.
     fn on_attempts_ended(&mut self, now: Timestamp, job: &JobId, last: Option<(u64, u32)>) {
         let ended: Vec<u64> = self
             .members
@@ -162,14 +164,14 @@
             if member.end().is_some() {
                 self.forget(number);
             } else {
-                // The planner knew that it had stopped, so only an attempt that was given up
-                // before its start can be left over.
+                // The planner knew that the attempt had stopped, so any member left belongs to an
+                // attempt that was abandoned before its start.
                 member.stop(now, false, STOPPED_WITHOUT_CHECKPOINT);
             }
         }
     }
 
-    /// Returns the calls that are due.
+    /// Returns the calls to the worker that are due.
     pub fn calls(&mut self, now: Timestamp) -> Vec<WorkerCall> {
         self.forget_old_ends(now);
         self.report_unsynced_stops(now);
@@ -194,7 +196,7 @@
         calls
     }
 
-    /// Decides right before a start is sent whether it may be; see [`StartConditions`].
+    /// Checks whether a start may be sent, directly before sending it; see [`StartConditions`].
     pub fn may_start(
         &mut self,
         now: Timestamp,
@@ -207,12 +209,12 @@
         }
     }
 
-    /// Returns the gang of a member.
+    /// Returns the gang of the member `number`.
     pub fn gang(&self, number: u64) -> Option<&GangId> {
         self.members.get(&number).map(Member::gang)
     }
 
-    /// Takes the answer to a call on a lease that was made at `called_at`.
+    /// Applies the answer to a call about a lease, made at `called_at`.
     pub fn on_answer(
         &mut self,
         now: Timestamp,
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Takes the answer to a look at all leases that was made at `called_at`.
+    /// Applies the answer to a request for all leases, made at `called_at`.
     pub fn on_leases(
         &mut self,
         now: Timestamp,
@@ -267,7 +269,7 @@
     }
 
     fn reserve(&mut self, now: Timestamp, order: TaskOrder) {
-        // An order that came before the worker was read is repeated by the planner.
+        // The planner repeats an order that came before the worker's leases were read.
         if !self.accepts_term(order.gang.term)
             || !self.synced
             || self.by_gang.contains_key(&order.gang)
@@ -299,12 +301,14 @@
         } else if self.synced {
             self.report_stopped(now, gang);
         } else {
-            // The worker may hold it from a former process of this agent; it is looked at first.
+            // The worker may hold a lease from a previous process of this agent, so its leases are
+            // read first.
             self.pending_stops.insert(gang);
         }
     }
 
-    /// Reports as stopped what this agent does not hold, and will not.
+    /// Reports a gang as stopped that this agent has no lease for; a later order to reserve it is
+    /// ignored.
     fn report_stopped(&mut self, now: Timestamp, gang: GangId) {
         let name = LeaseName {
             gang,
@@ -318,8 +322,8 @@
         );
     }
 
-    /// Confirms what it was told to stop where the worker could not be read for so long that all
-    /// leases from the time before this process have lapsed.
+    /// Reports the gangs with a pending stop as stopped if the worker's leases could not be read
+    /// for so long that all leases of previous processes have lapsed.
     fn report_unsynced_stops(&mut self, now: Timestamp) {
         if !self.synced && now.since(self.started) > LAPSE {
             for gang in std::mem::take(&mut self.pending_stops) {
@@ -340,7 +344,7 @@
         }
     }
 
-    /// Takes over the leases that a former process of this agent has left.
+    /// Takes over the leases that a previous process of this agent left on the worker.
     fn adopt(&mut self, called_at: Timestamp, view: &WorkerView) {
         self.synced = true;
         for lease in &view.leases {
@@ -356,8 +360,8 @@
         }
     }
 
-    /// Removes leases that no member has: those of forgotten members, and one that was obtained by
-    /// a call whose answer was lost.
+    /// Schedules the removal of leases without a member: those of removed members, and any obtained
+    /// by a call whose answer was lost.
     fn remove_unknown(&mut self, view: &WorkerView) {
         let known: HashSet<&Name> = self.members.values().map(Member::lease).collect();
         let unknown = view
@@ -408,7 +412,7 @@
     }
 }
 
-/// Returns whether the end tells the planner something that it can't learn elsewhere.
+/// Returns whether the final state tells the planner something that it can't learn elsewhere.
 fn is_result(end: MemberState) -> bool {
     !matches!(end, MemberState::Refused | STOPPED_WITHOUT_CHECKPOINT)
 }
--- a/dragonflyrun/src/job/planner_records.rs
+++ b/dragonflyrun/src/job/planner_records.rs
@@ -1,5 +1,5 @@
-//! How the planner's table follows the log: what every entry keeps, and what a new planner takes
-//! over from its predecessor.
+//! Applies log records to the planner's table. Every entry keeps the table up to date, so that a
+//! new planner takes the gangs over from its own table.
 
 use crate::{
     connection::{Carried, JobEnd, Record, RecordBody},
@@ -7,26 +7,26 @@
     utils::Timestamp,
 };
 
-/// A record that was folded, with the state of what it is about right after it.
+/// A folded log record, with the state of its subject directly after it.
 #[derive(Clone, Copy, Debug)]
 pub struct JobRecord<'a> {
-    /// Its offset.
+    /// The offset of the record.
     pub offset: u64,
     /// The record.
     pub record: &'a Record,
     /// The current term.
     pub term: u64,
-    /// The job that it is about, where that is live.
+    /// The job that the record is about, if that is live.
     pub live: Option<&'a LiveJob>,
-    /// How that job ended, where it has and that is still remembered.
+    /// How that job ended, if it has and its end is still remembered.
     pub ended: Option<JobEnd>,
-    /// Whether a state that the record repeats is still the current one.
+    /// Whether the state carried by the record is still the current one.
     pub current: bool,
 }
 
 impl Planner {
-    /// Follows a record of the log. Returns whether this process has become planner by it, so that
-    /// the agents' reports are to be given to it once more.
+    /// Applies a log record. Returns whether it makes this process the planner, in which case the
+    /// caller has to pass it the agents' latest reports again.
     pub fn on_record(&mut self, now: Timestamp, folded: JobRecord<'_>) -> bool {
         let own = self.pending.remove(&folded.record.id).is_some();
         match &folded.record.body {
@@ -54,7 +54,7 @@
 
     fn on_term(&mut self, now: Timestamp, term: u64, own: bool, offset: u64) -> bool {
         self.retention.changed(now, Item::Membership, offset);
-        // A second claim of the term has no effect, also where both are this entry's.
+        // A second claim of the same term has no effect, even if this entry made both.
         if !self.election.is_new(term) {
             return false;
         }
@@ -71,11 +71,11 @@
         false
     }
 
-    /// Takes over all gangs that the log has. What the former planner did about them beyond that
-    /// shows in the agents' reports.
+    /// Takes over all gangs that the log records. Anything else that the previous planner did about
+    /// them shows in the agents' reports.
     fn take_over(&mut self, now: Timestamp, offset: u64) {
         self.step_down(now);
-        // Whoever starts now may find the log without the records that these came from.
+        // A process that starts now may read a log that no longer has the records with this state.
         self.retention.outdated(now, Item::Membership);
         self.retention.outdated(now, Item::Configuration);
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -147,7 +147,7 @@
         self.requeue_after_pause(now, job);
     }
 
-    /// Brings the planner's gang of `job` in line with the log.
+    /// Updates the planner's gang of `job` to the state on the log.
     fn follow_log(&mut self, now: Timestamp, job: &JobId, live: &LiveJob, offset: u64) {
         self.touched.insert(job.clone());
         let gang = self.jobs.get_mut(job).and_then(|j| j.gang.as_mut());
@@ -159,8 +159,8 @@
                 gang.update(now, live.clone(), offset);
             }
             Some(gang) if !live.is_placed() => gang.update(now, live.clone(), offset),
-            // The start of an attempt that was given up has reached the log after all. It can't
-            // run any more, but it has to be stopped on the log before another one.
+            // The start of an abandoned attempt has reached the log after all. The attempt can no
+            // longer run, but its stop has to be on the log before another attempt starts.
             _ if live.is_placed() => {
                 let mut late = Gang::adopt(now, live.clone(), offset);
                 late.stop(now, StopReason::NotRecorded);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Takes in a job whose first records the log had dropped before this process read it.
+    /// Adds a job whose first records were dropped from the log before this process read it.
     fn add_carried_job(&mut self, now: Timestamp, live: &LiveJob) {
         self.jobs.insert(live.job.clone(), Planned::new(live));
         if live.is_placed() {
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Repeats the end of a job that ended between the moment at which its state was read and that
-    /// at which it was repeated: a reader that starts at the repeated state would never see it end.
+    /// Appends the end of a job again if the job ended after its state was read and before that
+    /// state was carried: a reader that starts at the carried state would never see the job end.
     fn append_end_again(&mut self, now: Timestamp, job: &JobId, ended: Option<JobEnd>) {
         if self.term().is_some()
             && let Some(end) = ended
--- a/dragonflyrun/src/job/renewal.rs
+++ b/dragonflyrun/src/job/renewal.rs
@@ -1,12 +1,14 @@
-//! Which gangs an entry may renew: those whose members it knows to run, all of them.
+//! Lease renewals of gangs: an entry renews a gang only while it knows all its members to be
+//! running.
 //!
-//! Every entry keeps this table, from what the agents report, without the log and without the
-//! planner. So a gang goes on as long as one entry hears all its members, and stops within its
-//! lease as soon as none does.
+//! Every entry builds this table from the agents' reports alone, without the log and the planner. A
+//! gang therefore continues as long as a single entry receives the heartbeats of all its members,
+//! and stops within its lease once no entry does.
 //!
-//! The work for a heartbeat grows with the members of that agent and not with the size of their
-//! gangs: an agent that was not heard for [`LATE_AFTER`] is last_tick at each of its gangs, and a gang
-//! without such a mark has all members alive since [`LATE_AFTER`] at the latest.
+//! The cost of a heartbeat grows with the number of members on that agent and not with the size of
+//! their gangs: an agent without a heartbeat for [`LATE_AFTER`] is counted as late at each of its
+//! gangs, and all members of a gang without late agents were alive within the last
+//! [`LATE_AFTER`].
 
 use std::time::Duration;
 
@@ -16,14 +18,14 @@
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
-/// Age of the last proof that an agent was alive up to which its gangs are renewed without a look
-/// at each member.
+/// Time since an agent was last known to be alive after which it counts as late. The gangs of an
+/// agent that is not late are renewed without checking each member.
 pub const LATE_AFTER: Duration = Duration::from_millis(750);
 
-/// A message for an agent.
+/// A message to an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentMessage {
-    /// The agent.
+    /// The receiving agent.
     pub to: Name,
     /// The message.
     pub message: GangMessage,
@@ -42,29 +44,31 @@
     members: u32,
     states: HashMap<Name, MemberState>,
     running: u32,
-    /// Members that have finished. They stay so when their agents are gone: the rest goes on.
+    /// Agents whose members have finished. They stay here when the agents are removed, so that the
+    /// other members continue.
     finished: HashSet<Name>,
     lost: u32,
     late: u32,
-    /// Whether the members were notified that it is broken. They are notified once: each of them that
-    /// stops is lost in its turn, and whoever is not reached stops at the end of its lease.
+    /// Whether the members were notified that the gang is broken. They are notified only once:
+    /// every member that stops counts as lost in turn and would cause another notification, and a
+    /// member that is not reached stops at the end of its lease.
     notified: bool,
 }
 
-/// The gangs and their members as one entry hears them.
+/// The gangs and their members, as reported to one entry.
 #[derive(Debug, Default)]
 pub struct Renewals {
     agents: HashMap<Name, Agent>,
     gangs: HashMap<GangId, Gang>,
     fenced: HashSet<GangId>,
-    /// When the agents that were not heard for a while were last last_tick.
+    /// When the late agents were last determined.
     last_tick: Timestamp,
 }
 
 impl Renewals {
-    /// Takes an agent's report in place of its last one, and returns what the other members of
-    /// broken gangs are to be notified. `incarnation` tells the agent's process from its predecessor,
-    /// whose proofs of life say nothing about this one.
+    /// Replaces the last report of an agent, and returns the messages to the other members of
+    /// broken gangs. `incarnation` identifies the process of the agent: heartbeats of its previous
+    /// process do not show that this one is alive.
     pub fn report(
         &mut self,
         agent: &Name,
@@ -76,7 +80,7 @@
         let mut next = Agent {
             members,
             incarnation,
-            // Nothing was proved for the new report before its agent is heard again.
+            // Until its next heartbeat, a new process is not known to be alive.
             alive_at: None,
             late: true,
         };
@@ -91,8 +95,8 @@
         messages
     }
 
-    /// Takes note of a heartbeat, and returns the renewal that answers it. `alive_at` is a moment
-    /// of this entry's clock at which the agent was alive for certain.
+    /// Handles a heartbeat, and returns the renewal to answer it with. `alive_at` is a time on this
+    /// entry's clock at which the agent was alive for certain.
     pub fn on_heartbeat(
         &mut self,
         now: Timestamp,
@@ -109,7 +113,7 @@
         self.renewal(now, agent, sent_ms)
     }
 
-    /// Marks the agents that were not heard for a while; to be called several times within
+    /// Determines the agents that have become late; to be called several times per
     /// [`LATE_AFTER`].
     pub fn tick(&mut self, now: Timestamp) {
         self.last_tick = now;
@@ -124,17 +128,17 @@
         }
     }
 
-    /// Renews this attempt no more.
+    /// Stops renewing an attempt.
     pub fn fence(&mut self, gang: GangId) {
         self.fenced.insert(gang);
     }
 
-    /// Takes note that the log has the end of all attempts of a job so far.
+    /// Removes the fences of a job whose attempts so far have all ended on the log.
     pub fn attempts_ended(&mut self, job: &JobId) {
         self.fenced.retain(|gang| gang.job != *job);
     }
 
-    /// Forgets an agent that is gone.
+    /// Removes a lost agent.
     pub fn remove_agent(&mut self, agent: &Name) {
         if let Some(state) = self.agents.remove(agent) {
             self.remove_members(agent, &state);
@@ -160,8 +164,8 @@
         })
     }
 
-    /// Returns a time since which all members of the gang were alive and running; none where that
-    /// is not previous, or so long ago that a renewal would be worth nothing.
+    /// Returns how long ago all members of the gang were alive and running; none if that is unknown
+    /// or so long ago that a renewal would have no effect.
     fn age(&self, now: Timestamp, gang: &GangId) -> Option<Duration> {
         let gang = self.gangs.get(gang)?;
         let complete = gang.running as usize + gang.finished.len() == gang.members as usize;
@@ -169,14 +173,14 @@
             return None;
         }
         if gang.late == 0 {
-            // This process may have been frozen since it last_tick the late ones, and then some of
-            // those that are not last_tick were not heard for that much longer.
+            // This process may have been frozen since it last determined the late agents. The
+            // heartbeats of the others may then be older by that time.
             let age = LATE_AFTER + now.since(self.last_tick);
             return (age < GANG_LEASE).then_some(age);
         }
         let mut age = Duration::ZERO;
         for (agent, state) in &gang.states {
-            // What has finished need not be alive.
+            // A finished member need not be alive.
             if *state == MemberState::Running {
                 let alive_at = self.agents.get(agent)?.alive_at?;
                 age = age.max(now.since(alive_at));
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -1,9 +1,9 @@
-//! Room that is reserved for jobs which have waited long.
+//! Reservations of room for jobs that have waited long.
 //!
-//! Without it small jobs fill each hole as it appears, and a large job starves behind them. The
-//! reserved room is where the job is expected to start first, given which jobs it may evict and
-//! when the others end. Until then the room is lent to jobs that it may evict when it is ready, or
-//! that are expected to end before.
+//! Without a reservation small jobs take all room as it becomes free, and a large job starves
+//! behind them. Room is reserved where the job is expected to start first, given the jobs that it
+//! may evict and the expected ends of the others. Until then the room is lent to jobs that it may
+//! evict once the room is ready, or that are expected to end before that.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
     utils::{HashMap, HashSet, Timestamp},
 };
 
-/// Usable workers for each reservation, beside the first. With few, one reservation that holds
-/// a failure domain idle is enough.
+/// Number of usable workers per reservation beyond the first one. In a small cluster a single
+/// reservation already keeps a whole failure domain idle, so there is no second one.
 const WORKERS_PER_RESERVATION: usize = 8;
 
-/// What a job that has outlived its expected run time is taken to need still.
+/// Assumed remaining run time of a job that has run longer than expected.
 const OVERDUE_REMAINING_TIME: Duration = Duration::from_secs(60);
 
 /// Room that is reserved for one job.
@@ -36,7 +36,7 @@
 }
 
 impl Scheduler {
-    /// Takes the reservation of `job` back and returns it.
+    /// Removes the reservation of `job` and returns it.
     pub(super) fn remove_reservation(&mut self, job: &JobId) -> Option<Reservation> {
         let queue_key = self.queue_key(job)?;
         let reservation = self.reservations.remove(&queue_key)?;
@@ -47,8 +47,8 @@
         Some(reservation)
     }
 
-    /// Reserves room for `job`, which can't start yet: the room that it had, as long as that is
-    /// expected to become free in time, or other room.
+    /// Reserves room for `job`, which can't start yet. The previous reservation is kept as long as
+    /// its expected start is still ahead and its workers are usable.
     pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, previous: Option<Reservation>) {
         let workers = self.inventory.ids().len();
         let large = self.inventory.largest_worker();
@@ -75,7 +75,7 @@
         self.reservations.insert(queue_key, reservation);
     }
 
-    /// Takes all reservations back.
+    /// Removes all reservations.
     pub(super) fn drop_reservations(&mut self) {
         let jobs: Vec<Aged> = self.reservations.keys().cloned().collect();
         for (_, job) in jobs {
@@ -83,12 +83,13 @@
         }
     }
 
-    /// Lets allotments be moved into reserved room, until the reservations are put back.
+    /// Lifts all reservations so that allotments can be moved into reserved room, until
+    /// [`Self::restore_reservations`] is called.
     pub(super) fn suspend_reservations(&mut self) {
         self.change_reserved(-1);
     }
 
-    /// Ends what [`Self::suspend_reservations`] began.
+    /// Restores the reservations lifted by [`Self::suspend_reservations`].
     pub(super) fn restore_reservations(&mut self) {
         self.change_reserved(1);
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Moves allotments that no job holds any more away from reserved room.
+    /// Moves allotments that are no longer held by a job out of reserved room.
     pub(super) fn evacuate_reserved(&mut self) {
         for reservation in self.reservations.values() {
             for part in &reservation.parts {
@@ -118,7 +119,8 @@
             .any(|p| self.inventory.worker(p.worker).reserved() > 0)
     }
 
-    /// Returns room for `job` that is reserved for others, where it does not delay them.
+    /// Returns placements for `job` that may use room reserved for other jobs without delaying
+    /// them.
     pub(super) fn backfill(&mut self, now: Timestamp, job: &JobId) -> Option<Vec<Part>> {
         if self.reservations.is_empty() {
             return None;
@@ -149,9 +151,9 @@
         pick(&seats, &entry.spec.shape()).map(|plan| plan.parts)
     }
 
-    /// Returns what is reserved of each worker and not lent to `entry`. Room is lent to a job that
-    /// the holder may evict, that is expected to end before the holder could start, or that is
-    /// older than the holder.
+    /// Returns the accelerators of each worker that are reserved and not lent to `entry`. Room is
+    /// lent to a job that the holder of the reservation may evict, that is expected to end before
+    /// the holder could start, or that is older than the holder.
     pub(super) fn reserved_against(&self, now: Timestamp, entry: &Entry) -> HashMap<WorkerId, u32> {
         let expected = self.estimates.run_time(&entry.spec);
         let mut reserved = HashMap::default();
@@ -170,7 +172,7 @@
         reserved
     }
 
-    /// Returns the room where `job` is expected to start first.
+    /// Returns a reservation of the room where `job` is expected to start first.
     fn earliest_reservation(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
         let entry = self.jobs.get(job)?.clone();
         let shape = entry.spec.shape();
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Returns when the accelerators on `seats` are expected to be free for `entry`.
+    /// Returns when the accelerators on `seats` are expected to become free for `entry`.
     fn expected_ends(&self, now: Timestamp, entry: &Entry, seats: &[Seat]) -> Vec<ExpectedEnd> {
         let mut ends = Vec::new();
         for (seat, i) in seats.iter().zip(0..) {
@@ -210,7 +212,7 @@
                 let Stage::Holds(hold) = &other.stage else {
                     continue;
                 };
-                // What is being stopped is counted as coming already.
+                // The accelerators of a stopping job already count as becoming free.
                 if hold.stopping {
                     continue;
                 }
@@ -242,10 +244,10 @@
     }
 }
 
-/// The end of a job on one worker.
+/// The expected end of a job on one worker.
 struct ExpectedEnd {
     at: Timestamp,
-    /// The number of the worker among those looked at.
+    /// The index of the worker among the seats examined.
     seat: usize,
     accelerators: u32,
 }
--- a/dragonflyrun/src/job/ring_updater.rs
+++ b/dragonflyrun/src/job/ring_updater.rs
@@ -1,4 +1,4 @@
-//! When the planner changes the list of agents that own keys.
+//! The planner's updates to the list of agents that own keys.
 
 use std::{
     collections::BTreeSet,
@@ -7,16 +7,18 @@
 
 use crate::utils::{Name, Timestamp};
 
-/// How long the live agents have to differ from the owners before the owners change.
+/// How long the set of live agents has to differ from the owners, without changing, before the
+/// owners change.
 ///
-/// Each change refuses the keys that move for a few seconds, so an agent that is only replaced
-/// should not cause two. Until a lost agent is left out, its keys are refused.
+/// Requests for keys that move are refused for a few seconds after each change, so an agent that is
+/// merely replaced should not cause two changes. On the other hand, the keys of a lost agent are
+/// refused until it is removed from the owners.
 const SETTLE_TIME: Duration = Duration::from_millis(4_000);
 
-/// The same where there are no owners yet, and so no key can be granted.
+/// The corresponding time while there are no owners yet, and therefore no key can be granted.
 const INITIAL_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 
-/// Decides when the owners of keys change.
+/// Decides when the list of agents that own keys changes.
 #[derive(Debug, Default)]
 pub struct RingUpdater {
     differs_since: Option<Timestamp>,
@@ -24,15 +26,15 @@
 }
 
 impl RingUpdater {
-    /// Returns the new owners, where it is time to change them. `live` are the agents that may
-    /// get work and `owners` those on the log, both in the order of their names.
+    /// Returns the new owners if a change is due. `live` are the agents that may get work and
+    /// `owners` the current owners on the log, both ordered by name.
     pub fn tick(
         &mut self,
         now: Timestamp,
         live: &BTreeSet<Name>,
         owners: &[Name],
     ) -> Option<Vec<Name>> {
-        // Without any agent there is nobody to run what a key is for.
+        // Without any agent no request with a key could be served anyway.
         if live.is_empty() || live.iter().eq(owners.iter()) {
             self.differs_since = None;
             return None;
@@ -50,7 +52,7 @@
         if now.since(since) < settle_time {
             return None;
         }
-        // Asked again after the same time where the record does not reach the log.
+        // The change is requested again after the same time if the record does not reach the log.
         self.differs_since = Some(now);
         Some(self.wanted.clone())
     }
--- a/dragonflyrun/src/job/stopping.rs
+++ b/dragonflyrun/src/job/stopping.rs
@@ -1,4 +1,5 @@
-//! When a member that was told to stop, and does not answer, has stopped for certain.
+//! The time after which a member that was ordered to stop, and whose agent does not answer, has
+//! stopped for certain.
 
 use crate::{
     job::{LAPSE, LAPSE_UNSTARTED, RENEWAL_WITHOUT_LOG},
@@ -8,19 +9,19 @@
 /// Why a gang is stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopReason {
-    /// Not all members could reserve.
+    /// Not all members could reserve their accelerators.
     NotReserved,
     /// The start is not known to be on the log.
     NotRecorded,
-    /// Not all members have started.
+    /// Not all members started in time.
     NotStarted,
     /// A member was lost.
     MemberLost,
     /// A task failed.
     TaskFailed,
-    /// Its accelerators are needed for another job or its failure domain leaves service.
+    /// Its accelerators are needed for another job, or its failure domain is taken out of service.
     Evicted,
-    /// Somebody asked to cancel the job.
+    /// Cancellation of the job was requested.
     Cancelled,
 }
 
@@ -29,7 +30,7 @@
     pub(super) since: Timestamp,
     pub(super) reason: StopReason,
     pub(super) checkpoint: bool,
-    /// When it was heard that some member had stopped: no entry renews from then on.
+    /// When some member was first reported as stopped: no entry renews the gang from then on.
     pub(super) first_stop: Option<Timestamp>,
     pub(super) fence: Fence,
 }
@@ -41,15 +42,16 @@
     Recorded {
         offset: u64,
         folded_at: Timestamp,
-        /// When all entries were known to have folded it.
+        /// When all entries were known to have folded the fence.
         folded_by_all_at: Option<Timestamp>,
     },
 }
 
 impl Stopping {
-    /// Returns whether a member that was not heard to have stopped has done so for certain.
+    /// Returns whether a member has stopped for certain although its agent has not reported it.
     pub(super) fn has_lapsed(&self, now: Timestamp, has_run: bool) -> bool {
-        // A renewal needs all members running, so the first stop ends them for those that has_run.
+        // A gang is renewed only while all members run, so no member that has run is renewed after
+        // the first one stopped.
         let lapsed_after_stop = has_run && self.first_stop.is_some_and(|at| now.since(at) > LAPSE);
         lapsed_after_stop || self.has_lapsed_after_fence(now, has_run)
     }
--- a/dragonflyrun/src/job/worker_op.rs
+++ b/dragonflyrun/src/job/worker_op.rs
@@ -1,4 +1,4 @@
-//! What an agent asks of its worker, and what it has to know before a start.
+//! The calls of an agent to its worker, and the conditions to check before a start.
 
 use std::time::Duration;
 
@@ -8,47 +8,48 @@
     utils::{Name, Timestamp},
 };
 
-/// A call to make on the worker. Its answer goes back to [`Members`].
+/// A call to the worker, whose answer is passed to [`Members`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerCall {
-    /// Look at all leases.
+    /// List all leases.
     ListLeases,
-    /// Do something about one member's lease.
+    /// Perform an operation on the lease of one member.
     Lease {
-        /// The member.
+        /// The number of the member.
         number: u64,
-        /// The lease.
+        /// The name of the lease.
         lease: Name,
-        /// What to do.
+        /// The operation.
         op: WorkerOp,
     },
-    /// Forget a lease that nobody needs any more.
+    /// Remove a lease that is no longer needed.
     Remove {
-        /// The lease.
+        /// The name of the lease.
         lease: Name,
     },
 }
 
-/// What a member asks of its worker.
+/// An operation on a member's worker lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerOp {
     /// Hold the accelerators until the given time, but no longer than [`WORKER_TTL`].
     Obtain {
-        /// Accelerators to hold.
+        /// The number of accelerators to hold.
         accelerators: u32,
         /// When the lease is to lapse at the latest.
         until: Timestamp,
     },
-    /// Prolong the lease until the given time, but no longer than [`WORKER_TTL`].
+    /// Extend the lease until the given time, but no longer than [`WORKER_TTL`].
     Renew {
         /// When the lease is to lapse at the latest.
         until: Timestamp,
     },
     /// Start the tasks, after [`Members::may_start`](crate::job::Members::may_start) has agreed.
     Start(StartTasks),
-    /// Look at the lease, which the worker says is over: its tasks may have ended by themselves.
+    /// Read the state of a lease that has ended according to the worker: its tasks may have ended
+    /// by themselves.
     Inspect,
-    /// Stop the tasks or give the accelerators back.
+    /// Stop the tasks, or release the accelerators if none were started.
     Stop {
         /// Whether to save a checkpoint first.
         checkpoint: bool,
@@ -56,35 +57,36 @@
 }
 
 impl WorkerOp {
-    /// Returns the time to live to ask for at `now`, for a lease that ends at `until`.
+    /// Returns the time to live to request at `now` for a lease that ends at `until`.
     ///
-    /// It is reckoned right before the call, so that time in a queue does not prolong the lease.
+    /// It is computed directly before the call, so that time in a queue does not extend the lease.
     pub fn ttl(until: Timestamp, now: Timestamp) -> Duration {
         until.since(now).min(WORKER_TTL)
     }
 }
 
-/// What the agent knows right before it starts a member.
+/// What the agent knows directly before it starts a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StartConditions {
-    /// Whether it knows the latest state of the log.
+    /// Whether the agent knows the latest state of the log.
     pub fresh: bool,
-    /// The offset after the last record it has folded.
+    /// The offset after the last record that the agent has folded.
     pub next_offset: u64,
-    /// Whether its failure domain is in service.
+    /// Whether the agent's failure domain is in service.
     pub in_service: bool,
-    /// Whether the log has this attempt as the job's current one, placed on this worker and not
-    /// fenced. An order that was delayed until its planner had given the attempt up fails here.
+    /// Whether, according to the log, this attempt is the job's current one, is placed on this
+    /// worker and is not fenced. This is false for an order delayed until its planner had abandoned
+    /// the attempt.
     pub allowed: bool,
 }
 
 /// Whether a member may start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartCheck {
-    /// It may, at once.
+    /// It may start now.
     Start,
-    /// Not until the agent knows the latest state of the log.
+    /// It may not start before the agent knows the latest state of the log.
     Wait,
-    /// It may not; it gives its reservation back.
+    /// It may never start, and releases its reservation.
     Never,
 }
