--- a/dragonflyrun/src/job/gang_tick.rs
+++ b/dragonflyrun/src/job/gang_tick.rs
@@ -116,12 +116,12 @@
             actions.push(GangAction::Close(self.gang_end(stopping.reason)));
             return;
         }
-        let lapses_unfenced =
+        let lapses_without_fence =
             unended.iter().all(|has_run| *has_run) && stopping.first_stop.is_some();
         let timed_out = now.since(stopping.since) > STOP_TIMEOUT;
         if self.start_offset.is_some()
             && timed_out
-            && !lapses_unfenced
+            && !lapses_without_fence
             && stopping.fence == Fence::NotRequested
         {
             stopping.fence = Fence::Requested;
--- a/dragonflyrun/src/job/job_table.rs
+++ b/dragonflyrun/src/job/job_table.rs
@@ -90,8 +90,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct JobTable {
     live: HashMap<JobId, LiveJob>,
-    ended: BTreeMap<u64, (JobId, JobEnd)>,
-    ends: HashMap<JobId, (u64, JobEnd)>,
+    ends_by_offset: BTreeMap<u64, (JobId, JobEnd)>,
+    ends_by_job: HashMap<JobId, (u64, JobEnd)>,
 }
 
 impl JobTable {
@@ -150,11 +150,11 @@
 
     /// Returns how the job named `job` ended, if its end is still remembered.
     pub fn ended(&self, job: &JobId) -> Option<JobEnd> {
-        self.ends.get(job).map(|(_, end)| *end)
+        self.ends_by_job.get(job).map(|(_, end)| *end)
     }
 
     fn accept(&mut self, offset: u64, job: &JobId, spec: &JobSpec) {
-        let ended = self.ends.get(job);
+        let ended = self.ends_by_job.get(job);
         if ended.is_some_and(|(at, _)| offset - at < NAME_REUSE_RECORDS)
             || self.live.contains_key(job)
         {
@@ -194,9 +194,9 @@
     /// records already has the same state, or has seen the job end.
     fn adopt(&mut self, carried: &LiveJob) {
         let known = self.live.get(&carried.job);
-        let older = known.is_some_and(|live| carried.updated < live.updated);
-        let ended = self.ends.get(&carried.job);
-        if !older && ended.is_none_or(|(at, _)| *at < carried.accepted) {
+        let outdated = known.is_some_and(|live| carried.updated < live.updated);
+        let ended = self.ends_by_job.get(&carried.job);
+        if !outdated && ended.is_none_or(|(at, _)| *at < carried.accepted) {
             self.live.insert(carried.job.clone(), carried.clone());
         }
     }
@@ -205,13 +205,16 @@
         if self.live.remove(job).is_none() {
             return;
         }
-        self.ends.insert(job.clone(), (offset, end));
-        self.ended.insert(offset, (job.clone(), end));
-        if self.ended.len() > MAX_REMEMBERED_ENDS
-            && let Some((at, (old, _))) = self.ended.pop_first()
-            && self.ends.get(&old).is_some_and(|(end, _)| *end == at)
+        self.ends_by_job.insert(job.clone(), (offset, end));
+        self.ends_by_offset.insert(offset, (job.clone(), end));
+        if self.ends_by_offset.len() > MAX_REMEMBERED_ENDS
+            && let Some((at, (old, _))) = self.ends_by_offset.pop_first()
+            && self
+                .ends_by_job
+                .get(&old)
+                .is_some_and(|(end, _)| *end == at)
         {
-            self.ends.remove(&old);
+            self.ends_by_job.remove(&old);
         }
     }
 }
--- a/dragonflyrun/src/job/members.rs
+++ b/dragonflyrun/src/job/members.rs
@@ -31,7 +31,7 @@
 
 /// Maximum number of members, above which the oldest ended ones are removed even though no planner
 /// has recorded their end.
-const MAX_ENDED_MEMBERS: usize = 4_096;
+const MAX_KEPT_MEMBERS: usize = 4_096;
 
 /// Time between an answer to a request for all leases of the worker and the next request.
 const LIST_PERIOD: Duration = Duration::from_millis(500);
@@ -162,7 +162,7 @@
                 continue;
             };
             if member.end().is_some() {
-                self.forget(number);
+                self.remove_member(number);
             } else {
                 // The planner knew that the attempt had stopped, so any member left belongs to an
                 // attempt that was abandoned before its start.
@@ -173,7 +173,7 @@
 
     /// Returns the calls to the worker that are due.
     pub fn calls(&mut self, now: Timestamp) -> Vec<WorkerCall> {
-        self.forget_old_ends(now);
+        self.remove_old_ends(now);
         self.report_unsynced_stops(now);
         let removals = std::mem::take(&mut self.unneeded_leases);
         let mut calls: Vec<WorkerCall> = removals
@@ -373,7 +373,7 @@
         self.unneeded_leases.extend(unknown);
     }
 
-    fn forget_old_ends(&mut self, now: Timestamp) {
+    fn remove_old_ends(&mut self, now: Timestamp) {
         let old: Vec<u64> = self
             .members
             .iter()
@@ -382,18 +382,18 @@
             .map(|(number, _)| *number)
             .collect();
         for number in old {
-            self.forget(number);
+            self.remove_member(number);
         }
-        while self.members.len() > MAX_ENDED_MEMBERS {
+        while self.members.len() > MAX_KEPT_MEMBERS {
             let ended = self.members.iter().find(|(_, m)| m.end().is_some());
             let Some(number) = ended.map(|(number, _)| *number) else {
                 return;
             };
-            self.forget(number);
+            self.remove_member(number);
         }
     }
 
-    fn forget(&mut self, number: u64) {
+    fn remove_member(&mut self, number: u64) {
         if let Some(member) = self.members.remove(&number) {
             self.by_gang.remove(member.gang());
             self.unneeded_leases.push(member.lease().clone());
--- a/dragonflyrun/src/job/stopping.rs
+++ b/dragonflyrun/src/job/stopping.rs
@@ -65,9 +65,9 @@
         else {
             return false;
         };
-        let fenced_everywhere = folded_by_all_at.is_some_and(|since| now.since(since) > LAPSE);
+        let no_longer_renewed = folded_by_all_at.is_some_and(|since| now.since(since) > LAPSE);
         let renewals_expired = now.since(folded_at) > RENEWAL_WITHOUT_LOG + LAPSE_UNSTARTED;
-        (fenced_everywhere || renewals_expired)
+        (no_longer_renewed || renewals_expired)
             && (has_run || now.since(folded_at) > LAPSE_UNSTARTED)
     }
 }
