--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -91,7 +91,7 @@
             return false;
         };
         decisions.remove(at);
-        self.wait_again(job);
+        self.requeue(job);
         true
     }
 
@@ -111,7 +111,7 @@
         let mut candidates = self.eviction_candidates(&entry);
         if reason == EvictionReason::Age {
             // Other jobs' reservations are respected; the reservation of this job has been removed.
-            let reserved = self.closed_to(now, &entry);
+            let reserved = self.reserved_against(now, &entry);
             for candidate in &mut candidates {
                 let reserved = reserved.get(&candidate.worker).copied().unwrap_or(0);
                 candidate.available = candidate.available.saturating_sub(reserved);
@@ -191,7 +191,7 @@
                 && let Stage::Pledged(pledged) = &entry.stage
                 && pledged.iter().any(|p| workers.contains(&p.worker))
             {
-                self.wait_again(&job);
+                self.requeue(&job);
             }
         }
     }
--- a/dragonflyrun/src/job/renewal.rs
+++ b/dragonflyrun/src/job/renewal.rs
@@ -1,12 +1,14 @@
-//! Which gangs an entry may renew: those whose members it knows to run, all of them.
+//! Lease renewals of gangs: an entry renews a gang only while it knows all its members to be
+//! running.
 //!
-//! Every entry keeps this table, from what the agents report, without the log and without the
-//! planner. So a gang goes on as long as one entry hears all its members, and stops within its
-//! lease as soon as none does.
+//! Every entry builds this table from the agents' reports alone, without the log and the planner. A
+//! gang therefore continues as long as a single entry receives the heartbeats of all its members,
+//! and stops within its lease once no entry does.
 //!
-//! The work for a heartbeat grows with the members of that agent and not with the size of their
-//! gangs: an agent that was not heard for [`LATE`] is marked at each of its gangs, and a gang
-//! without such a mark has all members alive since [`LATE`] at the latest.
+//! The cost of a heartbeat grows with the number of members on that agent and not with the size of
+//! their gangs: an agent without a heartbeat for [`LATE_AFTER`] is counted as late at each of its
+//! gangs, and all members of a gang without late agents were alive within the last
+//! [`LATE_AFTER`].
 
 use std::time::Duration;
 
@@ -16,14 +18,14 @@
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
-/// Age of the last proof that an agent was alive up to which its gangs are renewed without a look
-/// at each member.
-pub const LATE: Duration = Duration::from_millis(750);
+/// Time since an agent was last known to be alive after which it counts as late. The gangs of an
+/// agent that is not late are renewed without checking each member.
+pub const LATE_AFTER: Duration = Duration::from_millis(750);
 
-/// A message for an agent.
+/// A message to an agent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Notice {
-    /// The agent.
+pub struct AgentMessage {
+    /// The receiving agent.
     pub to: Name,
     /// The message.
     pub message: GangMessage,
@@ -32,7 +34,7 @@
 #[derive(Debug, Default)]
 struct Agent {
     incarnation: u64,
-    confirmed: Option<Timestamp>,
+    alive_at: Option<Timestamp>,
     late: bool,
     members: Vec<MemberReport>,
 }
@@ -42,102 +44,104 @@
     members: u32,
     states: HashMap<Name, MemberState>,
     running: u32,
-    /// Members that have finished. They stay so when their agents are gone: the rest goes on.
+    /// Agents whose members have finished. They stay here when the agents are removed, so that the
+    /// other members continue.
     finished: HashSet<Name>,
     lost: u32,
     late: u32,
-    /// Whether the members were told that it is broken. They are told once: each of them that
-    /// stops is lost in its turn, and whoever is not reached stops at the end of its lease.
-    told: bool,
+    /// Whether the members were notified that the gang is broken. They are notified only once:
+    /// every member that stops counts as lost in turn and would cause another notification, and a
+    /// member that is not reached stops at the end of its lease.
+    notified: bool,
 }
 
-/// The gangs and their members as one entry hears them.
+/// The gangs and their members, as reported to one entry.
 #[derive(Debug, Default)]
 pub struct Renewals {
     agents: HashMap<Name, Agent>,
     gangs: HashMap<GangId, Gang>,
     fenced: HashSet<GangId>,
-    /// When the agents that were not heard for a while were last marked.
-    marked: Timestamp,
+    /// When the late agents were last determined.
+    last_tick: Timestamp,
 }
 
 impl Renewals {
-    /// Takes an agent's report in place of its last one, and returns what the other members of
-    /// broken gangs are to be told. `incarnation` tells the agent's process from its predecessor,
-    /// whose proofs of life say nothing about this one.
+    /// Replaces the last report of an agent, and returns the messages to the other members of
+    /// broken gangs. `incarnation` identifies the process of the agent: heartbeats of its previous
+    /// process do not show that this one is alive.
     pub fn report(
         &mut self,
         agent: &Name,
         incarnation: u64,
         members: Vec<MemberReport>,
-    ) -> Vec<Notice> {
-        let known = self.agents.remove(agent).unwrap_or_default();
-        self.leave(agent, &known);
+    ) -> Vec<AgentMessage> {
+        let previous = self.agents.remove(agent).unwrap_or_default();
+        self.remove_members(agent, &previous);
         let mut next = Agent {
             members,
             incarnation,
-            // Nothing was proved for the new report before its agent is heard again.
-            confirmed: None,
+            // Until its next heartbeat, a new process is not known to be alive.
+            alive_at: None,
             late: true,
         };
-        if known.incarnation == incarnation {
-            next.confirmed = known.confirmed;
-            next.late = known.late;
+        if previous.incarnation == incarnation {
+            next.alive_at = previous.alive_at;
+            next.late = previous.late;
         }
-        self.join(agent, &next);
+        self.add_members(agent, &next);
         let lost = next.members.iter().filter(|m| is_lost(m.state));
-        let notices = lost.flat_map(|m| self.broken(&m.gang)).collect();
+        let messages = lost.flat_map(|m| self.notify_broken(&m.gang)).collect();
         self.agents.insert(agent.clone(), next);
-        notices
+        messages
     }
 
-    /// Takes note of a heartbeat, and returns the renewal that answers it. `confirmed` is a moment
-    /// of this entry's clock at which the agent was alive for certain.
-    pub fn heard(
+    /// Handles a heartbeat, and returns the renewal to answer it with. `alive_at` is a time on this
+    /// entry's clock at which the agent was alive for certain.
+    pub fn on_heartbeat(
         &mut self,
         now: Timestamp,
         agent: &Name,
-        confirmed: Option<Timestamp>,
+        alive_at: Option<Timestamp>,
         sent_ms: u64,
     ) -> Option<GangMessage> {
         let state = self.agents.get_mut(agent)?;
-        state.confirmed = state.confirmed.max(confirmed);
-        let late = is_late(now, state.confirmed);
+        state.alive_at = state.alive_at.max(alive_at);
+        let late = is_late(now, state.alive_at);
         if late != state.late {
-            self.mark(agent, late);
+            self.set_late(agent, late);
         }
         self.renewal(now, agent, sent_ms)
     }
 
-    /// Marks the agents that were not heard for a while; to be called several times within
-    /// [`LATE`].
+    /// Determines the agents that have become late; to be called several times per
+    /// [`LATE_AFTER`].
     pub fn tick(&mut self, now: Timestamp) {
-        self.marked = now;
+        self.last_tick = now;
         let late: Vec<Name> = self
             .agents
             .iter()
-            .filter(|(_, a)| !a.late && is_late(now, a.confirmed))
+            .filter(|(_, a)| !a.late && is_late(now, a.alive_at))
             .map(|(name, _)| name.clone())
             .collect();
         for agent in late {
-            self.mark(&agent, true);
+            self.set_late(&agent, true);
         }
     }
 
-    /// Renews this attempt no more.
+    /// Stops renewing an attempt.
     pub fn fence(&mut self, gang: GangId) {
         self.fenced.insert(gang);
     }
 
-    /// Takes note that the log has the end of all attempts of a job so far.
-    pub fn settled(&mut self, job: &JobId) {
+    /// Removes the fences of a job whose attempts so far have all ended on the log.
+    pub fn attempts_ended(&mut self, job: &JobId) {
         self.fenced.retain(|gang| gang.job != *job);
     }
 
-    /// Forgets an agent that is gone.
-    pub fn gone(&mut self, agent: &Name) {
+    /// Removes a lost agent.
+    pub fn remove_agent(&mut self, agent: &Name) {
         if let Some(state) = self.agents.remove(agent) {
-            self.leave(agent, &state);
+            self.remove_members(agent, &state);
         }
     }
 
@@ -160,53 +164,53 @@
         })
     }
 
-    /// Returns a time since which all members of the gang were alive and running; none where that
-    /// is not known, or so long ago that a renewal would be worth nothing.
+    /// Returns how long ago all members of the gang were alive and running; none if that is unknown
+    /// or so long ago that a renewal would have no effect.
     fn age(&self, now: Timestamp, gang: &GangId) -> Option<Duration> {
         let gang = self.gangs.get(gang)?;
-        let whole = gang.running as usize + gang.finished.len() == gang.members as usize;
-        if gang.lost > 0 || !whole {
+        let complete = gang.running as usize + gang.finished.len() == gang.members as usize;
+        if gang.lost > 0 || !complete {
             return None;
         }
         if gang.late == 0 {
-            // This process may have been frozen since it marked the late ones, and then some of
-            // those that are not marked were not heard for that much longer.
-            let age = LATE + now.since(self.marked);
+            // This process may have been frozen since it last determined the late agents. The
+            // heartbeats of the others may then be older by that time.
+            let age = LATE_AFTER + now.since(self.last_tick);
             return (age < GANG_LEASE).then_some(age);
         }
         let mut age = Duration::ZERO;
         for (agent, state) in &gang.states {
-            // What has finished need not be alive.
+            // A finished member need not be alive.
             if *state == MemberState::Running {
-                let confirmed = self.agents.get(agent)?.confirmed?;
-                age = age.max(now.since(confirmed));
+                let alive_at = self.agents.get(agent)?.alive_at?;
+                age = age.max(now.since(alive_at));
             }
         }
         (age < GANG_LEASE).then_some(age)
     }
 
-    fn broken(&mut self, gang: &GangId) -> Vec<Notice> {
-        let Some(members) = self.gangs.get_mut(gang).filter(|g| !g.told) else {
+    fn notify_broken(&mut self, gang: &GangId) -> Vec<AgentMessage> {
+        let Some(members) = self.gangs.get_mut(gang).filter(|g| !g.notified) else {
             return Vec::new();
         };
-        members.told = true;
+        members.notified = true;
         members
             .states
             .iter()
             .filter(|(_, s)| matches!(s, MemberState::Running | MemberState::Reserved))
-            .map(|(agent, _)| Notice {
+            .map(|(agent, _)| AgentMessage {
                 to: agent.clone(),
                 message: GangMessage::Broken { gang: gang.clone() },
             })
             .collect()
     }
 
-    fn mark(&mut self, agent: &Name, late: bool) {
+    fn set_late(&mut self, agent: &Name, late: bool) {
         let Some(state) = self.agents.get_mut(agent) else {
             return;
         };
         state.late = late;
-        for member in state.members.iter().filter(|m| needs_life(m.state)) {
+        for member in state.members.iter().filter(|m| must_be_alive(m.state)) {
             if let Some(gang) = self.gangs.get_mut(&member.gang) {
                 gang.late = if late {
                     gang.late + 1
@@ -217,7 +221,7 @@
         }
     }
 
-    fn join(&mut self, agent: &Name, state: &Agent) {
+    fn add_members(&mut self, agent: &Name, state: &Agent) {
         for member in &state.members {
             let gang = self.gangs.entry(member.gang.clone()).or_default();
             gang.members = gang.members.max(member.members);
@@ -229,7 +233,7 @@
         }
     }
 
-    fn leave(&mut self, agent: &Name, state: &Agent) {
+    fn remove_members(&mut self, agent: &Name, state: &Agent) {
         for member in &state.members {
             let Some(gang) = self.gangs.get_mut(&member.gang) else {
                 continue;
@@ -250,17 +254,17 @@
             s if is_lost(s) => self.lost = change(self.lost),
             _ => {}
         }
-        if late && needs_life(state) {
+        if late && must_be_alive(state) {
             self.late = change(self.late);
         }
     }
 }
 
-fn is_late(now: Timestamp, confirmed: Option<Timestamp>) -> bool {
-    confirmed.is_none_or(|at| now.since(at) > LATE)
+fn is_late(now: Timestamp, alive_at: Option<Timestamp>) -> bool {
+    alive_at.is_none_or(|at| now.since(at) > LATE_AFTER)
 }
 
-fn needs_life(state: MemberState) -> bool {
+fn must_be_alive(state: MemberState) -> bool {
     state == MemberState::Running
 }
 
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -1,9 +1,9 @@
-//! Room that is reserved for jobs which have waited long.
+//! Reservations of room for jobs that have waited long.
 //!
-//! Without it small jobs fill each hole as it appears, and a large job starves behind them. The
-//! reserved room is where the job is expected to start first, given which jobs it may evict and
-//! when the others end. Until then the room is lent to jobs that it may evict when it is ready, or
-//! that are expected to end before.
+//! Without a reservation small jobs take all room as it becomes free, and a large job starves
+//! behind them. Room is reserved where the job is expected to start first, given the jobs that it
+//! may evict and the expected ends of the others. Until then the room is lent to jobs that it may
+//! evict once the room is ready, or that are expected to end before that.
 
 use std::time::Duration;
 
@@ -19,89 +19,92 @@
     utils::{HashMap, HashSet, Timestamp},
 };
 
-/// Usable workers for each reservation, beside the first. With few, one reservation that holds
-/// a failure domain idle is enough.
-const WORKERS_A_RESERVATION: usize = 8;
+/// Number of usable workers per reservation beyond the first one. In a small cluster a single
+/// reservation already keeps a whole failure domain idle, so there is no second one.
+const WORKERS_PER_RESERVATION: usize = 8;
 
-/// What a job that has outlived its expected run time is taken to need still.
-const OVERDUE: Duration = Duration::from_secs(60);
+/// Assumed remaining run time of a job that has run longer than expected.
+const OVERDUE_REMAINING_TIME: Duration = Duration::from_secs(60);
 
 /// Room that is reserved for one job.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     parts: Vec<Part>,
-    size: u32,
+    task_accelerators: u32,
     /// When the job is expected to start there.
     ready: Timestamp,
 }
 
 impl Scheduler {
-    /// Takes the reservation of `job` back and returns it.
-    pub(super) fn take_reservation(&mut self, job: &JobId) -> Option<Reservation> {
-        let aged = self.aged(job)?;
-        let reservation = self.reservations.remove(&aged)?;
+    /// Removes the reservation of `job` and returns it.
+    pub(super) fn remove_reservation(&mut self, job: &JobId) -> Option<Reservation> {
+        let queue_key = self.queue_key(job)?;
+        let reservation = self.reservations.remove(&queue_key)?;
         for part in &reservation.parts {
-            let reserved = i64::from(part.tasks * reservation.size);
+            let reserved = i64::from(part.tasks * reservation.task_accelerators);
             self.inventory.reserve(part.worker, -reserved);
         }
         Some(reservation)
     }
 
-    /// Reserves room for `job`, which can't start yet: the room that it had, as long as that is
-    /// expected to become free in time, or other room.
-    pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, before: Option<Reservation>) {
+    /// Reserves room for `job`, which can't start yet. The previous reservation is kept as long as
+    /// its expected start is still ahead and its workers are usable.
+    pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, previous: Option<Reservation>) {
         let workers = self.inventory.ids().len();
         let large = self.inventory.largest_worker();
         if self.jobs.get(job).is_none_or(|e| e.accelerators() < large) {
             return;
         }
-        if self.reservations.len() > workers / WORKERS_A_RESERVATION {
+        if self.reservations.len() > workers / WORKERS_PER_RESERVATION {
             return;
         }
-        let kept = before.filter(|r| r.ready > now && self.is_usable(&r.parts));
-        let Some(reservation) = kept.or_else(|| self.earliest(now, job)) else {
+        let kept = previous.filter(|r| r.ready > now && self.is_usable(&r.parts));
+        let Some(reservation) = kept.or_else(|| self.earliest_reservation(now, job)) else {
+            return;
+        };
+        let Some(queue_key) = self.queue_key(job) else {
             return;
         };
-        let Some(aged) = self.aged(job) else { return };
         for part in &reservation.parts {
-            let reserved = i64::from(part.tasks * reservation.size);
+            let reserved = i64::from(part.tasks * reservation.task_accelerators);
             self.inventory.reserve(part.worker, reserved);
         }
         for part in &reservation.parts {
             self.guarantees.evacuate(&mut self.inventory, part.worker);
         }
-        self.reservations.insert(aged, reservation);
+        self.reservations.insert(queue_key, reservation);
     }
 
-    /// Takes all reservations back.
+    /// Removes all reservations.
     pub(super) fn drop_reservations(&mut self) {
         let jobs: Vec<AgeKey> = self.reservations.keys().cloned().collect();
         for (_, job) in jobs {
-            self.take_reservation(&job);
+            self.remove_reservation(&job);
         }
     }
 
-    /// Lets allotments be moved into reserved room, until the reservations are put back.
-    pub(super) fn lift_reservations(&mut self) {
+    /// Lifts all reservations so that allotments can be moved into reserved room, until
+    /// [`Self::restore_reservations`] is called.
+    pub(super) fn suspend_reservations(&mut self) {
         self.change_reserved(-1);
     }
 
-    /// Ends what [`Self::lift_reservations`] began.
-    pub(super) fn put_reservations_back(&mut self) {
+    /// Restores the reservations lifted by [`Self::suspend_reservations`].
+    pub(super) fn restore_reservations(&mut self) {
         self.change_reserved(1);
     }
 
     fn change_reserved(&mut self, sign: i64) {
         for reservation in self.reservations.values() {
             for part in &reservation.parts {
-                let reserved = i64::from(part.tasks * reservation.size);
+                let reserved = i64::from(part.tasks * reservation.task_accelerators);
                 self.inventory.reserve(part.worker, sign * reserved);
             }
         }
     }
 
-    /// Moves allotments that no job holds any more away from reserved room.
-    pub(super) fn clear_reserved(&mut self) {
+    /// Moves allotments that are no longer held by a job out of reserved room.
+    pub(super) fn evacuate_reserved(&mut self) {
         for reservation in self.reservations.values() {
             for part in &reservation.parts {
                 self.guarantees.evacuate(&mut self.inventory, part.worker);
@@ -116,24 +119,25 @@
             .any(|p| self.inventory.worker(p.worker).reserved() > 0)
     }
 
-    /// Returns room for `job` that is reserved for others, where it does not delay them.
+    /// Returns placements for `job` that may use room reserved for other jobs without delaying
+    /// them.
     pub(super) fn backfill(&mut self, now: Timestamp, job: &JobId) -> Option<Vec<Part>> {
         if self.reservations.is_empty() {
             return None;
         }
         let entry = self.jobs.get(job)?;
-        let closed = self.closed_to(now, entry);
+        let reserved = self.reserved_against(now, entry);
         let workers = self.reservations.values().flat_map(|r| &r.parts);
-        let lenders: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
-        let mut seats: Vec<Candidate> = lenders
+        let reserved_workers: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
+        let mut seats: Vec<Candidate> = reserved_workers
             .iter()
             .map(|worker| {
-                let closed = closed.get(worker).copied().unwrap_or(0);
+                let reserved = reserved.get(worker).copied().unwrap_or(0);
                 Candidate {
                     available: self
                         .inventory
                         .vacant_with_reserved(*worker)
-                        .saturating_sub(closed),
+                        .saturating_sub(reserved),
                     ..self.inventory.free.candidate(*worker)
                 }
             })
@@ -145,42 +149,43 @@
         seats.extend(
             roomiest
                 .into_iter()
-                .filter(|s| !lenders.contains(&s.worker)),
+                .filter(|s| !reserved_workers.contains(&s.worker)),
         );
         pick(&seats, &entry.spec.shape()).map(|plan| plan.parts)
     }
 
-    /// Returns what is reserved of each worker and not lent to `entry`. Room is lent to a job that
-    /// the holder may evict, that is expected to end before the holder could start, or that is
-    /// older than the holder.
-    pub(super) fn closed_to(&self, now: Timestamp, entry: &JobEntry) -> HashMap<WorkerId, u32> {
+    /// Returns the accelerators of each worker that are reserved and not lent to `entry`. Room is
+    /// lent to a job that the holder of the reservation may evict, that is expected to end before
+    /// the holder could start, or that is older than the holder.
+    pub(super) fn reserved_against(&self, now: Timestamp, entry: &JobEntry) -> HashMap<WorkerId, u32> {
         let expected = self.estimates.run_time(&entry.spec);
-        let mut closed = HashMap::default();
+        let mut reserved = HashMap::default();
         for ((accepted, holder), reservation) in &self.reservations {
             let holder = self.jobs.get(holder);
-            let movable = holder.is_some_and(|h| may_evict(h, EvictionReason::Age, entry));
-            let in_time = now + expected < reservation.ready;
-            if movable || in_time || entry.accepted < *accepted {
+            let evictable = holder.is_some_and(|h| may_evict(h, EvictionReason::Age, entry));
+            let ends_in_time = now + expected < reservation.ready;
+            if evictable || ends_in_time || entry.accepted < *accepted {
                 continue;
             }
             for part in &reservation.parts {
-                *closed.entry(part.worker).or_default() += part.tasks * reservation.size;
+                *reserved.entry(part.worker).or_default() +=
+                    part.tasks * reservation.task_accelerators;
             }
         }
-        closed
+        reserved
     }
 
-    /// Returns the room where `job` is expected to start first.
-    fn earliest(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
+    /// Returns a reservation of the room where `job` is expected to start first.
+    fn earliest_reservation(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
         let entry = self.jobs.get(job)?.clone();
         let shape = entry.spec.shape();
         let mut seats = self.eviction_candidates(&entry);
-        let closed = self.closed_to(now, &entry);
+        let reserved = self.reserved_against(now, &entry);
         for seat in &mut seats {
-            let closed = closed.get(&seat.worker).copied().unwrap_or(0);
-            seat.available = seat.available.saturating_sub(closed);
+            let reserved = reserved.get(&seat.worker).copied().unwrap_or(0);
+            seat.available = seat.available.saturating_sub(reserved);
         }
-        let mut ends = self.ends(now, &entry, &seats);
+        let mut ends = self.expected_ends(now, &entry, &seats);
         ends.sort_by_key(|e| e.at);
         let mut at = now;
         let mut due = ends.into_iter().peekable();
@@ -191,16 +196,16 @@
             if let Some(plan) = pick(&seats, &shape) {
                 return Some(Reservation {
                     parts: plan.parts,
-                    size: shape.accelerators,
-                    ready: at.max(now + OVERDUE),
+                    task_accelerators: shape.accelerators,
+                    ready: at.max(now + OVERDUE_REMAINING_TIME),
                 });
             }
             at = due.peek()?.at;
         }
     }
 
-    /// Returns when the accelerators on `seats` are expected to be free for `entry`.
-    fn ends(&self, now: Timestamp, entry: &JobEntry, seats: &[Candidate]) -> Vec<End> {
+    /// Returns when the accelerators on `seats` are expected to become free for `entry`.
+    fn expected_ends(&self, now: Timestamp, entry: &JobEntry, seats: &[Candidate]) -> Vec<ExpectedEnd> {
         let mut ends = Vec::new();
         for (seat, i) in seats.iter().zip(0..) {
             for holding in &self.inventory.worker(seat.worker).jobs {
@@ -210,7 +215,7 @@
                 let Stage::Holding(hold) = &other.stage else {
                     continue;
                 };
-                // What is being stopped is counted as coming already.
+                // The accelerators of a stopping job already count as becoming free.
                 if hold.stopping {
                     continue;
                 }
@@ -218,9 +223,9 @@
                 let at = match may_evict(entry, EvictionReason::Age, other) {
                     true => now,
                     false if expected > now => expected,
-                    false => now + OVERDUE,
+                    false => now + OVERDUE_REMAINING_TIME,
                 };
-                ends.push(End {
+                ends.push(ExpectedEnd {
                     at,
                     seat: i,
                     accelerators: holding.accelerators,
@@ -236,16 +241,16 @@
             .all(|p| self.inventory.worker(p.worker).usable())
     }
 
-    fn aged(&self, job: &JobId) -> Option<AgeKey> {
+    fn queue_key(&self, job: &JobId) -> Option<AgeKey> {
         let entry = self.jobs.get(job)?;
         Some((entry.accepted, job.clone()))
     }
 }
 
-/// The end of a job on one worker.
-struct End {
+/// The expected end of a job on one worker.
+struct ExpectedEnd {
     at: Timestamp,
-    /// The number of the worker among those looked at.
+    /// The index of the worker among the seats examined.
     seat: usize,
     accelerators: u32,
 }
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -186,7 +186,7 @@
         if known != Some(id) {
             self.last_new_worker = now;
             self.discovered_all = false;
-            self.hold_unheard(id);
+            self.hold_on_new_worker(id);
         }
         self.changed.push(id);
         self.needs_pass = true;
@@ -212,7 +212,7 @@
             if !matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
-            self.let_go(&job.job);
+            self.release_job(&job.job);
         }
         let evictions = self.jobs.get(&job.job).map_or(0, |e| e.evictions);
         if !job.cancelled {
@@ -230,8 +230,8 @@
             if matches!(entry.stage, Stage::Holding(_)) {
                 return;
             }
-            self.let_go(&job.job);
-            self.take_reservation(&job.job);
+            self.release_job(&job.job);
+            self.remove_reservation(&job.job);
             self.queue.remove(&job.spec, job.accepted, &job.job);
         }
         self.jobs
@@ -259,8 +259,8 @@
 
     /// Removes a job that is certain to have ended on all its workers.
     pub fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
-        self.let_go(job);
-        self.take_reservation(job);
+        self.release_job(job);
+        self.remove_reservation(job);
         let Some(entry) = self.jobs.remove(job) else {
             return;
         };
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -58,7 +58,7 @@
         let since = *planned.impossible_since.get_or_insert(now);
         log::warn!(job:% = job, why:? = why; "job_impossible");
         if now.since(since) > IMPOSSIBLE_END_AFTER {
-            self.end(now, job, JobEnd::Impossible);
+            self.end_job(now, job, JobEnd::Impossible);
         } else {
             self.delayed_jobs
                 .insert((now + IMPOSSIBLE_RETRY_DELAY, job.clone()));
