--- a/dragonflyrun/src/port/caller.rs
+++ b/dragonflyrun/src/port/caller.rs
@@ -10,7 +10,7 @@
     /// Hands a job in, which is `None` where the body can't be read as one.
     Submit(Option<JobRequest>),
     /// Asks for a job's state, or for the queue's count where the path names no job.
-    Look,
+    Query,
     /// Cancels a job.
     Cancel,
 }
@@ -55,7 +55,7 @@
     /// The store refused the record.
     StoreRefused,
     /// The store does not answer; nothing was sent.
-    StoreAway,
+    StoreUnreachable,
 }
 
 impl Refusal {
@@ -65,7 +65,7 @@
             Self::NotReady => "not_ready",
             Self::ConfigurationStale => "configuration_stale",
             Self::StoreRefused => "store_refused",
-            Self::StoreAway => "store_away",
+            Self::StoreUnreachable => "store_away",
         }
     }
 }
@@ -100,7 +100,7 @@
     async_fn_in_trait,
     reason = "a process runs all its tasks on one thread"
 )]
-pub trait Entrance: 'static {
+pub trait CallerHandler: 'static {
     /// Answers a request.
     async fn call(&self, req: CallerRequest) -> CallerAnswer;
 
--- a/dragonflyrun/src/port/mod.rs
+++ b/dragonflyrun/src/port/mod.rs
@@ -11,7 +11,7 @@
 mod worker;
 
 pub use advisor::{AdviceAnswer, AdviceQuestion, Advisor};
-pub use caller::{CallerAnswer, CallerCall, CallerRequest, Entrance, JobState, Refusal};
+pub use caller::{CallerAnswer, CallerCall, CallerHandler, CallerRequest, JobState, Refusal};
 pub use operator::{Advice, Configuration, OperatorRecord, Queue, Service, Workspace};
 pub use store::{
     Append, AppendError, Appended, Newest, Page, PageBody, Partition, ReadError, Store,
--- a/dragonflyrun/src/port/operator.rs
+++ b/dragonflyrun/src/port/operator.rs
@@ -57,7 +57,7 @@
     /// Its name.
     pub name: Name,
     /// Whether its workers themselves refuse what does not fit.
-    pub guards_capacity: bool,
+    pub rejects_overload: bool,
 }
 
 /// A workspace.
--- a/dragonflyrun/src/port/store.rs
+++ b/dragonflyrun/src/port/store.rs
@@ -113,7 +113,7 @@
             display("the writer has been replaced")
         }
         /// The partition ends elsewhere; nothing was appended.
-        Moved(end: u64) {
+        EndMoved(end: u64) {
             display("the partition ends at {end}")
         }
         /// The store expects another sequence number; nothing was appended.
@@ -121,7 +121,7 @@
             display("the sequence number is not the next one, {expected:?}")
         }
         /// Nothing was appended for certain.
-        NotDone(reason: String) {
+        NotAppended(reason: String) {
             display("not appended: {reason}")
         }
         /// The records may be there, or may still come.
@@ -158,7 +158,7 @@
     /// # Errors
     ///
     /// Where the answer ends early, falls silent or can't be used.
-    pub async fn whole(self) -> Result<Page, ReadError> {
+    pub async fn read_all(self) -> Result<Page, ReadError> {
         self.0.await
     }
 }
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -40,29 +40,29 @@
 /// Pause before the next look while an end waits for its confirmation, which takes the planner some
 /// 50 ms. A worker with an end to list answers at once, so that without a pause the agent asked it
 /// some 500 times a second, and without end while the store was away.
-const UNCONFIRMED_PAUSE: Duration = Duration::from_millis(25);
+const UNCONFIRMED_POLL_DELAY: Duration = Duration::from_millis(25);
 
 /// Time between two looks at a worker on which nothing runs.
-const IDLE_LOOK: Duration = Duration::from_millis(700);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Time between two reports where nothing has happened, while something runs.
-const BUSY_REPORT: Duration = Duration::from_millis(900);
+const BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Time between two reports of an idle worker; the planner takes three times that for silence.
-const IDLE_REPORT: Duration = Duration::from_millis(1_200);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Time between two reports at the most, with that for the append: the planner waits 3 s for one.
-const LONGEST_REPORT: Duration = Duration::from_millis(2_600);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(2_600);
 
 /// How many times the time that the store takes for a report lies between two of them. On a slow
 /// store reports that say nothing new would keep those waiting that tell of an end.
-const REPORT_SPACING: u32 = 4;
+const REPORT_APPEND_TIMES: u32 = 4;
 
 /// Pause while the worker's clock has not been looked at in a session; a look takes some 2 ms.
-const FIRST_LOOK: Duration = Duration::from_millis(10);
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(10);
 
 /// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Time for the append of a report; given up earlier on a slow store, it would only be sent twice.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_800);
@@ -80,11 +80,11 @@
     /// Calls to the worker that have had no answer, so that none is made twice at once.
     in_flight: Mutex<HashSet<(RunId, bool)>>,
     /// Wakes the reporter.
-    report: Notify,
+    report_wakeup: Notify,
     /// Wakes whoever looks at the worker.
-    look: Notify,
+    poll_wakeup: Notify,
     /// Wakes whoever opens sessions.
-    life: Notify,
+    session_wakeup: Notify,
 }
 
 impl<S: Store, W: Worker> StoreAgent<S, W> {
@@ -104,31 +104,31 @@
             counters,
             table: Mutex::new(table),
             in_flight: Mutex::default(),
-            report: Notify::new(),
-            look: Notify::new(),
-            life: Notify::new(),
+            report_wakeup: Notify::new(),
+            poll_wakeup: Notify::new(),
+            session_wakeup: Notify::new(),
         })
     }
 
     /// Starts the agent's tasks. To be called inside a local task set.
     pub fn start(self: &Arc<Self>) {
         tokio::task::spawn_local(self.clone().run_sessions());
-        tokio::task::spawn_local(self.clone().look_at_worker());
+        tokio::task::spawn_local(self.clone().poll_worker());
         tokio::task::spawn_local(self.clone().send_reports());
     }
 
     /// Opens a session for each life of the worker, and follows its orders.
     async fn run_sessions(self: Arc<Self>) {
         loop {
-            let open = lock(&self.table).worker();
-            let Some((worker, born_ms)) = open else {
-                wait_for(&self.life, IDLE_LOOK).await;
+            let current = lock(&self.table).worker();
+            let Some((worker, born_ms)) = current else {
+                wait_for(&self.session_wakeup, IDLE_POLL_INTERVAL).await;
                 continue;
             };
             let lane = self.lanes.lane_of(&worker);
             let partition = self.lanes.partition(lane);
             let Some(number) = self.open_session(partition, &worker).await else {
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
             {
@@ -138,7 +138,7 @@
                 }
             }
             log::info!(worker:% = worker, born_ms, session = number, lane; "session_opened");
-            self.look.notify_one();
+            self.poll_wakeup.notify_one();
             self.follow_orders(partition, &worker, born_ms, number)
                 .await;
             log::info!(worker:% = worker, session = number; "session_ended");
@@ -178,7 +178,7 @@
         let mut reachable = true;
         let mut reader = Reader::new(self.store.clone(), partition);
         loop {
-            let looked_ms = {
+            let worker_clock_ms = {
                 let table = lock(&self.table);
                 if table.worker() != Some((worker.clone(), born_ms)) || table.is_closed() {
                     break;
@@ -186,12 +186,12 @@
                 table.clock_ms()
             };
             // Without a look at the worker's clock an order could not be given a lease.
-            if looked_ms.is_none() {
-                sleep(FIRST_LOOK).await;
+            if worker_clock_ms.is_none() {
+                sleep(FIRST_POLL_DELAY).await;
                 continue;
             }
-            let busy = lock(&self.table).is_busy();
-            let wait = if busy { ORDER_WAIT } else { IDLE_ORDER_WAIT };
+            let is_busy = lock(&self.table).is_busy();
+            let wait = if is_busy { ORDER_WAIT } else { IDLE_ORDER_WAIT };
             let read = reader.read(next, wait).await;
             match read {
                 Ok(page) => {
@@ -201,19 +201,19 @@
                         reachable = true;
                     }
                     // A page that ends before the partition does is no proof against a fence.
-                    let looked_ms = looked_ms.filter(|_| next >= page.end);
+                    let worker_clock_ms = worker_clock_ms.filter(|_| next >= page.end);
                     let orders = orders_for(&page.records, worker, session);
-                    let some = !orders.is_empty();
-                    let actions = lock(&self.table).orders(looked_ms, orders, next);
-                    if some {
-                        self.look.notify_one();
+                    let has_orders = !orders.is_empty();
+                    let actions = lock(&self.table).orders(worker_clock_ms, orders, next);
+                    if has_orders {
+                        self.poll_wakeup.notify_one();
                     }
-                    self.carry_out(session, actions);
+                    self.spawn_calls(session, actions);
                 }
                 Err(ReadError::Dropped(first)) => {
                     log::warn!(worker:% = worker, session, next, first; "orders_lost");
                     let actions = lock(&self.table).orders_lost();
-                    self.carry_out(session, actions);
+                    self.spawn_calls(session, actions);
                     next = first;
                 }
                 Err(error) => {
@@ -222,19 +222,19 @@
                         log::warn!(what = "orders", why:% = error; "store_lost");
                         reachable = false;
                     }
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
         // The planner has to hear that the session is closed before another one opens.
-        self.report.notify_one();
+        self.report_wakeup.notify_one();
         if lock(&self.table).is_closed() {
             self.append_reports().await;
             lock(&self.table).forget_departed();
         }
     }
 
-    fn carry_out(self: &Arc<Self>, session: u64, actions: Vec<AgentAction>) {
+    fn spawn_calls(self: &Arc<Self>, session: u64, actions: Vec<AgentAction>) {
         for action in actions {
             let call = match &action {
                 AgentAction::Start(order) => (order.run.clone(), true),
@@ -243,15 +243,15 @@
             if lock(&self.in_flight).insert(call.clone()) {
                 let agent = self.clone();
                 tokio::task::spawn_local(async move {
-                    agent.act(session, action).await;
+                    agent.call_worker(session, action).await;
                     lock(&agent.in_flight).remove(&call);
-                    agent.look.notify_one();
+                    agent.poll_wakeup.notify_one();
                 });
             }
         }
     }
 
-    async fn act(&self, session: u64, action: AgentAction) {
+    async fn call_worker(&self, session: u64, action: AgentAction) {
         let Some((worker, _)) = lock(&self.table).worker() else {
             return;
         };
@@ -270,7 +270,7 @@
                     self.counters.event("start_not_done");
                 }
                 if lock(&self.table).start_result(&order.run, session, result) {
-                    self.report.notify_one();
+                    self.report_wakeup.notify_one();
                 }
             }
             AgentAction::Stop(run) => {
@@ -282,7 +282,7 @@
     }
 
     /// Looks at the worker: confirms ends, extends the lease, and takes its lists.
-    async fn look_at_worker(self: Arc<Self>) {
+    async fn poll_worker(self: Arc<Self>) {
         loop {
             let asked = {
                 let mut table = lock(&self.table);
@@ -290,18 +290,18 @@
                 worker.and_then(|(worker, _)| Some((worker, table.ask_lists()?)))
             };
             let Some((worker, (asked, session, confirmed, lease))) = asked else {
-                wait_for(&self.look, IDLE_LOOK).await;
+                wait_for(&self.poll_wakeup, IDLE_POLL_INTERVAL).await;
                 continue;
             };
-            let busy = lock(&self.table).is_busy();
-            let wait = if busy { END_WAIT } else { Duration::ZERO };
+            let is_busy = lock(&self.table).is_busy();
+            let wait = if is_busy { END_WAIT } else { Duration::ZERO };
             let sent = Instant::now();
             let lists = self
                 .worker
                 .renew(&worker, session, confirmed, lease, wait)
                 .await;
             self.counters.latency("renewal", sent.elapsed());
-            let urgent = match lists {
+            let report_now = match lists {
                 Ok(lists) => lock(&self.table).lists(asked, session, lists),
                 Err(error) => {
                     let refused = error == CallError::NotListening;
@@ -309,41 +309,47 @@
                     if new {
                         log::warn!(worker:% = worker, session, why:% = error; "worker_unreachable");
                     }
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                     new
                 }
             };
-            if urgent {
-                self.report.notify_one();
+            if report_now {
+                self.report_wakeup.notify_one();
             }
-            let again = {
+            let actions = {
                 let mut table = lock(&self.table);
-                let mut again = table.unanswered();
-                if again.is_empty() {
-                    again = table.stop_again();
+                let mut actions = table.unanswered();
+                if actions.is_empty() {
+                    actions = table.stop_again();
                 }
-                again
+                actions
             };
-            self.carry_out(session, again);
-            if !busy {
-                wait_for(&self.look, IDLE_LOOK).await;
+            self.spawn_calls(session, actions);
+            if !is_busy {
+                wait_for(&self.poll_wakeup, IDLE_POLL_INTERVAL).await;
             } else if lock(&self.table).has_ends() {
-                wait_for(&self.look, UNCONFIRMED_PAUSE).await;
+                wait_for(&self.poll_wakeup, UNCONFIRMED_POLL_DELAY).await;
             }
         }
     }
 
     async fn send_reports(self: Arc<Self>) {
-        let mut took = Duration::ZERO;
+        let mut append_elapsed = Duration::ZERO;
         loop {
-            let busy = lock(&self.table).is_busy();
-            let usual = if busy { BUSY_REPORT } else { IDLE_REPORT };
-            let longest = LONGEST_REPORT.saturating_sub(took);
-            let spaced = (took * REPORT_SPACING).min(longest).max(usual);
-            wait_for(&self.report, spaced).await;
+            let is_busy = lock(&self.table).is_busy();
+            let min_interval = if is_busy {
+                BUSY_REPORT_INTERVAL
+            } else {
+                IDLE_REPORT_INTERVAL
+            };
+            let max_interval = MAX_REPORT_INTERVAL.saturating_sub(append_elapsed);
+            let interval = (append_elapsed * REPORT_APPEND_TIMES)
+                .min(max_interval)
+                .max(min_interval);
+            wait_for(&self.report_wakeup, interval).await;
             let began = Instant::now();
             self.append_reports().await;
-            took = began.elapsed();
+            append_elapsed = began.elapsed();
         }
     }
 
@@ -366,8 +372,8 @@
             if let Err(error) = self.store.append(&append, REPORT_TIMEOUT).await {
                 self.counters.event("report_not_stored");
                 log::debug!(reason:% = error; "report_not_stored");
-                sleep(PAUSE).await;
-                self.report.notify_one();
+                sleep(RETRY_DELAY).await;
+                self.report_wakeup.notify_one();
             }
         }
     }
@@ -379,8 +385,8 @@
         let born_ms = heartbeat.born_ms;
         if lock(&self.table).heartbeat(heartbeat, Instant::now()) {
             log::info!(worker:% = worker, born_ms, draining; "worker_heartbeat");
-            self.life.notify_one();
-            self.report.notify_one();
+            self.session_wakeup.notify_one();
+            self.report_wakeup.notify_one();
         }
         true
     }
@@ -388,7 +394,7 @@
     fn leave(&self, worker: &str) {
         if lock(&self.table).leave(worker) {
             log::info!(worker; "worker_left");
-            self.report.notify_one();
+            self.report_wakeup.notify_one();
         }
     }
 }
--- a/dragonflyrun/src/process/on_store/own_interface.rs
+++ b/dragonflyrun/src/process/on_store/api.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::{
-    port::{Advisor, CallerAnswer, CallerCall, CallerRequest, Entrance, JobState, Store},
+    port::{Advisor, CallerAnswer, CallerCall, CallerHandler, CallerRequest, JobState, Store},
     process::on_store::{
         BootTime, DeploymentView, StepJobFile, StepJobView, StepView, StoreEntry, view::state_name,
     },
@@ -20,11 +20,11 @@
 pub const WORKSPACE_KEY_HEADER: &str = "dragonfly-workspace-key";
 
 /// How long a job that is handed in here may take: what the tool waits for, less its way back.
-const PATIENCE: Duration = Duration::from_secs(3);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A call of the own interface.
 #[derive(Clone, Debug)]
-pub struct OwnCall<'a> {
+pub struct ApiCall<'a> {
     /// The HTTP method.
     pub method: &'a str,
     /// The path.
@@ -37,7 +37,7 @@
 
 /// The answer to a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OwnAnswer {
+pub struct ApiAnswer {
     /// The HTTP status.
     pub status: u16,
     /// Its body, in JSON.
@@ -46,21 +46,21 @@
 
 /// Why a call of the own interface was not done; the body of such an answer.
 #[derive(Clone, Debug, serde::Deserialize, Eq, PartialEq, Serialize)]
-pub struct NotDone {
+pub struct ApiError {
     /// The reason, in words.
     pub reason: String,
     /// Milliseconds after which it may be tried again, where that may help.
     pub retry_after_ms: Option<u64>,
 }
 
-impl OwnAnswer {
-    fn done(value: &impl Serialize) -> Self {
+impl ApiAnswer {
+    fn ok(value: &impl Serialize) -> Self {
         Self::new(200, value)
     }
 
-    fn not_done(status: u16, reason: &str, retry_after: Option<Duration>) -> Self {
+    fn error(status: u16, reason: &str, retry_after: Option<Duration>) -> Self {
         let ms = retry_after.map(|after| u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
-        let body = NotDone {
+        let body = ApiError {
             reason: reason.to_owned(),
             retry_after_ms: ms,
         };
@@ -79,16 +79,16 @@
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
     /// Answers a call of the own interface.
-    pub async fn own_call(&self, call: OwnCall<'_>) -> OwnAnswer {
+    pub async fn answer_api_call(&self, call: ApiCall<'_>) -> ApiAnswer {
         let path = call.path.strip_prefix("/v1/").unwrap_or_default();
         match (call.method, path.split_once('/').unwrap_or((path, ""))) {
-            ("GET", ("deployment", "")) => OwnAnswer::done(&self.deployment()),
+            ("GET", ("deployment", "")) => ApiAnswer::ok(&self.deployment()),
             ("GET", ("jobs" | "why", job)) => match self.step_job(job) {
-                Some(view) => OwnAnswer::done(&view),
-                None => OwnAnswer::not_done(404, "no such job, or it is no longer known", None),
+                Some(view) => ApiAnswer::ok(&view),
+                None => ApiAnswer::error(404, "no such job, or it is no longer known", None),
             },
-            ("POST", ("jobs", job)) => self.hand_in(job, &call).await,
-            _ => OwnAnswer::not_done(404, "no such call", None),
+            ("POST", ("jobs", job)) => self.submit_step_job(job, &call).await,
+            _ => ApiAnswer::error(404, "no such call", None),
         }
     }
 
@@ -101,8 +101,8 @@
             ms.map(|ms| u64::try_from(ms).unwrap_or(u64::MAX))
         };
         let mut counts = [0; 3];
-        for (name, _) in state.book.jobs() {
-            match state.book.look_up(name) {
+        for (name, _) in state.job_table.jobs() {
+            match state.job_table.look_up(name) {
                 LookUp::Known(JobState::Queued) => counts[0] += 1,
                 LookUp::Known(JobState::Running) => counts[1] += 1,
                 LookUp::Known(_) => counts[2] += 1,
@@ -116,11 +116,11 @@
             entry: self.settings.name.clone(),
             ready,
             configuration: state.configuration.as_ref().map(|c| c.version),
-            configuration_age_ms: age(state.operator_proof),
-            jobs_age_ms: age(state.book_proof),
+            configuration_age_ms: age(state.operators_current_at),
+            jobs_age_ms: age(state.job_table_current_at),
             planner: state.election.term().entry.clone(),
             term: state.election.term().number,
-            plans_here: state.plans,
+            plans_here: state.is_planner,
             planner_seen_ms: u64::try_from(seen.as_millis()).unwrap_or(u64::MAX),
             planner_stale: state.election.term().stale,
             out_of_service,
@@ -132,10 +132,10 @@
 
     fn step_job(&self, name: &str) -> Option<StepJobView> {
         let state = lock(&self.state);
-        let LookUp::Known(job_state) = state.book.look_up(name) else {
+        let LookUp::Known(job_state) = state.job_table.look_up(name) else {
             return None;
         };
-        let entry = state.book.get(name)?;
+        let entry = state.job_table.get(name)?;
         let job = entry.job.as_ref()?;
         let steps = 0..u32::try_from(job.request.steps.len()).unwrap_or(u32::MAX);
         Some(StepJobView {
@@ -151,30 +151,30 @@
         })
     }
 
-    async fn hand_in(&self, job: &str, call: &OwnCall<'_>) -> OwnAnswer {
+    async fn submit_step_job(&self, job: &str, call: &ApiCall<'_>) -> ApiAnswer {
         let file: StepJobFile = match serde_json::from_slice(call.body) {
             Ok(file) => file,
-            Err(error) => return OwnAnswer::not_done(400, &error.to_string(), None),
+            Err(error) => return ApiAnswer::error(400, &error.to_string(), None),
         };
         let configuration = lock(&self.state).configuration.clone();
         let queues = configuration.iter().flat_map(|c| &c.queues);
         let Some(queue) = queues.into_iter().find(|q| q.name == file.queue) else {
-            return OwnAnswer::not_done(404, "no such queue is in force", None);
+            return ApiAnswer::error(404, "no such queue is in force", None);
         };
         let req = CallerRequest {
             host: queue.host.to_string(),
             path: format!("{}{job}", queue.prefix),
             key: call.key.map(str::to_owned),
-            patience: PATIENCE,
+            patience: SUBMIT_TIMEOUT,
             call: CallerCall::Submit(Some(file.request())),
         };
         match self.call(req).await {
-            CallerAnswer::Accepted => OwnAnswer::done(&serde_json::json!({ "job": job })),
-            CallerAnswer::UnknownKey => OwnAnswer::not_done(401, "the key is not known", None),
-            CallerAnswer::Malformed => OwnAnswer::not_done(400, "the job makes no sense", None),
-            CallerAnswer::Refused(why, after) => OwnAnswer::not_done(503, why.name(), Some(after)),
-            CallerAnswer::NoQueue => OwnAnswer::not_done(404, "no such queue is in force", None),
-            _ => OwnAnswer::not_done(504, "it is not known whether the job is accepted", None),
+            CallerAnswer::Accepted => ApiAnswer::ok(&serde_json::json!({ "job": job })),
+            CallerAnswer::UnknownKey => ApiAnswer::error(401, "the key is not known", None),
+            CallerAnswer::Malformed => ApiAnswer::error(400, "the job makes no sense", None),
+            CallerAnswer::Refused(why, after) => ApiAnswer::error(503, why.name(), Some(after)),
+            CallerAnswer::NoQueue => ApiAnswer::error(404, "no such queue is in force", None),
+            _ => ApiAnswer::error(504, "it is not known whether the job is accepted", None),
         }
     }
 }
--- a/dragonflyrun/src/process/on_store/append_time.rs
+++ b/dragonflyrun/src/process/on_store/append_timeout.rs
@@ -8,10 +8,10 @@
 
 /// How many times the store's usual delay an append may take: the store refuses appends itself where
 /// the queue is longer.
-const DELAYS: u32 = 8;
+const MAX_STORE_DELAYS: u32 = 8;
 
 /// Returns the time for an append on a store that usually takes `delay` for an answer: `least` where it
 /// is prompt.
-pub fn append_time(least: Duration, delay: Duration) -> Duration {
-    least.max(delay * DELAYS)
+pub fn append_timeout(min: Duration, delay: Duration) -> Duration {
+    min.max(delay * MAX_STORE_DELAYS)
 }
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -9,7 +9,7 @@
         Advisor, Append, AppendError, CallerAnswer, CallerRequest, JobState, Partition, ReadError,
         Refusal, Store,
     },
-    process::on_store::{StoreEntry, append_time},
+    process::on_store::{StoreEntry, append_timeout},
     utils::{Name, lock},
     workload::{Job, JobRecord, LookUp},
 };
@@ -21,14 +21,14 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How many of the store's usual delays that read may take.
-const PROBE_DELAYS: u32 = 4;
+const PROBE_STORE_DELAYS: u32 = 4;
 
 /// Pause between two tries of an append.
-const APPEND_PAUSE: Duration = Duration::from_millis(60);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Tries of an append that the store refuses before the caller is told so: one short refusal is
 /// bridged, a store that stays away is not waited for.
-const REFUSED_TRIES: u32 = 3;
+const MAX_REFUSED_ATTEMPTS: u32 = 3;
 
 /// Share of a caller's patience after which it is told that the outcome is not known.
 const PATIENCE_SHARE: f64 = 0.85;
@@ -36,7 +36,7 @@
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
     pub(super) async fn submit(&self, req: &CallerRequest, job: Job) -> CallerAnswer {
         let known = lock(&self.state)
-            .book
+            .job_table
             .get(&job.name)
             .is_some_and(|e| e.job.is_some());
         if known {
@@ -45,19 +45,19 @@
         let summary = job.to_string();
         let name = job.name.clone();
         let record = JobRecord::Accepted(Box::new(job));
-        let came = Instant::now();
+        let started_at = Instant::now();
         let answer = self.append(req, &record).await;
-        self.counters.latency("hand_in", came.elapsed());
+        self.counters.latency("hand_in", started_at.elapsed());
         self.counters.event(match &answer {
             Ok(()) => "job_accepted",
             Err(CallerAnswer::Unknown) => "job_unknown",
             Err(_) => "job_refused",
         });
         if answer.is_ok() {
-            self.remember(record);
+            self.fold_stored(record);
         }
         log::info!(
-            job:% = name, outcome = outcome_name(&answer), summary,
+            job:% = name, outcome = outcome_label(&answer), summary,
             patience_ms = req.patience.as_millis() as u64;
             "job_handed_in"
         );
@@ -66,7 +66,7 @@
 
     pub(super) async fn cancel(&self, req: &CallerRequest, name: &Name) -> CallerAnswer {
         let LookUp::Known(state) = self.look_up(name).await else {
-            return self.not_known();
+            return self.unknown_job_answer();
         };
         if matches!(
             state,
@@ -77,21 +77,21 @@
         let record = JobRecord::Cancelled(name.clone());
         let answer = self.append(req, &record).await;
         if answer.is_ok() {
-            self.remember(record);
+            self.fold_stored(record);
         }
-        log::info!(job:% = name, outcome = outcome_name(&answer); "job_cancelled");
+        log::info!(job:% = name, outcome = outcome_label(&answer); "job_cancelled");
         answer.map_or_else(|refused| refused, |()| CallerAnswer::Cancelled)
     }
 
     /// Folds a record that the store has confirmed before the follower reads it, so that this
     /// entry answers for it at once.
-    fn remember(&self, record: JobRecord) {
+    fn fold_stored(&self, record: JobRecord) {
         let mut state = lock(&self.state);
-        if state.book.fold(record.clone()) {
-            state.tell_planner(record);
+        if state.job_table.fold(record.clone()) {
+            state.queue_for_planner(record);
         }
         drop(state);
-        self.news.notify_one();
+        self.planner_wakeup.notify_one();
     }
 
     /// Appends a caller's record. Repeats and late arrivals of it do no harm, so it is tried again
@@ -103,36 +103,36 @@
             writer: None,
             at: None,
         };
-        let end = Instant::now() + req.patience.mul_f64(PATIENCE_SHARE);
-        if !self.store_answers(end).await {
-            return Err(self.refuse(Refusal::StoreAway));
+        let deadline = Instant::now() + req.patience.mul_f64(PATIENCE_SHARE);
+        if !self.probe_store(deadline).await {
+            return Err(self.refuse(Refusal::StoreUnreachable));
         }
         let _transfer = self.link_load.begin(append.bytes());
-        let mut doubtful = false;
+        let mut may_be_stored = false;
         let mut refused = 0;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(self.not_stored(doubtful));
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(self.not_stored_answer(may_be_stored));
             }
-            if !doubtful && self.store_is_away() {
-                return Err(self.refuse(Refusal::StoreAway));
+            if !may_be_stored && self.is_store_unreachable() {
+                return Err(self.refuse(Refusal::StoreUnreachable));
             }
-            let asked = Instant::now();
-            let within = append_time(APPEND_TIMEOUT, lock(&self.state).store_delay);
-            let within = within + self.link_load.time();
-            let appended = self.store.append(&append, left.min(within)).await;
-            self.counters.latency("append", asked.elapsed());
+            let sent_at = Instant::now();
+            let limit = append_timeout(APPEND_TIMEOUT, lock(&self.state).store_delay);
+            let limit = limit + self.link_load.time_limit();
+            let appended = self.store.append(&append, remaining.min(limit)).await;
+            self.counters.latency("append", sent_at.elapsed());
             match appended {
                 Ok(_) => {
-                    lock(&self.state).reach.answered(Instant::now());
+                    lock(&self.state).reachability.answered(Instant::now());
                     return Ok(());
                 }
                 Err(AppendError::Unknown(reason)) => {
-                    doubtful = true;
+                    may_be_stored = true;
                     let mut state = lock(&self.state);
                     state
-                        .reach
+                        .reachability
                         .append_unanswered(Instant::now(), APPEND_TIMEOUT);
                     drop(state);
                     self.counters.event("append_doubtful");
@@ -141,12 +141,12 @@
                 Err(error) => {
                     refused += 1;
                     log::debug!(reason:% = error; "append_refused");
-                    if refused >= REFUSED_TRIES && !doubtful {
-                        return Err(self.not_stored(false));
+                    if refused >= MAX_REFUSED_ATTEMPTS && !may_be_stored {
+                        return Err(self.not_stored_answer(false));
                     }
                 }
             }
-            sleep(APPEND_PAUSE).await;
+            sleep(APPEND_RETRY_DELAY).await;
         }
     }
 
@@ -155,38 +155,42 @@
     ///
     /// A record that is sent into a partition leaves its caller in doubt until its patience ends. A read that
     /// is not answered harms nobody: the caller is refused truly, and tries another entry.
-    async fn store_answers(&self, until: Instant) -> bool {
+    async fn probe_store(&self, deadline: Instant) -> bool {
         let (recent, delay, end) = {
             let state = lock(&self.state);
-            let recent = state.reach.is_recent(Instant::now(), state.store_delay);
-            (recent, state.store_delay, state.book_end)
+            let recent = state
+                .reachability
+                .is_recent(Instant::now(), state.store_delay);
+            (recent, state.store_delay, state.job_table_end)
         };
         if recent {
             return true;
         }
-        let left = until.saturating_duration_since(Instant::now());
-        let within = PROBE_TIMEOUT.max(delay * PROBE_DELAYS).min(left);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let limit = PROBE_TIMEOUT.max(delay * PROBE_STORE_DELAYS).min(remaining);
         let read = self.store.read(Partition::JOBS, end, Duration::ZERO);
-        let answered = match timeout(within, read).await {
+        let answered = match timeout(limit, read).await {
             Ok(Ok(_) | Err(ReadError::Dropped(_))) => true,
             Ok(Err(ReadError::Unavailable(_))) | Err(_) => false,
         };
         let mut state = lock(&self.state);
         if answered {
-            state.reach.answered(Instant::now());
+            state.reachability.answered(Instant::now());
         } else {
-            state.reach.read_failed();
+            state.reachability.read_failed();
         }
         answered
     }
 
-    fn store_is_away(&self) -> bool {
+    fn is_store_unreachable(&self) -> bool {
         let state = lock(&self.state);
-        state.reach.is_away(Instant::now(), state.store_delay)
+        state
+            .reachability
+            .is_away(Instant::now(), state.store_delay)
     }
 
-    fn not_stored(&self, doubtful: bool) -> CallerAnswer {
-        if doubtful {
+    fn not_stored_answer(&self, may_be_stored: bool) -> CallerAnswer {
+        if may_be_stored {
             CallerAnswer::Unknown
         } else {
             self.refuse(Refusal::StoreRefused)
@@ -195,12 +199,12 @@
 
     pub(super) fn refuse(&self, refusal: Refusal) -> CallerAnswer {
         self.counters.event(refusal.name());
-        let after = lock(&self.state).reach.retry_after(Instant::now());
+        let after = lock(&self.state).reachability.retry_after(Instant::now());
         CallerAnswer::Refused(refusal, after)
     }
 }
 
-fn outcome_name(answer: &Result<(), CallerAnswer>) -> &'static str {
+fn outcome_label(answer: &Result<(), CallerAnswer>) -> &'static str {
     match answer {
         Ok(()) => "stored",
         Err(CallerAnswer::Unknown) => "unknown",
--- a/dragonflyrun/src/process/on_store/entrance.rs
+++ b/dragonflyrun/src/process/on_store/caller_requests.rs
@@ -6,11 +6,12 @@
 
 use crate::{
     port::{
-        Advisor, CallerAnswer, CallerCall, CallerRequest, Entrance, JobState, Queue, Refusal, Store,
+        Advisor, CallerAnswer, CallerCall, CallerHandler, CallerRequest, JobState, Queue, Refusal,
+        Store,
     },
     process::on_store::{
         BootTime, StoreEntry,
-        entry::{READY_AGE, unix_ms},
+        entry::{MAX_READY_AGE, unix_ms},
     },
     utils::{Name, lock},
     workload::{Job, LookUp, MOST_NAME_BYTES},
@@ -18,7 +19,7 @@
 
 /// Share of the bound on revoked keys up to which an old proof still counts; the rest covers the
 /// time that a request is under way.
-const REVOKE_SHARE: f64 = 0.85;
+const REVOKE_BOUND_SHARE: f64 = 0.85;
 
 /// How long the answer to a question about a running job waits for its end. Callers ask when their work
 /// is done, and the store learns that some 30 ms later. An answer of `running` in between would let them
@@ -26,29 +27,29 @@
 const END_WAIT: Duration = Duration::from_millis(100);
 
 /// How many of the store's delays it waits beside that: an end is reported, read, planned and read.
-const END_DELAYS: u32 = 4;
+const END_WAIT_STORE_DELAYS: u32 = 4;
 
 /// Share of a caller's patience that may be spent on waiting for the end.
 const END_PATIENCE_SHARE: f64 = 0.1;
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
     /// Returns the state of a job; that of a running one after waiting a moment for its end.
-    async fn look_up_end(&self, req: &CallerRequest, name: &Name) -> LookUp {
+    async fn look_up_awaiting_end(&self, req: &CallerRequest, name: &Name) -> LookUp {
         let found = self.look_up(name).await;
         if found != LookUp::Known(JobState::Running) {
             return found;
         }
         let delay = lock(&self.state).store_delay;
-        let most = req.patience.mul_f64(END_PATIENCE_SHARE);
-        let until = Instant::now() + (END_WAIT + delay * END_DELAYS).min(most);
-        let watch = self.job_reads.watch();
+        let limit = req.patience.mul_f64(END_PATIENCE_SHARE);
+        let deadline = Instant::now() + (END_WAIT + delay * END_WAIT_STORE_DELAYS).min(limit);
+        let watch = self.job_read_pause.watch();
         loop {
             let folded = watch.folded();
-            let found = lock(&self.state).book.look_up(name);
+            let found = lock(&self.state).job_table.look_up(name);
             if found != LookUp::Known(JobState::Running) {
                 return found;
             }
-            if timeout_at(until, folded).await.is_err() {
+            if timeout_at(deadline, folded).await.is_err() {
                 return found;
             }
         }
@@ -56,20 +57,20 @@
 
     /// Returns what the book has of a job, as current as the store's answers allow.
     pub(super) async fn look_up(&self, name: &Name) -> LookUp {
-        self.catch_up().await;
-        let found = lock(&self.state).book.look_up(name);
+        self.catch_up_jobs().await;
+        let found = lock(&self.state).job_table.look_up(name);
         if found != LookUp::Unknown {
             return found;
         }
         // Another entry may have accepted it since the read under way was answered.
-        self.next_read().await;
-        lock(&self.state).book.look_up(name)
+        self.await_next_read().await;
+        lock(&self.state).job_table.look_up(name)
     }
 
     /// Answers for a job that the book does not have: only a current book can deny it.
-    pub(super) fn not_known(&self) -> CallerAnswer {
-        let proof = lock(&self.state).book_proof;
-        if proof.is_some_and(|p| p.elapsed() < READY_AGE) {
+    pub(super) fn unknown_job_answer(&self) -> CallerAnswer {
+        let proof = lock(&self.state).job_table_current_at;
+        if proof.is_some_and(|p| p.elapsed() < MAX_READY_AGE) {
             CallerAnswer::NoJob
         } else {
             self.refuse(Refusal::NotReady)
@@ -82,11 +83,11 @@
             drop(state);
             return Err(self.refuse(Refusal::NotReady));
         };
-        let proof = state.operator_proof.map(BootTime::elapsed);
-        let read = state.book_proof.is_some();
+        let proof = state.operators_current_at.map(BootTime::elapsed);
+        let read = state.job_table_current_at.is_some();
         drop(state);
-        let most = self.settings.bounds.revoke.mul_f64(REVOKE_SHARE);
-        if proof.is_none_or(|age| age > most) || !read {
+        let max_age = self.settings.bounds.revoke.mul_f64(REVOKE_BOUND_SHARE);
+        if proof.is_none_or(|age| age > max_age) || !read {
             return Err(self.refuse(Refusal::ConfigurationStale));
         }
         let Some((queue, rest)) = configuration.queue_of(&req.host, &req.path) else {
@@ -114,7 +115,7 @@
     job: Name,
 }
 
-impl<S: Store, A: Advisor> Entrance for StoreEntry<S, A> {
+impl<S: Store, A: Advisor> CallerHandler for StoreEntry<S, A> {
     async fn call(&self, req: CallerRequest) -> CallerAnswer {
         let admitted = match self.admit(&req) {
             Ok(admitted) => admitted,
@@ -122,12 +123,12 @@
         };
         let name = admitted.job.clone();
         match &req.call {
-            CallerCall::Look if name.is_empty() => {
-                CallerAnswer::Pending(lock(&self.state).book.pending(&admitted.queue.name))
+            CallerCall::Query if name.is_empty() => {
+                CallerAnswer::Pending(lock(&self.state).job_table.pending(&admitted.queue.name))
             }
-            CallerCall::Look => match self.look_up_end(&req, &name).await {
+            CallerCall::Query => match self.look_up_awaiting_end(&req, &name).await {
                 LookUp::Known(state) => CallerAnswer::State(state),
-                LookUp::Unknown => self.not_known(),
+                LookUp::Unknown => self.unknown_job_answer(),
             },
             CallerCall::Cancel => self.cancel(&req, &name).await,
             CallerCall::Submit(Some(job)) if job.is_sound() && is_storable(&name) => {
@@ -151,10 +152,10 @@
 
     fn is_ready(&self) -> bool {
         let state = lock(&self.state);
-        let current = |proof: Option<BootTime>| proof.is_some_and(|p| p.elapsed() < READY_AGE);
+        let current = |proof: Option<BootTime>| proof.is_some_and(|p| p.elapsed() < MAX_READY_AGE);
         state.configuration.is_some()
-            && current(state.operator_proof)
-            && current(state.book_proof)
+            && current(state.operators_current_at)
+            && current(state.job_table_current_at)
             && !self.stopping.load(Ordering::Relaxed)
     }
 }
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -39,37 +39,38 @@
 const PLANNER_READ_WAIT: Duration = Duration::from_millis(300);
 
 /// Pause between two reads of the jobs at an entry that does not plan; see [`ReadPause`].
-const FOLLOW_PAUSE: Duration = Duration::from_millis(200);
+const STANDBY_READ_PAUSE: Duration = Duration::from_millis(200);
 
 /// How long a caller's question waits for a read that it has asked for.
-const CATCH_UP: Duration = Duration::from_millis(150);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Pause after a read that failed, so that a store that is down is not asked without end.
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Age of the newest proof from the store above which the balancer is told to go elsewhere.
-pub(super) const READY_AGE: Duration = Duration::from_millis(2_200);
+pub(super) const MAX_READY_AGE: Duration = Duration::from_millis(2_200);
 
-const _: () = assert!(READY_AGE.as_millis() > 2 * READ_WAIT.as_millis() + FOLLOW_PAUSE.as_millis());
+const _: () =
+    assert!(MAX_READY_AGE.as_millis() > 2 * READ_WAIT.as_millis() + STANDBY_READ_PAUSE.as_millis());
 
 /// Decodes operators' records; the adapter knows their format.
 pub type OperatorDecoder = dyn Fn(&StoreRecord) -> Option<OperatorRecord>;
 
 /// What an entry knows. Guarded by one lock.
 pub(super) struct EntryState {
-    pub(super) book: Book,
-    pub(super) book_end: u64,
-    pub(super) book_proof: Option<BootTime>,
+    pub(super) job_table: Book,
+    pub(super) job_table_end: u64,
+    pub(super) job_table_current_at: Option<BootTime>,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) evacuated: Arc<HashSet<Name>>,
-    pub(super) operator_proof: Option<BootTime>,
-    pub(super) reach: StoreReach,
+    pub(super) operators_current_at: Option<BootTime>,
+    pub(super) reachability: StoreReach,
     /// How long the store takes for an answer.
     pub(super) store_delay: Duration,
     pub(super) election: Election,
     /// Whether this entry plans, so that its planner wants to hear of `news`.
-    pub(super) plans: bool,
-    pub(super) news: Vec<JobRecord>,
+    pub(super) is_planner: bool,
+    pub(super) new_records: Vec<JobRecord>,
     /// What jobs wait for, as this entry's planner found it; empty where it does not plan.
     pub(super) waiting: HashMap<Name, Waiting>,
 }
@@ -81,10 +82,10 @@
     pub(super) advisor: A,
     pub(super) counters: Arc<Counters>,
     pub(super) state: Mutex<EntryState>,
-    pub(super) job_reads: ReadPause,
+    pub(super) job_read_pause: ReadPause,
     pub(super) link_load: LinkLoad,
     /// Wakes the planner: a job, a cancellation, a configuration or a report has come.
-    pub(super) news: Notify,
+    pub(super) planner_wakeup: Notify,
     pub(super) stopping: AtomicBool,
     started: Instant,
 }
@@ -105,21 +106,21 @@
             advisor,
             counters,
             state: Mutex::new(EntryState {
-                book: Book::default(),
-                book_end: 0,
-                book_proof: None,
+                job_table: Book::default(),
+                job_table_end: 0,
+                job_table_current_at: None,
                 configuration: None,
                 evacuated: Arc::default(),
-                operator_proof: None,
-                reach: StoreReach::default(),
+                operators_current_at: None,
+                reachability: StoreReach::default(),
                 store_delay: Duration::ZERO,
                 election,
-                plans: false,
-                news: Vec::new(),
+                is_planner: false,
+                new_records: Vec::new(),
                 waiting: HashMap::default(),
             }),
-            job_reads: ReadPause::default(),
-            news: Notify::new(),
+            job_read_pause: ReadPause::default(),
+            planner_wakeup: Notify::new(),
             stopping: AtomicBool::new(false),
             started: Instant::now(),
         })
@@ -140,7 +141,7 @@
     /// Tells the balancer to go elsewhere; what still comes is served.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
-        self.news.notify_one();
+        self.planner_wakeup.notify_one();
     }
 
     pub(super) fn now(&self) -> Timestamp {
@@ -155,7 +156,7 @@
         loop {
             match follower.next(wait).await {
                 Ok(batch) => {
-                    self.report_reach(&mut reachable, true, "operators", "");
+                    self.log_reachability(&mut reachable, true, "operators", "");
                     // A large record proves what was in force when its read was sent, long ago.
                     wait = match batch.records.is_empty() {
                         true => READ_WAIT,
@@ -164,9 +165,9 @@
                     self.fold_operators(batch, &decoder);
                 }
                 Err(error) => {
-                    self.report_reach(&mut reachable, false, "operators", &error.to_string());
-                    lock(&self.state).reach.read_failed();
-                    sleep(READ_PAUSE).await;
+                    self.log_reachability(&mut reachable, false, "operators", &error.to_string());
+                    lock(&self.state).reachability.read_failed();
+                    sleep(READ_RETRY_DELAY).await;
                 }
             }
         }
@@ -182,7 +183,7 @@
         for record in &batch.records {
             match decoder(record) {
                 Some(OperatorRecord::Configuration(configuration)) => {
-                    state.take_configuration(*configuration);
+                    state.apply_configuration(*configuration);
                 }
                 Some(OperatorRecord::Evacuation {
                     failure_domain,
@@ -201,12 +202,12 @@
         }
         state.evacuated = Arc::new(evacuated);
         if batch.is_current {
-            state.operator_proof = Some(batch.asked);
+            state.operators_current_at = Some(batch.requested_at);
         }
-        state.reach.answered(Instant::now());
+        state.reachability.answered(Instant::now());
         drop(state);
         if changed {
-            self.news.notify_one();
+            self.planner_wakeup.notify_one();
         }
     }
 
@@ -219,7 +220,7 @@
                 Ok(batch) => {
                     let regained = !reachable;
                     let is_current = batch.is_current;
-                    self.report_reach(&mut reachable, true, "jobs", "");
+                    self.log_reachability(&mut reachable, true, "jobs", "");
                     self.fold_jobs(batch, regained);
                     lock(&self.state).store_delay = follower.usual_delay();
                     if is_current {
@@ -227,9 +228,9 @@
                     }
                 }
                 Err(error) => {
-                    self.report_reach(&mut reachable, false, "jobs", &error.to_string());
-                    lock(&self.state).reach.read_failed();
-                    sleep(READ_PAUSE).await;
+                    self.log_reachability(&mut reachable, false, "jobs", &error.to_string());
+                    lock(&self.state).reachability.read_failed();
+                    sleep(READ_RETRY_DELAY).await;
                 }
             }
         }
@@ -238,29 +239,30 @@
     /// Pauses before the next read of the jobs, unless this entry plans; returns how long that read
     /// is to wait for news.
     async fn pause_reads(&self) -> Duration {
-        self.job_reads.was_read();
-        if lock(&self.state).plans {
+        self.job_read_pause.notify_read_folded();
+        if lock(&self.state).is_planner {
             return PLANNER_READ_WAIT;
         }
-        match self.job_reads.pause(FOLLOW_PAUSE).await {
-            PauseEnd::Asked => Duration::ZERO,
+        match self.job_read_pause.pause(STANDBY_READ_PAUSE).await {
+            PauseEnd::ReadRequested => Duration::ZERO,
             PauseEnd::Due => READ_WAIT,
         }
     }
 
     /// Brings the book up to date before a question is answered from it.
-    pub(super) async fn catch_up(&self) {
-        self.job_reads.catch_up(CATCH_UP).await;
+    pub(super) async fn catch_up_jobs(&self) {
+        self.job_read_pause.catch_up_jobs(CATCH_UP_TIMEOUT).await;
     }
 
     /// Waits for the next read of the jobs.
-    pub(super) async fn next_read(&self) {
-        self.job_reads.next_read(CATCH_UP).await;
+    pub(super) async fn await_next_read(&self) {
+        self.job_read_pause.await_next_read(CATCH_UP_TIMEOUT).await;
     }
 
     fn fold_jobs(&self, batch: Batch, regained: bool) {
         let now = self.now();
-        self.counters.latency("state_read", batch.asked.elapsed());
+        self.counters
+            .latency("state_read", batch.requested_at.elapsed());
         let mut state = lock(&self.state);
         if regained || batch.replaces {
             state.election.was_cut_off(now);
@@ -276,23 +278,23 @@
                 JobRecord::Plan(..) => state.election.saw_plan(now),
                 JobRecord::Accepted(_) | JobRecord::Cancelled(_) => {}
             }
-            if state.book.fold(record.clone()) && !matches!(record, JobRecord::Planner(_)) {
+            if state.job_table.fold(record.clone()) && !matches!(record, JobRecord::Planner(_)) {
                 changed = true;
-                state.tell_planner(record);
+                state.queue_for_planner(record);
             }
         }
-        state.book_end = batch.end;
+        state.job_table_end = batch.end;
         if batch.is_current {
-            state.book_proof = Some(batch.asked);
+            state.job_table_current_at = Some(batch.requested_at);
         }
-        state.reach.answered(Instant::now());
+        state.reachability.answered(Instant::now());
         drop(state);
         if changed {
-            self.news.notify_one();
+            self.planner_wakeup.notify_one();
         }
     }
 
-    pub(super) fn report_reach(&self, before: &mut bool, now: bool, what: &str, why: &str) {
+    pub(super) fn log_reachability(&self, before: &mut bool, now: bool, what: &str, why: &str) {
         if *before == now {
             return;
         }
@@ -307,15 +309,15 @@
 }
 
 impl EntryState {
-    pub(super) fn tell_planner(&mut self, record: JobRecord) {
-        if self.plans {
-            self.news.push(record);
+    pub(super) fn queue_for_planner(&mut self, record: JobRecord) {
+        if self.is_planner {
+            self.new_records.push(record);
         }
     }
 
     /// Takes over a configuration, unless it is older than the one in force: what was in force
     /// once never comes back.
-    fn take_configuration(&mut self, configuration: Configuration) {
+    fn apply_configuration(&mut self, configuration: Configuration) {
         let known = self.configuration.as_ref().map_or(0, |c| c.version);
         if self.configuration.is_some() && configuration.version <= known {
             return;
@@ -335,6 +337,6 @@
 }
 
 /// Waits for `notify`, up to `most`; returns whether it came.
-pub(super) async fn wait_for(notify: &Notify, most: Duration) -> bool {
-    timeout(most, notify.notified()).await.is_ok()
+pub(super) async fn wait_for(notify: &Notify, limit: Duration) -> bool {
+    timeout(limit, notify.notified()).await.is_ok()
 }
--- a/dragonflyrun/src/process/on_store/follower.rs
+++ b/dragonflyrun/src/process/on_store/follower.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct Batch {
     /// When the read was sent.
-    pub asked: BootTime,
+    pub requested_at: BootTime,
     /// Whether everything that stood in the store then has been read: more may stand behind a full page, and
     /// what is known without it may be long out of date.
     pub is_current: bool,
@@ -55,15 +55,15 @@
     /// with the newest record of each key by itself.
     pub async fn next(&mut self, wait: Duration) -> Result<Batch, ReadError> {
         let Some(next) = self.next else {
-            return self.newest().await;
+            return self.read_newest().await;
         };
-        let asked = BootTime::now();
+        let requested_at = BootTime::now();
         match self.reader.read(next, wait).await {
             Ok(page) => {
                 let end = next + page.records.len() as u64;
                 self.next = Some(end);
                 Ok(Batch {
-                    asked,
+                    requested_at,
                     is_current: end >= page.end,
                     replaces: false,
                     records: page.records,
@@ -73,7 +73,7 @@
             Err(ReadError::Dropped(first)) => {
                 log::info!(partition:? = self.partition, next, first; "records_dropped");
                 self.next = None;
-                self.newest().await
+                self.read_newest().await
             }
             Err(error) => Err(error),
         }
@@ -81,20 +81,20 @@
 
     /// Reads the newest of each key. Pages are no snapshot, so reading goes on at the end as it
     /// was when the first page was asked for.
-    async fn newest(&mut self) -> Result<Batch, ReadError> {
-        let asked = BootTime::now();
+    async fn read_newest(&mut self) -> Result<Batch, ReadError> {
+        let requested_at = BootTime::now();
         let mut records: Vec<StoreRecord> = Vec::new();
         let mut end = None;
         loop {
             let after = records.last().map(|r| r.key.clone());
             let page = self.store.newest(self.partition, after.as_deref()).await?;
             let start = *end.get_or_insert(page.end);
-            let stuck = page.records.is_empty();
+            let is_empty_page = page.records.is_empty();
             records.extend(page.records);
-            if !page.more || stuck {
+            if !page.more || is_empty_page {
                 self.next = Some(start);
                 return Ok(Batch {
-                    asked,
+                    requested_at,
                     is_current: true,
                     replaces: true,
                     records,
--- a/dragonflyrun/src/process/on_store/link_load.rs
+++ b/dragonflyrun/src/process/on_store/link_load.rs
@@ -11,7 +11,7 @@
 
 /// How many times its time alone on the link a transfer may take: other traffic shares the link, and lost
 /// packets are sent again.
-const SHARE: u32 = 2;
+const LINK_TIME_FACTOR: u32 = 2;
 
 /// The transfers under way.
 #[derive(Debug)]
@@ -43,11 +43,11 @@
     }
 
     /// Returns how long all that is under way may take.
-    pub(super) fn time(&self) -> Duration {
+    pub(super) fn time_limit(&self) -> Duration {
         let bytes = self.bytes.load(Ordering::Relaxed) as f64;
         let rate = self.bytes_per_s.filter(|rate| *rate > 0);
         rate.map_or(Duration::ZERO, |rate| {
-            Duration::from_secs_f64(bytes / rate as f64) * SHARE
+            Duration::from_secs_f64(bytes / rate as f64) * LINK_TIME_FACTOR
         })
     }
 }
--- a/dragonflyrun/src/process/on_store/mod.rs
+++ b/dragonflyrun/src/process/on_store/mod.rs
@@ -6,15 +6,15 @@
 //! `docs/SYSTEM.md` tells the design.
 
 mod agent;
-mod append_time;
+mod api;
+mod append_timeout;
 mod boot_clock;
 mod caller_records;
-mod entrance;
+mod caller_requests;
 mod entry;
 mod follower;
 mod lanes;
 mod link_load;
-mod own_interface;
 mod planner_term;
 mod read_pause;
 mod reader;
@@ -23,11 +23,11 @@
 mod view;
 
 pub use agent::StoreAgent;
-pub use append_time::append_time;
+pub use api::{ApiAnswer, ApiCall, ApiError, WORKSPACE_KEY_HEADER};
+pub use append_timeout::append_timeout;
 pub use boot_clock::BootTime;
 pub use entry::{OperatorDecoder, StoreEntry};
 pub use follower::{Batch, Follower};
 pub use lanes::Lanes;
-pub use own_interface::{NotDone, OwnAnswer, OwnCall, WORKSPACE_KEY_HEADER};
 pub use settings::{StoreBounds, StoreSettings};
 pub use view::{DeploymentView, OccurrencesFile, StepFile, StepJobFile, StepJobView, StepView};
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -35,44 +35,44 @@
 };
 
 /// How often the planner shows a sign of life.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often the planner decides where nothing has come.
-const PASS: Duration = Duration::from_millis(100);
+const PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often an entry looks whether the planner is silent.
-const WATCH: Duration = Duration::from_millis(100);
+const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Age of the newest read of operators' records up to which tasks are started: the bound on tasks
 /// in a failure domain that is out of service is seconds.
-const FRESH: Duration = Duration::from_millis(2_000);
+const MAX_START_CONFIGURATION_AGE: Duration = Duration::from_millis(2_000);
 
-const _: () = assert!(FRESH.as_millis() > 2 * READ_WAIT.as_millis());
+const _: () = assert!(MAX_START_CONFIGURATION_AGE.as_millis() > 2 * READ_WAIT.as_millis());
 
 /// Age of that read from which on an entry that reads better is to plan: a change of planner costs as much as
 /// a short gap.
-const STALE_AGE: Duration = Duration::from_millis(3_000);
+const STALE_CONFIGURATION_AGE: Duration = Duration::from_millis(3_000);
 
 /// How many of the store's usual delays are allowed beside that: on a slow store all read late.
-const STALE_DELAYS: u32 = 4;
+const STALE_AGE_STORE_DELAYS: u32 = 4;
 
 /// Silence of an agent, which reports each second at the least, after which its session is closed.
-const AGENT_SILENCE: Duration = Duration::from_millis(3_000);
+const MAX_AGENT_SILENCE: Duration = Duration::from_millis(3_000);
 
 /// How much slower than the planner's the clock of a worker may be.
-const CLOCK_SKEW: f64 = 1.02;
+const MAX_CLOCK_RATE_RATIO: f64 = 1.02;
 
 /// Added to the time after which a lease is over, for the steps of the clocks themselves.
-const LEASE_MARGIN: Duration = Duration::from_millis(150);
+const CLOCK_STEP_MARGIN: Duration = Duration::from_millis(150);
 
 /// How long a read of reports waits for one: a connection that has fallen silent shows after that.
 const REPORT_WAIT: Duration = Duration::from_millis(400);
 
 /// Time after which a read of reports that is still under way says nothing about its agents' silence.
-const REPORT_LATE: Duration = Duration::from_millis(1_300);
+const REPORT_READ_OVERDUE: Duration = Duration::from_millis(1_300);
 
 /// Pause after a read that failed.
-const READ_PAUSE: Duration = Duration::from_millis(100);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A term that this entry holds.
 pub(super) struct PlannerTerm<S, A> {
@@ -84,18 +84,18 @@
     senders: RefCell<HashMap<u32, mpsc::UnboundedSender<WorkerOrder>>>,
     /// Whether all that runs is known.
     taken_over: Cell<bool>,
-    reports_since: Cell<Option<Timestamp>>,
+    reports_readable_since: Cell<Option<Timestamp>>,
     /// Partitions of reports that can't be read, or have not been yet.
-    unread: Cell<HashSet<u32>>,
-    life: RefCell<LifeSigns>,
-    withheld: RefCell<WithheldStarts>,
+    unread_partitions: Cell<HashSet<u32>>,
+    heartbeats: RefCell<LifeSigns>,
+    withheld_starts: RefCell<WithheldStarts>,
 }
 
 impl<S: Store, A: Advisor> PlannerTerm<S, A> {
     /// Watches the planner, and is planner whenever this entry wins the term.
     pub(super) async fn run(entry: Arc<StoreEntry<S, A>>) {
         loop {
-            sleep(WATCH).await;
+            sleep(ELECTION_CHECK_INTERVAL).await;
             if entry.stopping.load(Ordering::Relaxed) {
                 continue;
             }
@@ -104,17 +104,17 @@
             }
             // The claim holds only at the end of the partition, and the planner may have shown a
             // sign of life since the last read.
-            entry.catch_up().await;
+            entry.catch_up_jobs().await;
             let Some((term, end)) = candidacy(&entry) else {
                 continue;
             };
-            if let Some(held) = Self::win(&entry, term, end).await {
-                held.hold().await;
+            if let Some(planner_term) = Self::claim(&entry, term, end).await {
+                planner_term.plan_until_lost().await;
             }
         }
     }
 
-    async fn win(entry: &Arc<StoreEntry<S, A>>, term: Term, end: u64) -> Option<Rc<Self>> {
+    async fn claim(entry: &Arc<StoreEntry<S, A>>, term: Term, end: u64) -> Option<Rc<Self>> {
         let before = lock(&entry.state).election.term().clone();
         let append = Append {
             partition: Partition::JOBS,
@@ -144,9 +144,9 @@
         );
         let planner = {
             let mut state = lock(&entry.state);
-            state.news.clear();
-            state.plans = true;
-            Planner::take_over(planner_bounds(entry), &state.book, entry.now())
+            state.new_records.clear();
+            state.is_planner = true;
+            Planner::take_over(planner_bounds(entry), &state.job_table, entry.now())
         };
         Some(Rc::new(Self {
             entry: entry.clone(),
@@ -155,32 +155,32 @@
             planner: RefCell::new(planner),
             senders: RefCell::default(),
             taken_over: Cell::new(false),
-            reports_since: Cell::new(None),
-            unread: Cell::default(),
-            life: RefCell::new(LifeSigns::claimed(term.stale)),
-            withheld: RefCell::default(),
+            reports_readable_since: Cell::new(None),
+            unread_partitions: Cell::default(),
+            heartbeats: RefCell::new(LifeSigns::claimed(term.stale)),
+            withheld_starts: RefCell::default(),
             term,
         }))
     }
 
     /// Plans until the term is lost or given up.
-    async fn hold(self: Rc<Self>) {
+    async fn plan_until_lost(self: Rc<Self>) {
         let reports = tokio::task::spawn_local(self.clone().take_over());
-        let life = tokio::task::spawn_local(self.clone().show_life());
+        let heartbeats = tokio::task::spawn_local(self.clone().send_heartbeats());
         while !self.writer.is_lost() && !self.entry.stopping.load(Ordering::Relaxed) {
-            wait_for(&self.entry.news, PASS).await;
+            wait_for(&self.entry.planner_wakeup, PASS_INTERVAL).await;
             if self.taken_over.get() {
                 self.pass().await;
             }
         }
-        self.writer.give_up();
+        self.writer.abandon_term();
         {
             let mut state = lock(&self.entry.state);
-            state.plans = false;
+            state.is_planner = false;
             state.waiting.clear();
         }
         reports.abort();
-        life.abort();
+        heartbeats.abort();
         self.senders.borrow_mut().clear();
         if self.entry.stopping.load(Ordering::Relaxed) {
             self.resign().await;
@@ -200,27 +200,31 @@
         }
     }
 
-    async fn show_life(self: Rc<Self>) {
+    async fn send_heartbeats(self: Rc<Self>) {
         loop {
-            sleep(SIGN_OF_LIFE).await;
-            let (book_proof, operator_proof, delay) = {
+            sleep(HEARTBEAT_INTERVAL).await;
+            let (job_table_current_at, operators_current_at, delay) = {
                 let state = lock(&self.entry.state);
-                (state.book_proof, state.operator_proof, state.store_delay)
+                (
+                    state.job_table_current_at,
+                    state.operators_current_at,
+                    state.store_delay,
+                )
             };
-            let most = STALE_AGE + delay * STALE_DELAYS;
-            let stale = operator_proof.is_none_or(|p| p.elapsed() > most);
-            if !self.life.borrow_mut().is_due(stale) {
+            let max_age = STALE_CONFIGURATION_AGE + delay * STALE_AGE_STORE_DELAYS;
+            let stale = operators_current_at.is_none_or(|p| p.elapsed() > max_age);
+            if !self.heartbeats.borrow_mut().is_due(stale) {
                 continue;
             }
             // A planner that can't read must not keep others from following it.
-            if book_proof.is_some_and(|p| p.elapsed() < FRESH) {
+            if job_table_current_at.is_some_and(|p| p.elapsed() < MAX_START_CONFIGURATION_AGE) {
                 let term = Term {
                     stale,
                     ..self.term.clone()
                 };
-                self.life.borrow_mut().record_sent(stale);
-                let alive = JobRecord::Planner(term).encode();
-                self.writer.append(Partition::JOBS, vec![alive]).await;
+                self.heartbeats.borrow_mut().record_sent(stale);
+                let heartbeat = JobRecord::Planner(term).encode();
+                self.writer.append(Partition::JOBS, vec![heartbeat]).await;
             }
         }
     }
@@ -239,14 +243,16 @@
                 .collect()
         };
         // All at once: one after the other they would take 25 s at 62 workers and a slow store.
-        let fences = workers.into_iter().map(|worker| self.fence_earlier(worker));
+        let fences = workers
+            .into_iter()
+            .map(|worker| self.fence_earlier_orders(worker));
         join_all(fences).await;
         if !self.writer.is_lost() {
             self.follow_reports().await;
         }
     }
 
-    async fn fence_earlier(&self, worker: Name) {
+    async fn fence_earlier_orders(&self, worker: Name) {
         let partition = self.lanes.partition(self.lanes.lane_of(&worker));
         if let Some(fenced) = self.writer.append(partition, Vec::new()).await {
             self.planner.borrow_mut().orders_end(&worker, fenced.end);
@@ -255,65 +261,66 @@
 
     async fn follow_reports(self: Rc<Self>) {
         let partitions = self.lanes.report_partitions();
-        self.unread.set((0..partitions).collect());
-        let followers = (0..partitions).map(|number| self.clone().follow_partition(number));
+        self.unread_partitions.set((0..partitions).collect());
+        let followers = (0..partitions).map(|number| self.clone().follow_report_partition(number));
         join_all(followers).await;
     }
 
-    async fn follow_partition(self: Rc<Self>, number: u32) {
+    async fn follow_report_partition(self: Rc<Self>, number: u32) {
         let partition = Partition::workers(number);
         let mut follower = Follower::new(self.entry.store.clone(), partition);
         let mut reachable = true;
         loop {
             let read = follower.next(REPORT_WAIT);
             pin!(read);
-            let answer = match timeout(REPORT_LATE, &mut read).await {
+            let answer = match timeout(REPORT_READ_OVERDUE, &mut read).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    self.is_read(number, false);
+                    self.set_readable(number, false);
                     read.await
                 }
             };
             match answer {
                 Ok(batch) => {
-                    self.entry.report_reach(&mut reachable, true, "workers", "");
+                    self.entry
+                        .log_reachability(&mut reachable, true, "workers", "");
                     let is_current = batch.is_current;
-                    self.take_reports(batch);
-                    self.is_read(number, is_current);
+                    self.apply_reports(batch);
+                    self.set_readable(number, is_current);
                 }
                 Err(error) => {
-                    self.is_read(number, false);
+                    self.set_readable(number, false);
                     let why = error.to_string();
                     self.entry
-                        .report_reach(&mut reachable, false, "workers", &why);
-                    sleep(READ_PAUSE).await;
+                        .log_reachability(&mut reachable, false, "workers", &why);
+                    sleep(READ_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Takes note whether a partition of reports can be read. Agents are silent only while all can.
-    fn is_read(&self, number: u32, read: bool) {
-        let mut unread = self.unread.take();
-        if read {
-            unread.remove(&number);
+    fn set_readable(&self, number: u32, readable: bool) {
+        let mut unread_partitions = self.unread_partitions.take();
+        if readable {
+            unread_partitions.remove(&number);
         } else {
-            unread.insert(number);
+            unread_partitions.insert(number);
         }
-        let all = unread.is_empty();
-        self.unread.set(unread);
-        if !all {
-            self.reports_since.set(None);
-        } else if self.reports_since.get().is_none() {
-            self.reports_since.set(Some(self.entry.now()));
+        let all_readable = unread_partitions.is_empty();
+        self.unread_partitions.set(unread_partitions);
+        if !all_readable {
+            self.reports_readable_since.set(None);
+        } else if self.reports_readable_since.get().is_none() {
+            self.reports_readable_since.set(Some(self.entry.now()));
             self.taken_over.set(true);
         }
     }
 
-    fn take_reports(&self, batch: Batch) {
+    fn apply_reports(&self, batch: Batch) {
         let mut planner = self.planner.borrow_mut();
         let now = self.entry.now();
-        let any = !batch.records.is_empty();
+        let has_records = !batch.records.is_empty();
         for record in batch.records {
             let Some(value) = record.value else {
                 continue;
@@ -324,41 +331,41 @@
                 None => log::warn!(key:% = record.key; "report_unreadable"),
             }
         }
-        if any {
-            self.entry.news.notify_one();
+        if has_records {
+            self.entry.planner_wakeup.notify_one();
         }
     }
 
     /// Decides once, makes the decisions last, and sends the orders.
     async fn pass(self: &Rc<Self>) {
-        let came = Instant::now();
+        let started_at = Instant::now();
         let (mut decisions, proof_age) = {
             let mut state = lock(&self.entry.state);
             let mut planner = self.planner.borrow_mut();
-            for record in state.news.drain(..) {
+            for record in state.new_records.drain(..) {
                 planner.job_record(&record);
             }
             let Some(configuration) = state.configuration.clone() else {
                 return;
             };
             let evacuated = state.evacuated.clone();
-            let proof_age = state.operator_proof.map(BootTime::elapsed);
+            let proof_age = state.operators_current_at.map(BootTime::elapsed);
             drop(state);
             let decisions = planner.decide(&View {
                 now: self.entry.now(),
                 unix_ms: unix_ms(),
                 configuration: &configuration,
                 evacuated: &evacuated,
-                is_fresh: proof_age.is_some_and(|age| age < FRESH),
-                reports_since: self.reports_since.get(),
+                is_fresh: proof_age.is_some_and(|age| age < MAX_START_CONFIGURATION_AGE),
+                reports_since: self.reports_readable_since.get(),
             });
             (decisions, proof_age)
         };
-        self.measure(&decisions, came);
-        self.log_withheld(&decisions, proof_age);
+        self.record_metrics(&decisions, started_at);
+        self.log_withheld_starts(&decisions, proof_age);
         lock(&self.entry.state).waiting = std::mem::take(&mut decisions.waiting);
         if !decisions.plans.is_empty() {
-            self.life.borrow_mut().plan_sent();
+            self.heartbeats.borrow_mut().plan_sent();
             if self
                 .writer
                 .append(Partition::JOBS, decisions.plans)
@@ -367,22 +374,22 @@
             {
                 return;
             }
-            self.life.borrow_mut().plan_stands();
+            self.heartbeats.borrow_mut().plan_stands();
         }
         for order in decisions.orders {
-            self.send(order);
+            self.queue_order(order);
         }
         for worker in decisions.forgotten {
-            self.drop_report(worker);
+            self.delete_report(worker);
         }
         for question in decisions.questions {
-            tokio::task::spawn_local(self.clone().ask(question));
+            tokio::task::spawn_local(self.clone().ask_advisor(question));
         }
     }
 
-    fn measure(&self, decisions: &Decisions, came: Instant) {
+    fn record_metrics(&self, decisions: &Decisions, started_at: Instant) {
         let counters = &self.entry.counters;
-        counters.latency("pass", came.elapsed());
+        counters.latency("pass", started_at.elapsed());
         for waited in &decisions.waits {
             counters.latency("wait", *waited);
         }
@@ -399,14 +406,14 @@
     }
 
     /// Logs that waiting work is not started for want of a proof of the configuration, and that it is again.
-    fn log_withheld(&self, decisions: &Decisions, proof_age: Option<Duration>) {
-        let is_fresh = proof_age.is_some_and(|age| age < FRESH);
+    fn log_withheld_starts(&self, decisions: &Decisions, proof_age: Option<Duration>) {
+        let is_fresh = proof_age.is_some_and(|age| age < MAX_START_CONFIGURATION_AGE);
         let jobs = decisions.waiting.len();
         let counters = &self.entry.counters;
         let age_ms = proof_age.map(|age| age.as_millis() as u64);
         counters.level("configuration_age_ms", age_ms.unwrap_or(0) as f64);
         let now = self.entry.now();
-        match self.withheld.borrow_mut().pass(now, is_fresh, jobs) {
+        match self.withheld_starts.borrow_mut().pass(now, is_fresh, jobs) {
             Some(WithheldChange::Withheld) => {
                 counters.event("starts_withheld");
                 log::warn!(term = self.term.number, reason = "configuration_stale", age_ms, jobs; "starts_withheld");
@@ -419,7 +426,7 @@
         }
     }
 
-    fn send(self: &Rc<Self>, order: WorkerOrder) {
+    fn queue_order(self: &Rc<Self>, order: WorkerOrder) {
         let lane = self.lanes.lane_of(&order.worker);
         let mut senders = self.senders.borrow_mut();
         let sender = senders.entry(lane).or_insert_with(|| {
@@ -435,9 +442,9 @@
     /// Sends the orders of one lane, one append after the other.
     async fn send_lane(self: Rc<Self>, lane: u32, mut rx: mpsc::UnboundedReceiver<WorkerOrder>) {
         /// Orders in one append, at the most.
-        const GROUP: usize = 32;
+        const MAX_ORDERS_PER_APPEND: usize = 32;
         let mut orders = Vec::new();
-        while rx.recv_many(&mut orders, GROUP).await > 0 {
+        while rx.recv_many(&mut orders, MAX_ORDERS_PER_APPEND).await > 0 {
             let records = orders.iter().map(|order| StoreRecord {
                 key: Name::from(""),
                 value: Some(encode(&OrderMessage::Order {
@@ -459,7 +466,7 @@
         }
     }
 
-    async fn ask(self: Rc<Self>, question: AdviceQuestion) {
+    async fn ask_advisor(self: Rc<Self>, question: AdviceQuestion) {
         let answer = self.entry.advisor.advise(&question).await;
         log::info!(
             job:% = question.job, step = question.step, asked = question.workers.len(),
@@ -468,10 +475,10 @@
         );
         let now = self.entry.now();
         self.planner.borrow_mut().advised(now, &question, answer);
-        self.entry.news.notify_one();
+        self.entry.planner_wakeup.notify_one();
     }
 
-    fn drop_report(&self, worker: Name) {
+    fn delete_report(&self, worker: Name) {
         let store = self.entry.store.clone();
         let partition = self.lanes.reports_of(&worker);
         tokio::task::spawn_local(async move {
@@ -495,28 +502,32 @@
 fn candidacy<S: Store, A: Advisor>(entry: &StoreEntry<S, A>) -> Option<(Term, u64)> {
     /// Age of the newest read up to which an entry may stand: an entry that reads badly would plan
     /// badly.
-    const MOST_AGE: Duration = Duration::from_millis(1_700);
+    const MAX_CANDIDATE_READ_AGE: Duration = Duration::from_millis(1_700);
     let now = entry.now();
     let state = lock(&entry.state);
-    let current = state.book_proof.is_some_and(|p| p.elapsed() < MOST_AGE);
+    let current = state
+        .job_table_current_at
+        .is_some_and(|p| p.elapsed() < MAX_CANDIDATE_READ_AGE);
     if !current || state.configuration.is_none() {
         return None;
     }
     let candidate = Candidate {
         store_delay: state.store_delay,
-        proves: state.operator_proof.is_some_and(|p| p.elapsed() < FRESH),
+        proves: state
+            .operators_current_at
+            .is_some_and(|p| p.elapsed() < MAX_START_CONFIGURATION_AGE),
     };
     match state.election.step(now, candidate) {
         TermStep::Wait => None,
-        TermStep::Try(term) => Some((term, state.book_end)),
+        TermStep::Try(term) => Some((term, state.job_table_end)),
     }
 }
 
 fn planner_bounds<S, A>(entry: &StoreEntry<S, A>) -> PlannerBounds {
     let bounds = &entry.settings.bounds;
     PlannerBounds {
-        silence: AGENT_SILENCE,
-        lease_over: bounds.lease.mul_f64(CLOCK_SKEW) + LEASE_MARGIN,
+        silence: MAX_AGENT_SILENCE,
+        lease_over: bounds.lease.mul_f64(MAX_CLOCK_RATE_RATIO) + CLOCK_STEP_MARGIN,
         keep_ended: bounds.keep_ended,
         far_factor: bounds.far_factor,
         checkpoint_every: bounds.checkpoint_every,
--- a/dragonflyrun/src/process/on_store/read_pause.rs
+++ b/dragonflyrun/src/process/on_store/read_pause.rs
@@ -22,11 +22,11 @@
 pub(super) struct ReadPause {
     pausing: AtomicBool,
     /// Ends the pause for a question.
-    wanted: Notify,
+    read_requested: Notify,
     /// Callers that wait for a change.
     watchers: AtomicUsize,
     /// Ends the pause for a caller that waits for a change.
-    watched: Notify,
+    watcher_added: Notify,
     /// Tells callers that a read has been folded.
     folded: Notify,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum PauseEnd {
     /// A caller's question waits for the answer to the next read, whether there is news or not.
-    Asked,
+    ReadRequested,
     /// The next read may wait for news.
     Due,
 }
@@ -59,17 +59,17 @@
 
 impl ReadPause {
     /// Waits before the next read, for `most` or until a caller wants news; returns why it ended.
-    pub(super) async fn pause(&self, most: Duration) -> PauseEnd {
-        let most = match self.watchers.load(Ordering::Relaxed) {
-            0 => most,
+    pub(super) async fn pause(&self, limit: Duration) -> PauseEnd {
+        let limit = match self.watchers.load(Ordering::Relaxed) {
+            0 => limit,
             _ => Duration::ZERO,
         };
         self.pausing.store(true, Ordering::Relaxed);
         let end = select! {
             biased;
-            () = self.wanted.notified() => PauseEnd::Asked,
-            () = self.watched.notified() => PauseEnd::Due,
-            () = sleep(most) => PauseEnd::Due,
+            () = self.read_requested.notified() => PauseEnd::ReadRequested,
+            () = self.watcher_added.notified() => PauseEnd::Due,
+            () = sleep(limit) => PauseEnd::Due,
         };
         self.pausing.store(false, Ordering::Relaxed);
         end
@@ -79,32 +79,32 @@
     pub(super) fn watch(&self) -> Watch<'_> {
         self.watchers.fetch_add(1, Ordering::Relaxed);
         if self.pausing.load(Ordering::Relaxed) {
-            self.watched.notify_one();
+            self.watcher_added.notify_one();
         }
         Watch(self)
     }
 
     /// Takes note that the answer to a read has been folded.
-    pub(super) fn was_read(&self) {
+    pub(super) fn notify_read_folded(&self) {
         self.folded.notify_waiters();
     }
 
     /// Ends the pause and waits for the next read, for `most` at the most. Returns at once where a
     /// read is under way, since the store answers it as soon as anything new comes.
-    pub(super) async fn catch_up(&self, most: Duration) {
+    pub(super) async fn catch_up_jobs(&self, limit: Duration) {
         if self.pausing.load(Ordering::Relaxed) {
-            self.next_read(most).await;
+            self.await_next_read(limit).await;
         }
     }
 
     /// Waits until the next read has been folded, for `most` at the most; ends a pause.
-    pub(super) async fn next_read(&self, most: Duration) {
+    pub(super) async fn await_next_read(&self, limit: Duration) {
         let folded = self.folded.notified();
         if self.pausing.load(Ordering::Relaxed) {
-            self.wanted.notify_one();
+            self.read_requested.notify_one();
         }
-        if timeout(most, folded).await.is_err() {
-            log::debug!(waited_ms = most.as_millis() as u64; "read_not_awaited");
+        if timeout(limit, folded).await.is_err() {
+            log::debug!(waited_ms = limit.as_millis() as u64; "read_not_awaited");
         }
     }
 }
--- a/dragonflyrun/src/process/on_store/reader.rs
+++ b/dragonflyrun/src/process/on_store/reader.rs
@@ -20,17 +20,17 @@
 use crate::port::{Page, PageBody, Partition, ReadError, Store};
 
 /// An answer counts as overdue so long after its time at the least.
-const LEAST_OVERDUE: Duration = Duration::from_millis(150);
+const MIN_OVERDUE: Duration = Duration::from_millis(150);
 
 /// How many times the usual delay an answer may take.
-const OVERDUE_TIMES: u32 = 3;
+const OVERDUE_STORE_DELAYS: u32 = 3;
 
 /// Time for a read after one that failed, beside [`PROBE_DELAYS`]. A store that was silent answers no
 /// read that was sent before its return.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How many times the usual delay such a read may take beside that.
-const PROBE_DELAYS: u32 = 8;
+const PROBE_STORE_DELAYS: u32 = 8;
 
 /// Reads one partition.
 pub(super) struct Reader<S> {
@@ -46,27 +46,27 @@
 struct StoreDelay {
     /// Of the newest answers: what an empty one took beyond the wait, and what one with news took in
     /// all, since nobody knows when the news came.
-    newest: VecDeque<Duration>,
+    samples: VecDeque<Duration>,
 }
 
 impl StoreDelay {
     /// Answers that are remembered: so many in a row that all came late for their news are rare.
-    const REMEMBERED: usize = 4;
+    const MAX_SAMPLES: usize = 4;
 
-    fn learn(&mut self, took: Duration, wait: Duration, has_news: bool) {
-        if self.newest.len() == Self::REMEMBERED {
-            self.newest.pop_front();
+    fn record(&mut self, took: Duration, wait: Duration, has_news: bool) {
+        if self.samples.len() == Self::MAX_SAMPLES {
+            self.samples.pop_front();
         }
         let delay = if has_news {
             took
         } else {
             took.saturating_sub(wait)
         };
-        self.newest.push_back(delay);
+        self.samples.push_back(delay);
     }
 
     fn usual(&self) -> Duration {
-        self.newest.iter().min().copied().unwrap_or_default()
+        self.samples.iter().min().copied().unwrap_or_default()
     }
 }
 
@@ -103,36 +103,36 @@
     }
 
     async fn probe(&mut self, from: u64) -> Result<Page, ReadError> {
-        let within = PROBE_TIMEOUT + self.delay.usual() * PROBE_DELAYS;
+        let limit = PROBE_TIMEOUT + self.delay.usual() * PROBE_STORE_DELAYS;
         let store = self.store.clone();
-        let read = self.begin_hedged(&store, from, Duration::ZERO);
-        let silent = |_| Err(ReadError::Unavailable("timeout".to_owned()));
-        let begun = timeout(within, read).await.unwrap_or_else(silent);
-        self.finish(begun?).await
+        let read = self.start_hedged(&store, from, Duration::ZERO);
+        let timed_out = |_| Err(ReadError::Unavailable("timeout".to_owned()));
+        let started = timeout(limit, read).await.unwrap_or_else(timed_out);
+        self.finish(started?).await
     }
 
     async fn read_hedged(&mut self, from: u64, wait: Duration) -> Result<Page, ReadError> {
         let store = self.store.clone();
-        let begun = self.begin_hedged(&store, from, wait).await?;
-        self.finish(begun).await
+        let started = self.start_hedged(&store, from, wait).await?;
+        self.finish(started).await
     }
 
     /// Returns the first answer that begins to come.
-    async fn begin_hedged<'s>(
+    async fn start_hedged<'s>(
         &self,
         store: &'s S,
         from: u64,
         wait: Duration,
-    ) -> Result<Begun<'s>, ReadError> {
+    ) -> Result<StartedAnswer<'s>, ReadError> {
         let partition = self.partition;
-        let first = begin(store, partition, from, wait);
+        let first = start_read(store, partition, from, wait);
         pin!(first);
-        let overdue = wait + LEAST_OVERDUE.max(self.delay.usual() * OVERDUE_TIMES);
+        let overdue = wait + MIN_OVERDUE.max(self.delay.usual() * OVERDUE_STORE_DELAYS);
         if let Ok(answer) = timeout(overdue, &mut first).await {
             return answer;
         }
         log::debug!(partition:? = partition, from, overdue_ms = overdue.as_millis() as u64; "read_overdue");
-        let second = begin(store, partition, from, Duration::ZERO);
+        let second = start_read(store, partition, from, Duration::ZERO);
         pin!(second);
         select! {
             answer = &mut first => match answer {
@@ -146,16 +146,16 @@
         }
     }
 
-    async fn finish(&mut self, begun: Begun<'_>) -> Result<Page, ReadError> {
-        let page = begun.body.whole().await?;
+    async fn finish(&mut self, started: StartedAnswer<'_>) -> Result<Page, ReadError> {
+        let page = started.body.read_all().await?;
         self.delay
-            .learn(begun.took, begun.wait, !page.records.is_empty());
+            .record(started.took, started.wait, !page.records.is_empty());
         Ok(page)
     }
 }
 
 /// An answer that has begun to come.
-struct Begun<'s> {
+struct StartedAnswer<'s> {
     body: PageBody<'s>,
     /// How long it took until then.
     took: Duration,
@@ -163,15 +163,15 @@
     wait: Duration,
 }
 
-async fn begin<S: Store>(
+async fn start_read<S: Store>(
     store: &S,
     partition: Partition,
     from: u64,
     wait: Duration,
-) -> Result<Begun<'_>, ReadError> {
+) -> Result<StartedAnswer<'_>, ReadError> {
     let sent = Instant::now();
     let body = store.read(partition, from, wait).await?;
-    Ok(Begun {
+    Ok(StartedAnswer {
         body,
         took: sent.elapsed(),
         wait,
--- a/dragonflyrun/src/process/on_store/term_writer.rs
+++ b/dragonflyrun/src/process/on_store/term_writer.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     port::{Append, AppendError, Appended, Partition, Store, StoreRecord, Writer},
-    process::on_store::{StoreEntry, append_time},
+    process::on_store::{StoreEntry, append_timeout},
     utils::{HashMap, lock},
 };
 
@@ -22,7 +22,7 @@
 pub(super) const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Pause between two tries of an append.
-const APPEND_PAUSE: Duration = Duration::from_millis(50);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The number of the append that wins a term.
 pub(super) const FIRST_SEQUENCE: u64 = 1;
@@ -34,7 +34,7 @@
     /// The sequence number of the next append to each partition.
     sequences: RefCell<HashMap<Partition, u64>>,
     /// One append at a time to each partition, so that its sequence numbers arrive in order.
-    turns: RefCell<HashMap<Partition, Rc<tokio::sync::Mutex<()>>>>,
+    append_locks: RefCell<HashMap<Partition, Rc<tokio::sync::Mutex<()>>>>,
     lost: Cell<bool>,
 }
 
@@ -46,7 +46,7 @@
             entry,
             term,
             sequences: RefCell::new(HashMap::from_iter([claimed])),
-            turns: RefCell::default(),
+            append_locks: RefCell::default(),
             lost: Cell::new(false),
         }
     }
@@ -57,7 +57,7 @@
     }
 
     /// Tries no append again from now on.
-    pub(super) fn give_up(&self) {
+    pub(super) fn abandon_term(&self) {
         self.lost.set(true);
     }
 
@@ -68,21 +68,21 @@
         partition: Partition,
         records: Vec<StoreRecord>,
     ) -> Option<Appended> {
-        let turn = self.turn(partition);
-        let _turn = turn.lock().await;
-        let mut append = self.next(partition, records);
+        let append_lock = self.append_lock(partition);
+        let _guard = append_lock.lock().await;
+        let mut append = self.next_append(partition, records);
         let _transfer = self.entry.link_load.begin(append.bytes());
         loop {
             if self.is_lost() {
                 return None;
             }
-            let within = append_time(APPEND_TIMEOUT, lock(&self.entry.state).store_delay);
-            let within = within + self.entry.link_load.time();
-            match self.entry.store.append(&append, within).await {
+            let limit = append_timeout(APPEND_TIMEOUT, lock(&self.entry.state).store_delay);
+            let limit = limit + self.entry.link_load.time_limit();
+            match self.entry.store.append(&append, limit).await {
                 Ok(appended) => return Some(appended),
-                Err(AppendError::Fenced | AppendError::Moved(_)) => {
+                Err(AppendError::Fenced | AppendError::EndMoved(_)) => {
                     log::warn!(term = self.term, partition:? = partition; "term_lost");
-                    self.lose();
+                    self.mark_lost();
                     return None;
                 }
                 Err(AppendError::OutOfOrder(expected)) => {
@@ -96,7 +96,7 @@
                 }
                 Err(error) => log::debug!(reason:% = error; "append_again"),
             }
-            sleep(APPEND_PAUSE).await;
+            sleep(APPEND_RETRY_DELAY).await;
         }
     }
 
@@ -106,11 +106,11 @@
         partition: Partition,
         records: Vec<StoreRecord>,
     ) -> Result<Appended, AppendError> {
-        let append = self.next(partition, records);
+        let append = self.next_append(partition, records);
         self.entry.store.append(&append, APPEND_TIMEOUT).await
     }
 
-    fn next(&self, partition: Partition, records: Vec<StoreRecord>) -> Append {
+    fn next_append(&self, partition: Partition, records: Vec<StoreRecord>) -> Append {
         let mut sequences = self.sequences.borrow_mut();
         let next = sequences.entry(partition).or_insert(FIRST_SEQUENCE);
         let sequence = *next;
@@ -127,14 +127,14 @@
         }
     }
 
-    fn turn(&self, partition: Partition) -> Rc<tokio::sync::Mutex<()>> {
-        let mut turns = self.turns.borrow_mut();
-        turns.entry(partition).or_default().clone()
+    fn append_lock(&self, partition: Partition) -> Rc<tokio::sync::Mutex<()>> {
+        let mut append_locks = self.append_locks.borrow_mut();
+        append_locks.entry(partition).or_default().clone()
     }
 
-    fn lose(&self) {
+    fn mark_lost(&self) {
         self.entry.counters.event("term_lost");
         self.lost.set(true);
-        self.entry.news.notify_one();
+        self.entry.planner_wakeup.notify_one();
     }
 }
--- a/dragonflyrun/src/tool/commands/steps.rs
+++ b/dragonflyrun/src/tool/commands/steps.rs
@@ -6,7 +6,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    process::on_store::{DeploymentView, NotDone, StepJobFile, StepJobView, WORKSPACE_KEY_HEADER},
+    process::on_store::{ApiError, DeploymentView, StepJobFile, StepJobView, WORKSPACE_KEY_HEADER},
     tool::{
         Exit, Printed, ToolError, ToolSettings,
         entries::{Answer, Call, CallError, Header, nobody},
@@ -93,12 +93,12 @@
 
 /// Says why an entry did not do what it was asked.
 fn not_done(answer: &Answer) -> String {
-    match answer.json::<NotDone>() {
-        Ok(NotDone {
+    match answer.json::<ApiError>() {
+        Ok(ApiError {
             reason,
             retry_after_ms: Some(ms),
         }) => format!("not run: {reason}; try again in {ms} ms"),
-        Ok(NotDone { reason, .. }) => format!("not run: {reason}"),
+        Ok(ApiError { reason, .. }) => format!("not run: {reason}"),
         Err(_) => format!("not run: status {}", answer.status),
     }
 }
--- a/dragonflyrun/tests/caller_patience.rs
+++ b/dragonflyrun/tests/caller_patience.rs
@@ -12,8 +12,8 @@
 
 use dragonflyrun::{
     port::{
-        Append, AppendError, Appended, CallerAnswer, CallerCall, CallerRequest, Entrance, Newest,
-        OperatorRecord, Page, PageBody, Partition, ReadError, Store, StoreRecord, Topic,
+        Append, AppendError, Appended, CallerAnswer, CallerCall, CallerHandler, CallerRequest,
+        Newest, OperatorRecord, Page, PageBody, Partition, ReadError, Store, StoreRecord, Topic,
     },
     process::{Counters, on_store::StoreEntry},
     workload::{JobRequest, Step},
--- a/dragonflyrun/tests/hedged_reads.rs
+++ b/dragonflyrun/tests/hedged_reads.rs
@@ -34,7 +34,7 @@
 
 impl Store for QuietStore {
     async fn append(&self, _: &Append, _: Duration) -> Result<Appended, AppendError> {
-        Err(AppendError::NotDone("a store to read".to_owned()))
+        Err(AppendError::NotAppended("a store to read".to_owned()))
     }
 
     async fn read(
--- a/dragonflyrun/tests/partial_pages.rs
+++ b/dragonflyrun/tests/partial_pages.rs
@@ -12,9 +12,9 @@
 
 use dragonflyrun::{
     port::{
-        Append, AppendError, Appended, CallerAnswer, CallerCall, CallerRequest, Configuration,
-        Entrance, Newest, OperatorRecord, Page, PageBody, Partition, ReadError, Refusal, Store,
-        StoreRecord, Workspace,
+        Append, AppendError, Appended, CallerAnswer, CallerCall, CallerHandler, CallerRequest,
+        Configuration, Newest, OperatorRecord, Page, PageBody, Partition, ReadError, Refusal,
+        Store, StoreRecord, Workspace,
     },
     process::{Counters, on_store::StoreEntry},
     utils::lock,
@@ -59,7 +59,7 @@
 
 impl Store for PagedStore {
     async fn append(&self, _: &Append, _: Duration) -> Result<Appended, AppendError> {
-        Err(AppendError::NotDone("a store to read".to_owned()))
+        Err(AppendError::NotAppended("a store to read".to_owned()))
     }
 
     async fn read(
@@ -179,7 +179,7 @@
         path: format!("/q/{job}"),
         key: Some("key".to_owned()),
         patience: Duration::from_secs(3),
-        call: CallerCall::Look,
+        call: CallerCall::Query,
     }
 }
 
--- a/dragonflyrun/tests/slow_appends.rs
+++ b/dragonflyrun/tests/slow_appends.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use dragonflyrun::{process::on_store::append_time, workload::LifeSigns};
+use dragonflyrun::{process::on_store::append_timeout, workload::LifeSigns};
 
 const LEAST: Duration = Duration::from_millis(900);
 
 /// Guards against appends that are given up and repeated while they stand in a queue of up to 2 s.
 #[test]
 fn queue_waited_out() {
-    assert!(append_time(LEAST, Duration::from_millis(280)) > Duration::from_secs(2));
-    assert_eq!(append_time(LEAST, Duration::from_millis(5)), LEAST);
+    assert!(append_timeout(LEAST, Duration::from_millis(280)) > Duration::from_secs(2));
+    assert_eq!(append_timeout(LEAST, Duration::from_millis(5)), LEAST);
 }
 
 /// Guards against records that say nothing and keep the next plan waiting.
--- a/dragonflyrun/tests/slow_orders.rs
+++ b/dragonflyrun/tests/slow_orders.rs
@@ -116,7 +116,7 @@
         let mut jobs = lock(&self.jobs);
         let offset = jobs.len() as u64;
         if append.at.is_some_and(|at| at != offset) {
-            return Err(AppendError::Moved(offset));
+            return Err(AppendError::EndMoved(offset));
         }
         jobs.extend(append.records.iter().cloned());
         let end = jobs.len() as u64;
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -317,7 +317,7 @@
         }],
         services: vec![Service {
             name: "svc".into(),
-            guards_capacity: true,
+            rejects_overload: true,
         }],
         workspaces: vec![
             Workspace {
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -10,12 +10,12 @@
 
 use dragonflyrun::{
     port::{
-        AdviceAnswer, AdviceQuestion, Advisor, Append, Configuration, Entrance, OperatorRecord,
-        Partition, Queue, Service, Store, StoreRecord, Workspace,
+        AdviceAnswer, AdviceQuestion, Advisor, Append, CallerHandler, Configuration,
+        OperatorRecord, Partition, Queue, Service, Store, StoreRecord, Workspace,
     },
     process::{
         Counters,
-        on_store::{OwnCall, StepJobView, StoreAgent, StoreBounds, StoreEntry, StoreSettings},
+        on_store::{ApiCall, StepJobView, StoreAgent, StoreBounds, StoreEntry, StoreSettings},
     },
     utils::Name,
     workload::RunId,
@@ -229,7 +229,7 @@
         }],
         services: vec![Service {
             name: "svc".into(),
-            guards_capacity: true,
+            rejects_overload: true,
         }],
         workspaces: vec![Workspace {
             name: "sawmills".into(),
@@ -256,7 +256,7 @@
 
 async fn hand_in(entry: &Entry, name: &str, body: &[u8]) -> io::Result<()> {
     let answer = entry
-        .own_call(OwnCall {
+        .answer_api_call(ApiCall {
             method: "POST",
             path: &format!("/v1/jobs/{name}"),
             key: Some(KEY),
@@ -272,7 +272,7 @@
 
 async fn look(entry: &Entry, name: &str) -> Option<StepJobView> {
     let answer = entry
-        .own_call(OwnCall {
+        .answer_api_call(ApiCall {
             method: "GET",
             path: &format!("/v1/why/{name}"),
             key: None,
--- a/standins/src/steps/store.rs
+++ b/standins/src/steps/store.rs
@@ -65,7 +65,7 @@
         }
         let offset = partition.end();
         if append.at.is_some_and(|at| at != offset) {
-            return Err(AppendError::Moved(offset));
+            return Err(AppendError::EndMoved(offset));
         }
         partition.records.extend(append.records.iter().cloned());
         let appended = Appended {
