--- a/dragonflyrun/src/job/worker_op.rs
+++ b/dragonflyrun/src/job/worker_op.rs
@@ -8,7 +8,7 @@
     utils::{Name, Timestamp},
 };
 
-/// A call to the worker, whose answer is passed to [`Members`].
+/// A call to the worker, whose answer is passed to [`Members`](crate::job::Members).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerCall {
     /// List all leases.
