--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -417,7 +417,11 @@
         let age_ms = proof_age.map(|age| age.as_millis() as u64);
         counters.level("configuration_age_ms", age_ms.unwrap_or(0) as f64);
         let now = self.entry.now();
-        match self.withheld_starts.borrow_mut().observe_pass(now, is_fresh, jobs) {
+        match self
+            .withheld_starts
+            .borrow_mut()
+            .observe_pass(now, is_fresh, jobs)
+        {
             Some(WithheldChange::Withheld) => {
                 counters.event("starts_withheld");
                 log::warn!(term = self.term.number, reason = "configuration_stale", age_ms, jobs; "starts_withheld");
