--- a/dragonflyrun/src/workload/agent_table.rs
+++ b/dragonflyrun/src/workload/agent_table.rs
@@ -327,12 +327,12 @@
     pub fn pending_actions(&self) -> Vec<AgentAction> {
         let session = self.incarnation.as_ref().and_then(|l| l.session.as_ref());
         let pending = session.into_iter().flat_map(|s| &s.pending);
-        let open = pending.filter_map(|(run, pending)| match pending {
+        let actions = pending.filter_map(|(run, pending)| match pending {
             Pending::StartSent { order, .. } => Some(AgentAction::Start((**order).clone())),
             Pending::StopSent => Some(AgentAction::Stop(run.clone())),
             Pending::Answered(_) => None,
         });
-        open.collect()
+        actions.collect()
     }
 
     /// Returns the contents of the next request for the worker's lists: the number of the request,
@@ -351,9 +351,9 @@
         ))
     }
 
-    /// Applies the worker's lists, which answer the request numbered `asked` of session `token`, and
-    /// returns whether to report to the planner at once.
-    pub fn lists(&mut self, asked: u64, token: u64, lists: WorkerLists) -> bool {
+    /// Applies the worker's lists, which answer list request `request` of session `token`, and returns
+    /// whether to report to the planner at once.
+    pub fn lists(&mut self, request: u64, token: u64, lists: WorkerLists) -> bool {
         let Some(incarnation) = self.in_session(token) else {
             return false;
         };
@@ -361,21 +361,21 @@
             .born_ms
             .is_some_and(|b| b != incarnation.heartbeat.born_ms);
         // Answers on different connections may overtake each other.
-        if other_incarnation || asked < incarnation.lists_received {
+        if other_incarnation || request < incarnation.lists_received {
             return false;
         }
         // The planner can use a worker, and close the session of its predecessor at the same
         // address, only after the first report. Without this the report would wait for the next
         // regular one, 1.2 s later.
         let first = incarnation.lists_received == 0;
-        incarnation.lists_received = asked;
+        incarnation.lists_received = request;
         incarnation.unanswered_checks = 0;
         incarnation.clock_ms = incarnation.clock_ms.max(Some(lists.clock_ms));
         let Some(session) = &mut incarnation.session else {
             return false;
         };
         session.pending.retain(|run, pending| match pending {
-            Pending::Answered(after) => *after >= asked,
+            Pending::Answered(after) => *after >= request,
             Pending::StartSent { .. } => !lists.running.iter().any(|r| r.run == *run),
             Pending::StopSent => true,
         });
@@ -426,8 +426,8 @@
 
     /// Removes a worker that has left or crashed; to be called once its last report is stored.
     pub fn forget_departed(&mut self) {
-        let over = |l: &Incarnation| (l.left || l.process_gone) && l.is_closed();
-        if self.incarnation.as_ref().is_some_and(over) {
+        let has_ended = |l: &Incarnation| (l.left || l.process_gone) && l.is_closed();
+        if self.incarnation.as_ref().is_some_and(has_ended) {
             self.incarnation = None;
         }
     }
--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -332,10 +332,10 @@
             return Vec::new();
         }
         let reports = self.workers.values().filter_map(|w| w.report.as_ref());
-        let here = reports
+        let at_address = reports
             .map(|r| &r.heartbeat)
             .filter(|h| h.address == *address);
-        let Some(newest) = here.max_by_key(|h| h.born_ms).cloned() else {
+        let Some(newest) = at_address.max_by_key(|h| h.born_ms).cloned() else {
             return Vec::new();
         };
         let mut over = Vec::new();
