--- a/dragonflyrun/src/workload/recent_failures.rs
+++ b/dragonflyrun/src/workload/recent_failures.rs
@@ -88,8 +88,8 @@
         (workers.len() >= MIN_FAULTY_WORKERS).then_some(first.at)
     }
 
-    /// Returns whether several of `all` workers fail everything that they start, for more than one
-    /// job.
+    /// Returns whether several of `worker_count` workers fail everything that they start, for more
+    /// than one job.
     pub(super) fn are_workers_faulty(&self, worker_count: usize) -> bool {
         let indications = || self.failures.iter().filter(|f| f.indicates_faulty_worker());
         let workers: HashSet<&Name> = indications().map(|f| &f.worker).collect();
--- a/dragonflyrun/src/workload/schedule.rs
+++ b/dragonflyrun/src/workload/schedule.rs
@@ -118,7 +118,7 @@
     pub has_serving_tasks: bool,
     /// Whether the worker runs tasks that use leftover processor time.
     pub has_leftover_tasks: bool,
-    /// How much slower than a full-speed worker it is, in steps; see [`slowness_step`].
+    /// How much slower than a full-speed worker it is, in steps; 0 is full speed.
     pub slowness_step: u32,
 }
 
