--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -1,4 +1,4 @@
-//! An agent: carries out the planner's orders at the worker beside it and reports what happens.
+//! The agent: carries out the planner's orders on its worker and reports the results.
 
 use std::{
     sync::{Arc, Mutex},
@@ -27,68 +27,73 @@
     workload::{AgentAction, AgentTable, Order, OrderMessage, RunId, StartResult, decode, encode},
 };
 
-/// How long a read of orders waits for one. Each read extends the worker's lease, so it is a small
-/// part of the shortest lease.
+/// How long a read of orders waits for a new one while tasks run. Each read extends the worker's
+/// lease, so this is a small fraction of the shortest lease.
 const ORDER_WAIT: Duration = Duration::from_millis(400);
 
-/// How long it waits while nothing runs on the worker: no lease has to be extended.
+/// How long a read of orders waits while nothing runs on the worker and no lease has to be
+/// extended.
 const IDLE_ORDER_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How long the worker may hold back its lists to wait for an end.
+/// How long the worker may delay its answer to wait for a run to end.
 const END_WAIT: Duration = Duration::from_millis(400);
 
-/// Pause before the next look while an end waits for its confirmation, which takes the planner some
-/// 50 ms. A worker with an end to list answers at once, so that without a pause the agent asked it
-/// some 500 times a second, and without end while the store was away.
+/// Delay before the next poll while an end waits for its confirmation, which takes the planner
+/// about 50 ms. A worker with an unconfirmed end answers at once: without the delay the agent
+/// polled it about 500 times a second, and kept doing so for as long as the store was unreachable.
 const UNCONFIRMED_POLL_DELAY: Duration = Duration::from_millis(25);
 
-/// Time between two looks at a worker on which nothing runs.
+/// Interval between two polls of a worker on which nothing runs.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Time between two reports where nothing has happened, while something runs.
+/// Interval between two reports without news while something runs.
 const BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Time between two reports of an idle worker; the planner takes three times that for silence.
+/// Interval between two reports of an idle worker, well below the 3 s after which the planner
+/// treats its agent as silent.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Time between two reports at the most, with that for the append: the planner waits 3 s for one.
+/// Longest time from one report to the next, including the append: the planner waits 3 s for a
+/// report.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(2_600);
 
-/// How many times the time that the store takes for a report lies between two of them. On a slow
-/// store reports that say nothing new would keep those waiting that tell of an end.
+/// Minimum spacing of reports, as a multiple of the time that the last append took. On a slow
+/// store, reports without news would otherwise delay those that carry an end.
 const REPORT_APPEND_TIMES: u32 = 4;
 
-/// Pause while the worker's clock has not been looked at in a session; a look takes some 2 ms.
+/// Delay before the next check while the worker's clock is still unknown in a session. A poll
+/// takes about 2 ms.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(10);
 
-/// Pause after a call that failed.
+/// Delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time for the append of a report; given up earlier on a slow store, it would only be sent twice.
+/// Time limit for the append of a report. A shorter limit would only make the agent send the
+/// report twice on a slow store.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Time for one append.
+/// Time limit for one append of an agent's other records.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// An agent.
+/// An agent that receives its orders from the store and reports to it.
 pub struct StoreAgent<S, W> {
     lanes: Lanes,
     store: Arc<S>,
     worker: Arc<W>,
     counters: Arc<Counters>,
     table: Mutex<AgentTable>,
-    /// Calls to the worker that have had no answer, so that none is made twice at once.
+    /// Calls to the worker that have not been answered, so that none is made twice concurrently.
     in_flight: Mutex<HashSet<(RunId, bool)>>,
-    /// Wakes the reporter.
+    /// Wakes the task that sends reports.
     report_wakeup: Notify,
-    /// Wakes whoever looks at the worker.
+    /// Wakes the task that polls the worker.
     poll_wakeup: Notify,
-    /// Wakes whoever opens sessions.
+    /// Wakes the task that opens sessions.
     session_wakeup: Notify,
 }
 
 impl<S: Store, W: Worker> StoreAgent<S, W> {
-    /// Returns an agent that has heard of no worker.
+    /// Returns an agent that has received no heartbeat yet.
     pub fn new(
         settings: StoreSettings,
         store: Arc<S>,
@@ -110,14 +115,14 @@
         })
     }
 
-    /// Starts the agent's tasks. To be called inside a local task set.
+    /// Starts the agent's tasks. Must be called inside a `LocalSet`.
     pub fn start(self: &Arc<Self>) {
         tokio::task::spawn_local(self.clone().run_sessions());
         tokio::task::spawn_local(self.clone().poll_worker());
         tokio::task::spawn_local(self.clone().send_reports());
     }
 
-    /// Opens a session for each life of the worker, and follows its orders.
+    /// Opens a session for each incarnation of the worker and follows its orders.
     async fn run_sessions(self: Arc<Self>) {
         loop {
             let current = lock(&self.table).worker();
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Follows the orders of a session until it is closed or the worker lives another life.
+    /// Follows the orders of a session until it is closed or the worker has restarted.
     async fn follow_orders(
         self: &Arc<Self>,
         partition: Partition,
@@ -185,7 +190,7 @@
                 }
                 table.clock_ms()
             };
-            // Without a look at the worker's clock an order could not be given a lease.
+            // An order gets its lease in the worker's own time, so the clock must be known first.
             if worker_clock_ms.is_none() {
                 sleep(FIRST_POLL_DELAY).await;
                 continue;
@@ -200,7 +205,8 @@
                         log::info!(what = "orders"; "store_regained");
                         reachable = true;
                     }
-                    // A page that ends before the partition does is no proof against a fence.
+                    // A page that ends before the partition does can't rule out that a fence
+                    // follows.
                     let worker_clock_ms = worker_clock_ms.filter(|_| next >= page.end);
                     let orders = orders_for(&page.records, worker, session);
                     let has_orders = !orders.is_empty();
@@ -226,7 +232,7 @@
                 }
             }
         }
-        // The planner has to hear that the session is closed before another one opens.
+        // The planner must learn that this session is closed before the next one opens.
         self.report_wakeup.notify_one();
         if lock(&self.table).is_closed() {
             self.append_reports().await;
@@ -281,7 +287,7 @@
         }
     }
 
-    /// Looks at the worker: confirms ends, extends the lease, and takes its lists.
+    /// Polls the worker: confirms ends, extends the lease, and reads the lists of runs and ends.
     async fn poll_worker(self: Arc<Self>) {
         loop {
             let asked = {
--- a/dragonflyrun/src/process/on_store/api.rs
+++ b/dragonflyrun/src/process/on_store/api.rs
@@ -1,7 +1,8 @@
-//! The product's own interface at an entry on the store: operators' questions, and jobs of steps.
+//! The product's own HTTP API at an entry: status for operators, and the submission of jobs of
+//! steps.
 //!
-//! Answers to questions come from the entry's own view and never wait. A job that is handed in here
-//! takes the same way as one of a caller, and needs the key of a workspace as well.
+//! Status is answered at once from the entry's own view. A job that is submitted here takes the
+//! same path as one from a caller, and needs a workspace key too.
 
 use std::time::Duration;
 
@@ -16,40 +17,41 @@
     workload::{BookEntry, LookUp},
 };
 
-/// Header of a call that hands a job in: the workspace's key.
+/// Header that carries the workspace key when a job is submitted.
 pub const WORKSPACE_KEY_HEADER: &str = "dragonfly-workspace-key";
 
-/// How long a job that is handed in here may take: what the tool waits for, less its way back.
+/// Time limit for the submission of a job: what the command-line tool waits, less the time the
+/// answer takes to travel back.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A call of the own interface.
+/// A call of the API.
 #[derive(Clone, Debug)]
 pub struct ApiCall<'a> {
     /// The HTTP method.
     pub method: &'a str,
     /// The path.
     pub path: &'a str,
-    /// The workspace's key, where one came.
+    /// The workspace key, if the call carries one.
     pub key: Option<&'a str>,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// The answer to a call.
+/// The answer to an API call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ApiAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// Its body, in JSON.
+    /// The body, in JSON.
     pub body: Vec<u8>,
 }
 
-/// Why a call of the own interface was not done; the body of such an answer.
+/// The body of an answer to a call that was not carried out.
 #[derive(Clone, Debug, serde::Deserialize, Eq, PartialEq, Serialize)]
 pub struct ApiError {
-    /// The reason, in words.
+    /// The reason, as text.
     pub reason: String,
-    /// Milliseconds after which it may be tried again, where that may help.
+    /// Milliseconds after which the call may be retried, if a retry may help.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -69,7 +71,7 @@
 
     fn new(status: u16, value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_else(|error| {
-            // The types have string keys only, so that writing them can't fail.
+            // These types have string keys only, so serialization can't fail.
             log::error!(error:% = error; "encoding_failed");
             Vec::new()
         });
@@ -78,17 +80,21 @@
 }
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
-    /// Answers a call of the own interface.
+    /// Answers a call of the API.
     pub async fn answer_api_call(&self, call: ApiCall<'_>) -> ApiAnswer {
         let path = call.path.strip_prefix("/v1/").unwrap_or_default();
         match (call.method, path.split_once('/').unwrap_or((path, ""))) {
             ("GET", ("deployment", "")) => ApiAnswer::ok(&self.deployment()),
             ("GET", ("jobs" | "why", job)) => match self.step_job(job) {
                 Some(view) => ApiAnswer::ok(&view),
-                None => ApiAnswer::error(404, "no such job, or it is no longer known", None),
+                None => ApiAnswer::error(
+                    404,
+                    "there is no such job, or its state is no longer kept",
+                    None,
+                ),
             },
             ("POST", ("jobs", job)) => self.submit_step_job(job, &call).await,
-            _ => ApiAnswer::error(404, "no such call", None),
+            _ => ApiAnswer::error(404, "there is no such API call", None),
         }
     }
 
@@ -159,7 +165,7 @@
         let configuration = lock(&self.state).configuration.clone();
         let queues = configuration.iter().flat_map(|c| &c.queues);
         let Some(queue) = queues.into_iter().find(|q| q.name == file.queue) else {
-            return ApiAnswer::error(404, "no such queue is in force", None);
+            return ApiAnswer::error(404, "no such queue is configured", None);
         };
         let req = CallerRequest {
             host: queue.host.to_string(),
@@ -170,11 +176,11 @@
         };
         match self.call(req).await {
             CallerAnswer::Accepted => ApiAnswer::ok(&serde_json::json!({ "job": job })),
-            CallerAnswer::UnknownKey => ApiAnswer::error(401, "the key is not known", None),
-            CallerAnswer::Malformed => ApiAnswer::error(400, "the job makes no sense", None),
+            CallerAnswer::UnknownKey => ApiAnswer::error(401, "the workspace key is unknown", None),
+            CallerAnswer::Malformed => ApiAnswer::error(400, "the job is invalid", None),
             CallerAnswer::Refused(why, after) => ApiAnswer::error(503, why.name(), Some(after)),
-            CallerAnswer::NoQueue => ApiAnswer::error(404, "no such queue is in force", None),
-            _ => ApiAnswer::error(504, "it is not known whether the job is accepted", None),
+            CallerAnswer::NoQueue => ApiAnswer::error(404, "no such queue is configured", None),
+            _ => ApiAnswer::error(504, "it is unknown whether the job was accepted", None),
         }
     }
 }
@@ -187,7 +193,7 @@
     let known = numbers.iter().filter_map(|n| entry.plan.tasks.get(n));
     let known: Vec<_> = known.collect();
     let places = known.iter().filter_map(|t| t.place.as_ref());
-    // The tasks of a job that is completed are no longer in its plan.
+    // The plan of a completed job no longer has its tasks.
     let completed = entry.plan.outcome == Some(crate::workload::Outcome::Completed);
     let done = known.iter().filter(|t| t.done).count();
     Some(StepView {
--- a/dragonflyrun/src/process/on_store/append_timeout.rs
+++ b/dragonflyrun/src/process/on_store/append_timeout.rs
@@ -1,17 +1,16 @@
-//! How long an append waits for its answer.
+//! How long an append may wait for its answer.
 //!
-//! Load pattern answered here: a slow store, where appends to one partition queue. One that is given up
-//! while it stands in the queue is sent again and stands there twice; where all writers do that, the
-//! queue never ends.
+//! On a slow store, appends to one partition queue up. An append that is given up while it is
+//! queued is sent again and then queued twice; if all writers do that, the queue never drains.
 
 use std::time::Duration;
 
-/// How many times the store's usual delay an append may take: the store refuses appends itself where
-/// the queue is longer.
+/// How long an append may take, as a multiple of the store's usual delay. If its queue is longer
+/// than that, the store itself refuses appends.
 const MAX_STORE_DELAYS: u32 = 8;
 
-/// Returns the time for an append on a store that usually takes `delay` for an answer: `least` where it
-/// is prompt.
+/// Returns the time limit for an append on a store with the usual delay `delay`: at least `min`,
+/// which applies to a fast store.
 pub fn append_timeout(min: Duration, delay: Duration) -> Duration {
     min.max(delay * MAX_STORE_DELAYS)
 }
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -1,4 +1,4 @@
-//! What callers hand in and cancel at an entry, as records in the store.
+//! Appends callers' submissions and cancellations to the store.
 
 use std::time::{Duration, Instant};
 
@@ -14,23 +14,23 @@
     workload::{Job, JobRecord, LookUp},
 };
 
-/// Time for one append of a caller's record.
+/// Time limit for one append of a caller's record.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for the read that shows whether the store can be reached.
+/// Minimum time limit for the read that checks whether the store is reachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How many of the store's usual delays that read may take.
+/// Time limit for that read as a multiple of the store's usual delay, if that is longer.
 const PROBE_STORE_DELAYS: u32 = 4;
 
-/// Pause between two tries of an append.
+/// Delay between two attempts of an append.
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Tries of an append that the store refuses before the caller is told so: one short refusal is
-/// bridged, a store that stays away is not waited for.
+/// Attempts that the store may refuse before the caller's request is refused: enough to bridge a
+/// short refusal, without waiting for a store that stays unavailable.
 const MAX_REFUSED_ATTEMPTS: u32 = 3;
 
-/// Share of a caller's patience after which it is told that the outcome is not known.
+/// Share of the time that a caller waits after which it is told that the outcome is unknown.
 const PATIENCE_SHARE: f64 = 0.85;
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
@@ -83,8 +83,8 @@
         answer.map_or_else(|refused| refused, |()| CallerAnswer::Cancelled)
     }
 
-    /// Folds a record that the store has confirmed before the follower reads it, so that this
-    /// entry answers for it at once.
+    /// Applies a record that the store has confirmed without waiting for the follower to read it,
+    /// so that this entry's answers reflect it at once.
     fn fold_stored(&self, record: JobRecord) {
         let mut state = lock(&self.state);
         if state.job_table.fold(record.clone()) {
@@ -94,8 +94,9 @@
         self.planner_wakeup.notify_one();
     }
 
-    /// Appends a caller's record. Repeats and late arrivals of it do no harm, so it is tried again
-    /// until the store confirms it; it is refused only where no try can have reached the store.
+    /// Appends a caller's record. Repeated and late records do no harm, so the append is retried
+    /// until the store confirms it; the request is refused only if no attempt can have reached the
+    /// store.
     async fn append(&self, req: &CallerRequest, record: &JobRecord) -> Result<(), CallerAnswer> {
         let append = Append {
             partition: Partition::JOBS,
@@ -150,11 +151,12 @@
         }
     }
 
-    /// Returns whether the store can be reached, by an answer of a moment ago or by a short read that takes
-    /// until `until` at the most.
+    /// Returns whether the store is reachable, judging by a recent answer or by a short read that
+    /// ends by `deadline`.
     ///
-    /// A record that is sent into a partition leaves its caller in doubt until its patience ends. A read that
-    /// is not answered harms nobody: the caller is refused truly, and tries another entry.
+    /// Once a record has been sent, a caller without a confirmation can't know whether it was
+    /// stored until its time runs out. A read without an answer has no such effect: the caller is
+    /// refused for certain and tries another entry.
     async fn probe_store(&self, deadline: Instant) -> bool {
         let (recent, delay, end) = {
             let state = lock(&self.state);
--- a/dragonflyrun/src/process/on_store/caller_requests.rs
+++ b/dragonflyrun/src/process/on_store/caller_requests.rs
@@ -1,4 +1,4 @@
-//! How an entry answers callers: by the configuration in force, and from the jobs as the store has them.
+//! Answers callers' requests by the configuration in force and the jobs in the store.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -17,23 +17,24 @@
     workload::{Job, LookUp, MOST_NAME_BYTES},
 };
 
-/// Share of the bound on revoked keys up to which an old proof still counts; the rest covers the
-/// time that a request is under way.
+/// Share of the bound on revoked keys up to which the last current read of the configuration still
+/// counts. The rest covers the time that a request takes.
 const REVOKE_BOUND_SHARE: f64 = 0.85;
 
-/// How long the answer to a question about a running job waits for its end. Callers ask when their work
-/// is done, and the store learns that some 30 ms later. An answer of `running` in between would let them
-/// hear of the end with their next question only.
+/// How long the answer to a query about a running job waits for the job's end. Callers query when
+/// their work is done, and the store learns of that about 30 ms later. If the answer were
+/// `running` in between, they would learn of the end only with their next query.
 const END_WAIT: Duration = Duration::from_millis(100);
 
-/// How many of the store's delays it waits beside that: an end is reported, read, planned and read.
+/// Multiple of the store's usual delay that is added to [`END_WAIT`]: an end is reported, read by
+/// the planner, planned, and read by this entry.
 const END_WAIT_STORE_DELAYS: u32 = 4;
 
-/// Share of a caller's patience that may be spent on waiting for the end.
+/// Share of the time that a caller waits that may be spent on waiting for the end.
 const END_PATIENCE_SHARE: f64 = 0.1;
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
-    /// Returns the state of a job; that of a running one after waiting a moment for its end.
+    /// Looks a job up; if it is running, waits a moment for its end.
     async fn look_up_awaiting_end(&self, req: &CallerRequest, name: &Name) -> LookUp {
         let found = self.look_up(name).await;
         if found != LookUp::Known(JobState::Running) {
@@ -55,19 +56,20 @@
         }
     }
 
-    /// Returns what the book has of a job, as current as the store's answers allow.
+    /// Looks a job up in a job table that is as current as the store's answers allow.
     pub(super) async fn look_up(&self, name: &Name) -> LookUp {
         self.catch_up_jobs().await;
         let found = lock(&self.state).job_table.look_up(name);
         if found != LookUp::Unknown {
             return found;
         }
-        // Another entry may have accepted it since the read under way was answered.
+        // Another entry may have accepted the job after the pending read was answered.
         self.await_next_read().await;
         lock(&self.state).job_table.look_up(name)
     }
 
-    /// Answers for a job that the book does not have: only a current book can deny it.
+    /// Returns the answer for a job that the job table lacks. Only a current table can show that
+    /// there is no such job; otherwise the request is refused.
     pub(super) fn unknown_job_answer(&self) -> CallerAnswer {
         let proof = lock(&self.state).job_table_current_at;
         if proof.is_some_and(|p| p.elapsed() < MAX_READY_AGE) {
@@ -160,7 +162,7 @@
     }
 }
 
-/// Returns whether records of a job with this name can be told apart in the store.
+/// Returns whether the store's record keys can tell apart jobs with names of this length.
 fn is_storable(name: &str) -> bool {
     !name.is_empty() && name.len() <= MOST_NAME_BYTES
 }
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: follows the store for the callers that it answers and the planner that it may become.
+//! The entry: follows the store on behalf of its callers and of the planner that it may become.
 
 use std::{
     sync::{
@@ -29,34 +29,37 @@
     workload::{Book, Election, JobRecord, StoreReach, Waiting},
 };
 
-/// How long a read waits for news. An answer proves that what is known was current when the read
-/// was sent, so a proof is up to two waits old before the next one comes; every bound on its age is
-/// above that. With 1.2 s and a bound of 2 s, nothing was started for a third of the time.
+/// How long a read waits for new records. An answer shows that the known state was current when
+/// the read was sent, so that confirmation is up to two waits old before the next one arrives, and
+/// every bound on its age must be longer. With a wait of 1.2 s and a bound of 2 s nothing was
+/// started for a third of the time.
 pub(super) const READ_WAIT: Duration = Duration::from_millis(800);
 
-/// How long a read of the jobs waits for news at the entry that plans: all work waits where its
-/// connection has fallen silent, which shows only after that.
+/// How long a read of the jobs waits for new records at the entry that plans. All work waits if
+/// its connection goes silent, which is noticed only after this time.
 const PLANNER_READ_WAIT: Duration = Duration::from_millis(300);
 
 /// Pause between two reads of the jobs at an entry that does not plan; see [`ReadPause`].
 const STANDBY_READ_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long a caller's question waits for a read that it has asked for.
+/// How long a caller's request waits for a read that it has triggered.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause after a read that failed, so that a store that is down is not asked without end.
+/// Delay before a failed read is retried, so that an unreachable store is not polled in a tight
+/// loop.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Age of the newest proof from the store above which the balancer is told to go elsewhere.
+/// Age of the last current read above which the entry reports itself as not ready, so that the
+/// load balancer sends requests elsewhere.
 pub(super) const MAX_READY_AGE: Duration = Duration::from_millis(2_200);
 
 const _: () =
     assert!(MAX_READY_AGE.as_millis() > 2 * READ_WAIT.as_millis() + STANDBY_READ_PAUSE.as_millis());
 
-/// Decodes operators' records; the adapter knows their format.
+/// Decodes operators' records, whose format only the adapter knows.
 pub type OperatorDecoder = dyn Fn(&StoreRecord) -> Option<OperatorRecord>;
 
-/// What an entry knows. Guarded by one lock.
+/// The state of an entry, guarded by one lock.
 pub(super) struct EntryState {
     pub(super) job_table: Book,
     pub(super) job_table_end: u64,
@@ -65,17 +68,18 @@
     pub(super) evacuated: Arc<HashSet<Name>>,
     pub(super) operators_current_at: Option<BootTime>,
     pub(super) reachability: StoreReach,
-    /// How long the store takes for an answer.
+    /// The store's usual delay before it answers.
     pub(super) store_delay: Duration,
     pub(super) election: Election,
-    /// Whether this entry plans, so that its planner wants to hear of `news`.
+    /// Whether this entry is the planner, so that its planner needs `new_records`.
     pub(super) is_planner: bool,
     pub(super) new_records: Vec<JobRecord>,
-    /// What jobs wait for, as this entry's planner found it; empty where it does not plan.
+    /// Why jobs wait, as the planner of this entry found in its last pass; empty while the entry
+    /// does not plan.
     pub(super) waiting: HashMap<Name, Waiting>,
 }
 
-/// An entry.
+/// An entry that follows the store.
 pub struct StoreEntry<S, A> {
     pub(super) settings: StoreSettings,
     pub(super) store: Arc<S>,
@@ -84,14 +88,14 @@
     pub(super) state: Mutex<EntryState>,
     pub(super) job_read_pause: ReadPause,
     pub(super) link_load: LinkLoad,
-    /// Wakes the planner: a job, a cancellation, a configuration or a report has come.
+    /// Wakes the planner after a new job, cancellation, configuration or report.
     pub(super) planner_wakeup: Notify,
     pub(super) stopping: AtomicBool,
     started: Instant,
 }
 
 impl<S: Store, A: Advisor> StoreEntry<S, A> {
-    /// Returns an entry that has read nothing yet.
+    /// Returns an entry that has not read anything yet.
     pub fn new(
         settings: StoreSettings,
         store: Arc<S>,
@@ -126,7 +130,7 @@
         })
     }
 
-    /// Starts the tasks that follow the store. To be called inside a local task set.
+    /// Starts the tasks that follow the store. Must be called inside a `LocalSet`.
     pub fn start(self: &Arc<Self>, decoder: Arc<OperatorDecoder>) {
         tokio::task::spawn_local(self.clone().follow_operators(decoder));
         tokio::task::spawn_local(self.clone().follow_jobs());
@@ -138,7 +142,8 @@
         &self.counters
     }
 
-    /// Tells the balancer to go elsewhere; what still comes is served.
+    /// Begins the shutdown: the entry reports itself as not ready, and still serves the requests
+    /// that arrive.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.planner_wakeup.notify_one();
@@ -157,7 +162,9 @@
             match follower.next(wait).await {
                 Ok(batch) => {
                     self.log_reachability(&mut reachable, true, "operators", "");
-                    // A large record proves what was in force when its read was sent, long ago.
+                    // A batch with records may have taken long to arrive and confirms only what
+                    // was in force when its read was sent. The next read therefore returns at
+                    // once.
                     wait = match batch.records.is_empty() {
                         true => READ_WAIT,
                         false => Duration::ZERO,
@@ -236,8 +243,8 @@
         }
     }
 
-    /// Pauses before the next read of the jobs, unless this entry plans; returns how long that read
-    /// is to wait for news.
+    /// Pauses before the next read of the jobs, unless this entry plans, and returns how long that
+    /// read may wait for new records.
     async fn pause_reads(&self) -> Duration {
         self.job_read_pause.notify_read_folded();
         if lock(&self.state).is_planner {
@@ -249,12 +256,12 @@
         }
     }
 
-    /// Brings the book up to date before a question is answered from it.
+    /// Brings the job table up to date before a request is answered from it.
     pub(super) async fn catch_up_jobs(&self) {
         self.job_read_pause.catch_up_jobs(CATCH_UP_TIMEOUT).await;
     }
 
-    /// Waits for the next read of the jobs.
+    /// Waits for the next read of the jobs to be applied.
     pub(super) async fn await_next_read(&self) {
         self.job_read_pause.await_next_read(CATCH_UP_TIMEOUT).await;
     }
@@ -315,8 +322,8 @@
         }
     }
 
-    /// Takes over a configuration, unless it is older than the one in force: what was in force
-    /// once never comes back.
+    /// Applies a configuration unless it is older than the one in force; an earlier version never
+    /// comes back into force.
     fn apply_configuration(&mut self, configuration: Configuration) {
         let known = self.configuration.as_ref().map_or(0, |c| c.version);
         if self.configuration.is_some() && configuration.version <= known {
@@ -336,7 +343,7 @@
     u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Waits for `notify`, up to `most`; returns whether it came.
+/// Waits for `notify` for at most `limit`; returns whether it was notified.
 pub(super) async fn wait_for(notify: &Notify, limit: Duration) -> bool {
     timeout(limit, notify.notified()).await.is_ok()
 }
--- a/dragonflyrun/src/process/on_store/follower.rs
+++ b/dragonflyrun/src/process/on_store/follower.rs
@@ -1,4 +1,4 @@
-//! Follows a partition of the store from the newest of each key on.
+//! Follows a keyed partition of the store, starting with the newest record of each key.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,19 +7,19 @@
     process::on_store::{BootTime, reader::Reader},
 };
 
-/// What a follower has read.
+/// The records from one step of a follower.
 #[derive(Debug)]
 pub struct Batch {
     /// When the read was sent.
     pub requested_at: BootTime,
-    /// Whether everything that stood in the store then has been read: more may stand behind a full page, and
-    /// what is known without it may be long out of date.
+    /// Whether this covers all that the store had when the read was sent. A full page may be
+    /// followed by more records, so the state without those may be long out of date.
     pub is_current: bool,
-    /// Whether these are the newest records of all keys, in place of everything read before.
+    /// Whether these are the newest records of all keys and replace everything read before.
     pub replaces: bool,
     /// The records.
     pub records: Vec<StoreRecord>,
-    /// The offset up to which all has been read.
+    /// The offset up to which everything has been read.
     pub end: u64,
 }
 
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Returns how long the store has taken for answers of late.
+    /// Returns the store's usual delay before it answers.
     pub fn usual_delay(&self) -> Duration {
         self.reader.usual_delay()
     }
 
-    /// Returns what is new, waiting for it up to `wait`.
+    /// Returns new records, waiting for the first for up to `wait`.
     ///
     /// # Errors
     ///
-    /// Where the store can't be read. A follower that has fallen behind what is kept starts over
-    /// with the newest record of each key by itself.
+    /// Returns an error if the store can't be read. A follower that has fallen behind the retained
+    /// records restarts by itself with the newest record of each key.
     pub async fn next(&mut self, wait: Duration) -> Result<Batch, ReadError> {
         let Some(next) = self.next else {
             return self.read_newest().await;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Reads the newest of each key. Pages are no snapshot, so reading goes on at the end as it
-    /// was when the first page was asked for.
+    /// Reads the newest record of each key. The pages are no consistent snapshot, so following
+    /// continues from the end of the partition as it was at the first page.
     async fn read_newest(&mut self) -> Result<Batch, ReadError> {
         let requested_at = BootTime::now();
         let mut records: Vec<StoreRecord> = Vec::new();
--- a/dragonflyrun/src/process/on_store/lanes.rs
+++ b/dragonflyrun/src/process/on_store/lanes.rs
@@ -1,22 +1,22 @@
-//! Which partition carries the orders for which worker.
+//! Maps workers to the partitions that carry their orders and reports.
 
 use crate::{
     port::{Partition, Topic},
     utils::spread,
 };
 
-/// Topics that carry orders. All agents whose workers share a partition are woken by each order in
-/// it, so there are about as many partitions as the store's bound on topics leaves room for.
+/// Number of topics that carry orders. Each order wakes all agents whose workers share its
+/// partition, so there are about as many partitions as the store's limit on topics allows.
 const ORDER_TOPICS: u32 = 64;
 
-/// The partitions for orders and reports.
+/// The partitions for orders, called lanes, and those for reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Lanes {
     partitions: u32,
 }
 
 impl Lanes {
-    /// Returns the lanes where each topic has `partitions` partitions.
+    /// Returns the mapping for topics that have `partitions` partitions each.
     pub fn new(partitions: u32) -> Self {
         Self {
             partitions: partitions.max(1),
@@ -35,11 +35,11 @@
         Partition::workers(u32::try_from(spread(worker) % number).unwrap_or(0))
     }
 
-    /// Returns the number of partitions that carry reports: all that a topic has.
+    /// Returns the number of partitions that carry reports: all partitions of the topic.
     ///
-    /// A partition takes one append at a time. On a store that takes 0.1 to 0.2 s for each, the
-    /// reports of some 30 workers in one partition come so late that the planner takes their agents
-    /// for silent.
+    /// A partition takes one append at a time. If the store takes 0.1 to 0.2 s for each, the
+    /// reports of about 30 workers in one partition arrive so late that the planner treats their
+    /// agents as silent.
     pub fn report_partitions(&self) -> u32 {
         self.partitions
     }
--- a/dragonflyrun/src/process/on_store/link_load.rs
+++ b/dragonflyrun/src/process/on_store/link_load.rs
@@ -1,26 +1,26 @@
-//! What a process sends over its host's link at once.
+//! Tracks how much data the process is sending over its host's link.
 //!
-//! Load pattern answered here: many jobs of large payloads are placed in one pass by an entry with a slow
-//! link. The orders for all their workers share the link; with a bound that does not count that, all of
-//! them are given up at once, sent again from the beginning, and never arrive.
+//! An entry with a slow link may place many jobs with large payloads in one planning pass, and the
+//! orders for all their workers share the link. With time limits that ignore this, all the appends
+//! would time out at once, be sent again from the beginning, and never arrive.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
     time::Duration,
 };
 
-/// How many times its time alone on the link a transfer may take: other traffic shares the link, and lost
-/// packets are sent again.
+/// How long a transfer may take, as a multiple of the time that the data needs on an idle link:
+/// other traffic shares the link, and lost packets are sent again.
 const LINK_TIME_FACTOR: u32 = 2;
 
-/// The transfers under way.
+/// The transfers in progress.
 #[derive(Debug)]
 pub(super) struct LinkLoad {
     bytes_per_s: Option<u64>,
     bytes: AtomicUsize,
 }
 
-/// A transfer; it counts until it is dropped.
+/// A transfer, which counts towards the load until it is dropped.
 #[derive(Debug)]
 pub(super) struct Transfer<'a> {
     load: &'a LinkLoad,
@@ -28,7 +28,7 @@
 }
 
 impl LinkLoad {
-    /// Returns the load of an idle link; one of unknown speed takes no time.
+    /// Returns the load of an idle link. If its speed is unknown, transfers get no extra time.
     pub(super) fn new(bytes_per_s: Option<u64>) -> Self {
         Self {
             bytes_per_s,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Begins a transfer.
+    /// Adds a transfer to the load.
     pub(super) fn begin(&self, bytes: usize) -> Transfer<'_> {
         self.bytes.fetch_add(bytes, Ordering::Relaxed);
         Transfer { load: self, bytes }
     }
 
-    /// Returns how long all that is under way may take.
+    /// Returns the time limit for all transfers in progress together.
     pub(super) fn time_limit(&self) -> Duration {
         let bytes = self.bytes.load(Ordering::Relaxed) as f64;
         let rate = self.bytes_per_s.filter(|rate| *rate > 0);
--- a/dragonflyrun/src/process/on_store/mod.rs
+++ b/dragonflyrun/src/process/on_store/mod.rs
@@ -1,9 +1,9 @@
-//! Entry and agent of a deployment whose state lives on the platform's store.
+//! The entry and the agent of a deployment whose state is in the platform's store.
 //!
-//! A process keeps nothing that matters: it follows the store and can be thrown away at any
-//! moment. All tasks of a process run on one thread, since its host gives it a fraction of a core;
-//! tables are shared under mutexes that no task holds while it waits. Lock order: state, planner.
-//! `docs/SYSTEM.md` tells the design.
+//! A process holds no state that would be lost with it: it follows the store and can be killed at
+//! any time. All tasks of a process run on one thread because its host gives it only a fraction of
+//! a core. They share tables behind mutexes that no task holds across an `await`. Lock order:
+//! entry state, then planner. `docs/SYSTEM.md` describes the design.
 
 mod agent;
 mod api;
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -1,4 +1,4 @@
-//! The planner at an entry: wins a term, plans while it holds it, and gives it up.
+//! The planner of an entry: claims a term, plans until the term is lost, and resigns on shutdown.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,47 +34,54 @@
     },
 };
 
-/// How often the planner shows a sign of life.
+/// Interval between the planner's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often the planner decides where nothing has come.
+/// Longest time between two planning passes when nothing new has been read.
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often an entry looks whether the planner is silent.
+/// How often an entry checks whether the planner is silent.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age of the newest read of operators' records up to which tasks are started: the bound on tasks
-/// in a failure domain that is out of service is seconds.
+/// Tasks are started only while the last current read of the operators' records is younger than
+/// this. It keeps the time during which tasks may still start in a failure domain that is out of
+/// service to a few seconds.
 const MAX_START_CONFIGURATION_AGE: Duration = Duration::from_millis(2_000);
 
 const _: () = assert!(MAX_START_CONFIGURATION_AGE.as_millis() > 2 * READ_WAIT.as_millis());
 
-/// Age of that read from which on an entry that reads better is to plan: a change of planner costs as much as
-/// a short gap.
+/// Age of the last current read of the operators' records above which the planner declares itself
+/// stale, so that an entry with a fresher read takes over. It is longer than
+/// [`MAX_START_CONFIGURATION_AGE`] because changing the planner costs as much as a short pause in
+/// starts.
 const STALE_CONFIGURATION_AGE: Duration = Duration::from_millis(3_000);
 
-/// How many of the store's usual delays are allowed beside that: on a slow store all read late.
+/// Multiple of the store's usual delay that is added to [`STALE_CONFIGURATION_AGE`]: on a slow
+/// store every entry reads late, and a change of planner would not help.
 const STALE_AGE_STORE_DELAYS: u32 = 4;
 
-/// Silence of an agent, which reports each second at the least, after which its session is closed.
+/// Silence after which an agent's session is closed. An agent reports every 1.2 s or more often,
+/// and on a slow store at least every 2.6 s.
 const MAX_AGENT_SILENCE: Duration = Duration::from_millis(3_000);
 
-/// How much slower than the planner's the clock of a worker may be.
+/// How much slower than the planner's clock a worker's clock may run, as a ratio of their rates.
 const MAX_CLOCK_RATE_RATIO: f64 = 1.02;
 
-/// Added to the time after which a lease is over, for the steps of the clocks themselves.
+/// Margin added to the time after which a lease has expired, for steps in either clock.
 const CLOCK_STEP_MARGIN: Duration = Duration::from_millis(150);
 
-/// How long a read of reports waits for one: a connection that has fallen silent shows after that.
+/// How long a read of reports waits for a new one. A connection that has gone silent is noticed
+/// only after this time.
 const REPORT_WAIT: Duration = Duration::from_millis(400);
 
-/// Time after which a read of reports that is still under way says nothing about its agents' silence.
+/// Time after which a pending read of reports is overdue. Until it returns, missing reports are no
+/// sign that an agent is silent.
 const REPORT_READ_OVERDUE: Duration = Duration::from_millis(1_300);
 
-/// Pause after a read that failed.
+/// Delay before a failed read is retried.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A term that this entry holds.
+/// A planner term held by this entry.
 pub(super) struct PlannerTerm<S, A> {
     entry: Arc<StoreEntry<S, A>>,
     term: Term,
@@ -82,17 +89,17 @@
     planner: RefCell<Planner>,
     writer: TermWriter<S, A>,
     senders: RefCell<HashMap<u32, mpsc::UnboundedSender<WorkerOrder>>>,
-    /// Whether all that runs is known.
+    /// Whether the reports of all partitions have been read, so that every running task is known.
     taken_over: Cell<bool>,
     reports_readable_since: Cell<Option<Timestamp>>,
-    /// Partitions of reports that can't be read, or have not been yet.
+    /// Report partitions that have not been read yet or can't be read now.
     unread_partitions: Cell<HashSet<u32>>,
     heartbeats: RefCell<LifeSigns>,
     withheld_starts: RefCell<WithheldStarts>,
 }
 
 impl<S: Store, A: Advisor> PlannerTerm<S, A> {
-    /// Watches the planner, and is planner whenever this entry wins the term.
+    /// Watches the planner, and plans whenever this entry wins the term.
     pub(super) async fn run(entry: Arc<StoreEntry<S, A>>) {
         loop {
             sleep(ELECTION_CHECK_INTERVAL).await;
@@ -102,8 +109,8 @@
             if candidacy(&entry).is_none() {
                 continue;
             }
-            // The claim holds only at the end of the partition, and the planner may have shown a
-            // sign of life since the last read.
+            // The claim succeeds only at the end of the partition, and the planner may have sent a
+            // heartbeat since the last read.
             entry.catch_up_jobs().await;
             let Some((term, end)) = candidacy(&entry) else {
                 continue;
@@ -163,7 +170,7 @@
         }))
     }
 
-    /// Plans until the term is lost or given up.
+    /// Plans until the term is lost or this entry stops.
     async fn plan_until_lost(self: Rc<Self>) {
         let reports = tokio::task::spawn_local(self.clone().take_over());
         let heartbeats = tokio::task::spawn_local(self.clone().send_heartbeats());
@@ -216,7 +223,8 @@
             if !self.heartbeats.borrow_mut().is_due(stale) {
                 continue;
             }
-            // A planner that can't read must not keep others from following it.
+            // A planner that can't read the jobs sends no heartbeat, so that another entry can
+            // take over.
             if job_table_current_at.is_some_and(|p| p.elapsed() < MAX_START_CONFIGURATION_AGE) {
                 let term = Term {
                     stale,
@@ -229,10 +237,10 @@
         }
     }
 
-    /// Makes sure that no order of an earlier planner can come any more, then reads the reports.
+    /// Fences off the orders of earlier planners, then reads the reports.
     ///
-    /// Without that, a run that no agent lists could still be started by an order that the store
-    /// carries out seconds late, while the task already runs elsewhere.
+    /// A run that no agent lists could otherwise still be started by an order that the store
+    /// applies seconds late, while the task already runs elsewhere.
     async fn take_over(self: Rc<Self>) {
         let workers: Vec<Name> = {
             let planner = self.planner.borrow();
@@ -242,7 +250,8 @@
                 .map(|(name, _)| name.clone())
                 .collect()
         };
-        // All at once: one after the other they would take 25 s at 62 workers and a slow store.
+        // The fences are appended concurrently: one after the other they would take 25 s with 62
+        // workers and a slow store.
         let fences = workers
             .into_iter()
             .map(|worker| self.fence_earlier_orders(worker));
@@ -299,7 +308,8 @@
         }
     }
 
-    /// Takes note whether a partition of reports can be read. Agents are silent only while all can.
+    /// Records whether a report partition can be read. A missing report counts as an agent's
+    /// silence only while all partitions can be read.
     fn set_readable(&self, number: u32, readable: bool) {
         let mut unread_partitions = self.unread_partitions.take();
         if readable {
@@ -336,7 +346,8 @@
         }
     }
 
-    /// Decides once, makes the decisions last, and sends the orders.
+    /// Runs one planning pass: decides, appends the plans, and sends the orders once they are
+    /// stored.
     async fn pass(self: &Rc<Self>) {
         let started_at = Instant::now();
         let (mut decisions, proof_age) = {
@@ -405,7 +416,8 @@
         counters.level("term", self.term.number as f64);
     }
 
-    /// Logs that waiting work is not started for want of a proof of the configuration, and that it is again.
+    /// Logs when waiting work starts to be withheld because the configuration can't be confirmed
+    /// as current, and when starts resume.
     fn log_withheld_starts(&self, decisions: &Decisions, proof_age: Option<Duration>) {
         let is_fresh = proof_age.is_some_and(|age| age < MAX_START_CONFIGURATION_AGE);
         let jobs = decisions.waiting.len();
@@ -439,9 +451,9 @@
         }
     }
 
-    /// Sends the orders of one lane, one append after the other.
+    /// Sends the orders of one lane, one append at a time.
     async fn send_lane(self: Rc<Self>, lane: u32, mut rx: mpsc::UnboundedReceiver<WorkerOrder>) {
-        /// Orders in one append, at the most.
+        /// Most orders that are sent in one append.
         const MAX_ORDERS_PER_APPEND: usize = 32;
         let mut orders = Vec::new();
         while rx.recv_many(&mut orders, MAX_ORDERS_PER_APPEND).await > 0 {
@@ -492,16 +504,17 @@
                 at: None,
             };
             if let Err(error) = store.append(&append, APPEND_TIMEOUT).await {
-                log::info!(reason:% = error; "report_not_dropped");
+                log::info!(reason:% = error; "report_not_deleted");
             }
         });
     }
 }
 
-/// Returns the term that this entry should try to win, and where the partition has to end for it.
+/// Returns the term that this entry should claim and the offset at which the partition has to end
+/// for the claim to succeed; `None` if it should not claim one.
 fn candidacy<S: Store, A: Advisor>(entry: &StoreEntry<S, A>) -> Option<(Term, u64)> {
-    /// Age of the newest read up to which an entry may stand: an entry that reads badly would plan
-    /// badly.
+    /// Age of the last current read of the jobs up to which an entry may be a candidate. An entry
+    /// that reads late would also plan late.
     const MAX_CANDIDATE_READ_AGE: Duration = Duration::from_millis(1_700);
     let now = entry.now();
     let state = lock(&entry.state);
--- a/dragonflyrun/src/process/on_store/read_pause.rs
+++ b/dragonflyrun/src/process/on_store/read_pause.rs
@@ -1,10 +1,10 @@
-//! Paces the reads of an entry that does not plan.
+//! Spaces the reads of an entry that does not plan.
 //!
-//! Load pattern answered here: a large fleet has many entries and a planner that appends many times
-//! a second. If every entry reads each append as it comes, the reads grow with the product of the
-//! two, and most of them serve no caller. Such an entry reads at intervals instead, and at once
-//! where a caller asks it something, so that no answer is older than with continuous reads. While a
-//! caller waits for a change it reads without a pause.
+//! A large fleet has many entries and a planner that appends many times a second. If every entry
+//! read each append as it arrives, the number of reads would grow with the product of the two, and
+//! most reads would serve no caller. Such an entry reads at intervals instead, and at once if a
+//! caller's request needs it, so that no answer is older than with continuous reads. While a
+//! caller waits for a change, the entry reads without pauses.
 
 use std::{
     sync::atomic::{AtomicBool, AtomicUsize, Ordering},
@@ -21,31 +21,32 @@
 #[derive(Debug, Default)]
 pub(super) struct ReadPause {
     pausing: AtomicBool,
-    /// Ends the pause for a question.
+    /// Ends the pause for a caller's request.
     read_requested: Notify,
-    /// Callers that wait for a change.
+    /// Number of callers that wait for a change.
     watchers: AtomicUsize,
     /// Ends the pause for a caller that waits for a change.
     watcher_added: Notify,
-    /// Tells callers that a read has been folded.
+    /// Notifies callers that a read has been applied.
     folded: Notify,
 }
 
 /// Why a pause ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum PauseEnd {
-    /// A caller's question waits for the answer to the next read, whether there is news or not.
+    /// A caller's request waits for the next read, which must return at once even without new
+    /// records.
     ReadRequested,
     /// The next read may wait for news.
     Due,
 }
 
-/// A caller that waits for a change; the reads go on without pauses for as long as it exists.
+/// A caller that waits for a change. Reads follow each other without pauses while it exists.
 #[derive(Debug)]
 pub(super) struct Watch<'a>(&'a ReadPause);
 
 impl Watch<'_> {
-    /// Returns what completes when the answer to a read has been folded from now on.
+    /// Returns a future that completes when the next read has been applied.
     pub(super) fn folded(&self) -> Notified<'_> {
         self.0.folded.notified()
     }
@@ -58,7 +59,8 @@
 }
 
 impl ReadPause {
-    /// Waits before the next read, for `most` or until a caller wants news; returns why it ended.
+    /// Waits before the next read, for `limit` or until a caller needs a read; returns why the
+    /// wait ended.
     pub(super) async fn pause(&self, limit: Duration) -> PauseEnd {
         let limit = match self.watchers.load(Ordering::Relaxed) {
             0 => limit,
@@ -75,7 +77,7 @@
         end
     }
 
-    /// Ends a pause, and lets the reads go on without pauses until the watch is dropped.
+    /// Ends the pause, and disables further pauses until the returned watch is dropped.
     pub(super) fn watch(&self) -> Watch<'_> {
         self.watchers.fetch_add(1, Ordering::Relaxed);
         if self.pausing.load(Ordering::Relaxed) {
@@ -84,27 +86,27 @@
         Watch(self)
     }
 
-    /// Takes note that the answer to a read has been folded.
+    /// Notifies waiting callers that a read has been applied.
     pub(super) fn notify_read_folded(&self) {
         self.folded.notify_waiters();
     }
 
-    /// Ends the pause and waits for the next read, for `most` at the most. Returns at once where a
-    /// read is under way, since the store answers it as soon as anything new comes.
+    /// Ends the pause and waits up to `limit` for the next read. Returns at once if a read is
+    /// pending, because the store answers it as soon as a new record arrives.
     pub(super) async fn catch_up_jobs(&self, limit: Duration) {
         if self.pausing.load(Ordering::Relaxed) {
             self.await_next_read(limit).await;
         }
     }
 
-    /// Waits until the next read has been folded, for `most` at the most; ends a pause.
+    /// Ends the pause and waits up to `limit` until the next read has been applied.
     pub(super) async fn await_next_read(&self, limit: Duration) {
         let folded = self.folded.notified();
         if self.pausing.load(Ordering::Relaxed) {
             self.read_requested.notify_one();
         }
         if timeout(limit, folded).await.is_err() {
-            log::debug!(waited_ms = limit.as_millis() as u64; "read_not_awaited");
+            log::debug!(waited_ms = limit.as_millis() as u64; "read_wait_timed_out");
         }
     }
 }
--- a/dragonflyrun/src/process/on_store/reader.rs
+++ b/dragonflyrun/src/process/on_store/reader.rs
@@ -1,14 +1,16 @@
-//! Reads of one partition that do not hang with their connection.
+//! Reads one partition without being held up by a connection that has gone silent.
 //!
-//! Load pattern answered here: open connections to the store fall silent while new ones work. A read
-//! waits for news most of the time, so the silence of its connection shows only once the answer is
-//! overdue. A second read on another connection is sent then, and the first answer counts: a hedged
-//! request (Dean and Barroso, "The Tail at Scale", CACM 2013). On a store that is slow altogether it
-//! waits longer before that, so that the load of such a store does not double. An answer that has begun to
-//! come is not overdue, however long the rest takes: sent again, it would take half of the link from itself.
+//! Open connections to the store sometimes go silent while new ones work. A read spends most of
+//! its time waiting for new records, so a silent connection is noticed only once the answer is
+//! overdue. A second read is then sent on another connection, and the first answer counts: a
+//! hedged request (Dean and Barroso, "The Tail at Scale", CACM 2013). On a store that is slow
+//! altogether the second read is sent later, so that it does not double the store's load. An
+//! answer that has started to arrive is not overdue, however long the rest takes: a second copy
+//! would take half of the link from the first.
 //!
-//! After a read that failed the next one waits for no news: it proves at once that the store is back,
-//! which a read that waits for news on a store without any would prove only when its wait is over.
+//! After a failed read the next one does not wait for new records. It shows at once that the store
+//! is back, whereas a waiting read on a store without new records would show that only at the end
+//! of its wait.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -19,17 +21,17 @@
 
 use crate::port::{Page, PageBody, Partition, ReadError, Store};
 
-/// An answer counts as overdue so long after its time at the least.
+/// Minimum time beyond its wait after which an answer is overdue.
 const MIN_OVERDUE: Duration = Duration::from_millis(150);
 
-/// How many times the usual delay an answer may take.
+/// The same time as a multiple of the store's usual delay, if that is longer.
 const OVERDUE_STORE_DELAYS: u32 = 3;
 
-/// Time for a read after one that failed, beside [`PROBE_DELAYS`]. A store that was silent answers no
-/// read that was sent before its return.
+/// Time limit for a read after a failed one, to which [`PROBE_STORE_DELAYS`] is added. A store
+/// that was silent never answers a read that was sent before it came back.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How many times the usual delay such a read may take beside that.
+/// Multiple of the store's usual delay that is added to [`PROBE_TIMEOUT`].
 const PROBE_STORE_DELAYS: u32 = 8;
 
 /// Reads one partition.
@@ -37,20 +39,21 @@
     store: Arc<S>,
     partition: Partition,
     delay: StoreDelay,
-    /// Whether the newest read failed.
+    /// Whether the last read failed.
     failing: bool,
 }
 
-/// How long the store takes for an answer, beside the time that it waits for news.
+/// How long the store takes for an answer, apart from the wait for new records.
 #[derive(Debug, Default)]
 struct StoreDelay {
-    /// Of the newest answers: what an empty one took beyond the wait, and what one with news took in
-    /// all, since nobody knows when the news came.
+    /// Delays of the latest answers: for an empty answer the time beyond the wait, for one with
+    /// records the whole time, because it is not known when the records arrived.
     samples: VecDeque<Duration>,
 }
 
 impl StoreDelay {
-    /// Answers that are remembered: so many in a row that all came late for their news are rare.
+    /// Number of answers that are remembered. It is rare that this many answers in a row are all
+    /// late because their records arrived late.
     const MAX_SAMPLES: usize = 4;
 
     fn record(&mut self, took: Duration, wait: Duration, has_news: bool) {
@@ -71,7 +74,7 @@
 }
 
 impl<S: Store> Reader<S> {
-    /// Returns a reader that knows nothing of the store's pace.
+    /// Returns a reader that has not measured the store's delay yet.
     pub(super) fn new(store: Arc<S>, partition: Partition) -> Self {
         Self {
             store,
@@ -81,17 +84,17 @@
         }
     }
 
-    /// Returns how long the store takes for an answer.
+    /// Returns the store's usual delay before it answers: the least of the latest answers.
     pub(super) fn usual_delay(&self) -> Duration {
         self.delay.usual()
     }
 
-    /// Returns the records from offset `from` on, waiting for the first up to `wait`, and not at all
-    /// where the read before failed.
+    /// Returns the records from offset `from` on, waiting for the first for up to `wait`, or not
+    /// at all if the previous read failed.
     ///
     /// # Errors
     ///
-    /// Where neither read has an answer.
+    /// Returns an error if neither the read nor its hedge gets an answer.
     pub(super) async fn read(&mut self, from: u64, wait: Duration) -> Result<Page, ReadError> {
         let answer = if self.failing {
             self.probe(from).await
@@ -117,7 +120,8 @@
         self.finish(started).await
     }
 
-    /// Returns the first answer that begins to come.
+    /// Sends the read, and a second one if the answer is overdue; returns the first answer that
+    /// starts to arrive.
     async fn start_hedged<'s>(
         &self,
         store: &'s S,
@@ -154,12 +158,12 @@
     }
 }
 
-/// An answer that has begun to come.
+/// An answer that has started to arrive.
 struct StartedAnswer<'s> {
     body: PageBody<'s>,
-    /// How long it took until then.
+    /// Time from the request until the answer started to arrive.
     took: Duration,
-    /// How long the store was allowed to wait for news.
+    /// How long the store was allowed to wait for new records.
     wait: Duration,
 }
 
--- a/dragonflyrun/src/process/on_store/settings.rs
+++ b/dragonflyrun/src/process/on_store/settings.rs
@@ -1,24 +1,24 @@
-//! What entry and agent need to know of their deployment.
+//! Settings of the entry and the agent.
 
 use std::time::Duration;
 
 use crate::utils::Name;
 
-/// Bounds that the deployment's users set.
+/// Time limits and factors from the deployment's settings.
 #[derive(Clone, Debug)]
 pub struct StoreBounds {
     /// The longest lease that a worker grants.
     pub lease: Duration,
-    /// Time after the confirmation of a configuration in which all processes, in touch or not,
-    /// have to stop serving keys that it took away.
+    /// Time after the confirmation of a configuration within which every process, connected or
+    /// not, has to stop accepting keys that it revoked.
     pub revoke: Duration,
-    /// Time for which an ended job's state is kept.
+    /// How long the state of an ended job is kept.
     pub keep_ended: Duration,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// How many times longer a task takes away from its data or its gang.
+    /// How many times longer a task takes when it runs far from its data or its gang.
     pub far_factor: f64,
-    /// The span of work after which a run saves a checkpoint; zero where it is not known.
+    /// Amount of work after which a run saves a checkpoint; zero if unknown.
     pub checkpoint_every: Duration,
 }
 
@@ -27,10 +27,10 @@
 pub struct StoreSettings {
     /// The name of this process.
     pub name: Name,
-    /// Partitions of a topic in the store.
+    /// Number of partitions of each topic in the store.
     pub partitions: u32,
-    /// Bytes a second that the host's link carries; none where that is not known.
+    /// Speed of the host's link in bytes per second, if known.
     pub link: Option<u64>,
-    /// Bounds.
+    /// Time limits and factors.
     pub bounds: StoreBounds,
 }
--- a/dragonflyrun/src/process/on_store/term_writer.rs
+++ b/dragonflyrun/src/process/on_store/term_writer.rs
@@ -1,4 +1,5 @@
-//! Appends of a planner under its term: numbered, in order, and refused once it has been succeeded.
+//! Appends of a planner within its term: numbered, in order, and refused once another planner has
+//! a later term.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,31 +16,31 @@
     utils::{HashMap, lock},
 };
 
-/// The name that all planners have as writers in the store.
+/// The writer name that all planners share in the store.
 pub(super) const WRITER: &str = "planner";
 
-/// Time for one append of the planner.
+/// Time limit for one append of the planner.
 pub(super) const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Pause between two tries of an append.
+/// Delay between two attempts of an append.
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The number of the append that wins a term.
+/// The sequence number of the append that claims a term.
 pub(super) const FIRST_SEQUENCE: u64 = 1;
 
-/// The writer of a term that was won by an append to the jobs' partition.
+/// Writes within a term that was claimed by an append to the jobs' partition.
 pub(super) struct TermWriter<S, A> {
     entry: Arc<StoreEntry<S, A>>,
     term: u64,
     /// The sequence number of the next append to each partition.
     sequences: RefCell<HashMap<Partition, u64>>,
-    /// One append at a time to each partition, so that its sequence numbers arrive in order.
+    /// Allow one append at a time to each partition, so that its sequence numbers arrive in order.
     append_locks: RefCell<HashMap<Partition, Rc<tokio::sync::Mutex<()>>>>,
     lost: Cell<bool>,
 }
 
 impl<S: Store, A> TermWriter<S, A> {
-    /// Returns the writer of the term with this number, whose first append was the claim.
+    /// Returns the writer of term `term`, whose first append was the claim.
     pub(super) fn new(entry: Arc<StoreEntry<S, A>>, term: u64) -> Self {
         let claimed = (Partition::JOBS, FIRST_SEQUENCE + 1);
         Self {
@@ -51,18 +52,18 @@
         }
     }
 
-    /// Returns whether the term is over: the store has refused it, or it was given up.
+    /// Returns whether the term is over: the store has refused it, or it was abandoned.
     pub(super) fn is_lost(&self) -> bool {
         self.lost.get()
     }
 
-    /// Tries no append again from now on.
+    /// Ends the term; no append is retried from now on.
     pub(super) fn abandon_term(&self) {
         self.lost.set(true);
     }
 
-    /// Appends until the store has confirmed it, or the term is lost. A repeat has the sequence
-    /// number of the first try, so it is done once.
+    /// Appends and retries until the store has confirmed the append or the term is lost. A retry
+    /// has the sequence number of the first attempt, so the records are appended only once.
     pub(super) async fn append(
         &self,
         partition: Partition,
@@ -86,21 +87,21 @@
                     return None;
                 }
                 Err(AppendError::OutOfOrder(expected)) => {
-                    // All earlier appends of this term to the partition are confirmed, so what the
-                    // store expects is the number of this one.
+                    // All earlier appends of this term to the partition are confirmed, so the
+                    // number that the store expects is that of this append.
                     log::info!(partition:? = partition, expected:?; "append_out_of_order");
                     if let (Some(expected), Some(writer)) = (expected, &mut append.writer) {
                         writer.sequence = expected;
                         self.sequences.borrow_mut().insert(partition, expected + 1);
                     }
                 }
-                Err(error) => log::debug!(reason:% = error; "append_again"),
+                Err(error) => log::debug!(reason:% = error; "append_retried"),
             }
             sleep(APPEND_RETRY_DELAY).await;
         }
     }
 
-    /// Appends with a single try, also after the term was given up.
+    /// Appends with a single attempt, even after the term was abandoned.
     pub(super) async fn append_once(
         &self,
         partition: Partition,
--- a/dragonflyrun/src/process/on_store/view.rs
+++ b/dragonflyrun/src/process/on_store/view.rs
@@ -1,7 +1,7 @@
-//! What an entry on the store answers to the operators' tool.
+//! Answers of an entry to the operators' command-line tool.
 //!
-//! The types are shared by the entry that writes them and the tool that reads them. A reader skips
-//! fields that it does not know, so that an older tool can ask a newer entry.
+//! The entry that serializes these types and the tool that reads them share them. Unknown fields
+//! are skipped when an answer is read, so that an older tool can query a newer entry.
 
 use std::sync::Arc;
 
@@ -13,18 +13,20 @@
     workload::{JobRequest, Occurrences, Resources, Step, Waiting},
 };
 
-/// The answer to `GET /v1/deployment`: the deployment as one entry sees it.
+/// The answer to `GET /v1/deployment`: the deployment as seen by one entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DeploymentView {
     /// The entry that answers.
     pub entry: Name,
-    /// Whether it takes callers' requests.
+    /// Whether the entry accepts callers' requests.
     pub ready: bool,
-    /// The version of the configuration that it has in force; none before the first.
+    /// The version of the configuration in force at the entry; `None` before the first one.
     pub configuration: Option<u64>,
-    /// Milliseconds since that was proved to be the newest; none before the first proof.
+    /// Milliseconds since that configuration was last confirmed as the newest; `None` before the
+    /// first confirmation.
     pub configuration_age_ms: Option<u64>,
-    /// Milliseconds since the jobs were proved to be all there are.
+    /// Milliseconds since the entry's table of jobs was last confirmed as current; `None` before
+    /// the first confirmation.
     pub jobs_age_ms: Option<u64>,
     /// The entry that plans.
     pub planner: Name,
@@ -32,18 +34,19 @@
     pub term: u64,
     /// Whether it is the one that answers.
     pub plans_here: bool,
-    /// Milliseconds since the newest sign of life of the planner.
+    /// Milliseconds since the planner's last heartbeat.
     pub planner_seen_ms: u64,
-    /// Whether the planner says that it can't prove the configuration and so starts nothing.
+    /// Whether the planner reports that it can't confirm its configuration and therefore starts
+    /// nothing.
     #[serde(default)]
     pub planner_stale: bool,
     /// Failure domains that are out of service.
     pub out_of_service: Vec<Name>,
-    /// Jobs of which nothing has started.
+    /// Number of jobs of which nothing has started.
     pub waiting: usize,
-    /// Jobs of which something has started and that have not ended.
+    /// Number of jobs that have started and not ended.
     pub running: usize,
-    /// Jobs that have ended and are still known.
+    /// Number of ended jobs whose state is still kept.
     pub ended: usize,
 }
 
@@ -54,65 +57,65 @@
     pub job: Name,
     /// Its queue.
     pub queue: Name,
-    /// The workspace of the key it came with.
+    /// The workspace of the key that it was submitted with.
     pub workspace: Option<Name>,
     /// 0 comes first.
     pub priority: u32,
     /// `queued`, `running`, `completed`, `failed` or `cancelled`.
     pub state: Name,
-    /// Unix milliseconds of its acceptance.
+    /// When it was accepted, in Unix milliseconds.
     pub accepted_ms: u64,
     /// Its steps.
     pub steps: Vec<StepView>,
-    /// What the planner found in its newest pass; none where nothing of the job waits for room, and at
-    /// entries that do not plan.
+    /// Why it waits, as the planner found in its last pass; `None` if nothing of the job waits for
+    /// room, and at entries that do not plan.
     pub waits_for: Option<Waiting>,
     /// The entry that plans, which is the one to ask what the job waits for.
     pub planner: Name,
 }
 
-/// How far a step is.
+/// The progress of a step.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StepView {
-    /// Its tasks, over all repetitions.
+    /// Number of its tasks, over all occurrences.
     pub tasks: usize,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: usize,
-    /// Runs that ended as failed.
+    /// Number of runs that ended as failed.
     pub failed_runs: u32,
-    /// The worker of each run that is under way or ordered.
+    /// The workers of all runs that are running or ordered.
     pub on: Vec<Name>,
 }
 
-/// A job of steps as its file says it, in the body of `POST /v1/jobs/ID`.
+/// A job of steps as described in its file, which is the body of `POST /v1/jobs/ID`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepJobFile {
     /// The queue, by its name in the configuration.
     pub queue: Name,
-    /// What its tasks are given to work on.
+    /// The input for its tasks.
     #[serde(default)]
     pub payload: String,
     /// Its steps.
     pub steps: Vec<StepFile>,
-    /// Its times, for a timed job.
+    /// The occurrences of a timed job.
     #[serde(default)]
     pub occurrences: Option<OccurrencesFile>,
 }
 
-/// The times of a timed job.
+/// The occurrences of a timed job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OccurrencesFile {
-    /// How many.
+    /// Number of occurrences.
     pub count: u32,
-    /// Unix milliseconds at which the first is due.
+    /// When the first is due, in Unix milliseconds.
     pub first_ms: u64,
-    /// Milliseconds from one to the next.
+    /// Milliseconds between two occurrences.
     pub every_ms: u64,
 }
 
-/// A step of a job as its file says it; [`Step`] tells what each field means.
+/// A step as described in a job's file; [`Step`] documents the fields.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 #[expect(missing_docs, reason = "the fields are those of `Step`")]
@@ -137,7 +140,7 @@
 }
 
 impl StepJobFile {
-    /// Returns what the file asks for.
+    /// Returns the job request that the file describes.
     pub fn request(self) -> JobRequest {
         JobRequest {
             payload: Arc::from(self.payload),
@@ -177,7 +180,7 @@
     }
 }
 
-/// Returns a state's name in answers.
+/// Returns the name of a state in answers.
 pub(super) fn state_name(state: JobState) -> Name {
     Name::from(match state {
         JobState::Queued => "queued",
