--- a/dragonflyrun/src/port/advisor.rs
+++ b/dragonflyrun/src/port/advisor.rs
@@ -1,25 +1,25 @@
-//! The service that knows which workers may run which steps.
+//! The service that decides which workers may run which steps.
 
 use std::time::Duration;
 
 use crate::utils::Name;
 
-/// What the advisor is asked.
+/// A question to the advisor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdviceQuestion {
     /// The job.
     pub job: Name,
-    /// Which repetition.
+    /// Which occurrence of the job.
     pub occurrence: u32,
-    /// Which step.
+    /// Which step of the job.
     pub step: u32,
     /// The workers that could run it.
     pub workers: Vec<Name>,
-    /// How long the answer takes at the most.
+    /// The longest time that the answer takes.
     pub within: Duration,
 }
 
-/// What the advisor says.
+/// The advisor's answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AdviceAnswer {
     /// The workers that may run the step, each with the ticket that proves it to the worker.
@@ -28,12 +28,12 @@
     pub valid: Duration,
 }
 
-/// The advisor.
+/// Access to the advisor.
 #[expect(
     async_fn_in_trait,
     reason = "a process runs all its tasks on one thread"
 )]
 pub trait Advisor: 'static {
-    /// Asks which workers may run a step; `None` where there is no answer.
+    /// Asks which workers may run a step; `None` if there is no answer.
     async fn advise(&self, question: &AdviceQuestion) -> Option<AdviceAnswer>;
 }
--- a/dragonflyrun/src/port/caller.rs
+++ b/dragonflyrun/src/port/caller.rs
@@ -1,15 +1,15 @@
-//! Callers' requests and the answers to them.
+//! Requests of callers and the answers to them.
 
 use std::time::Duration;
 
 use crate::workload::JobRequest;
 
-/// What a caller asks for.
+/// What a caller requests.
 #[derive(Clone, Debug)]
 pub enum CallerCall {
-    /// Hands a job in, which is `None` where the body can't be read as one.
+    /// Submits a job; `None` if the body can't be parsed as one.
     Submit(Option<JobRequest>),
-    /// Asks for a job's state, or for the queue's count where the path names no job.
+    /// Queries a job's state, or the queue's number of waiting jobs if the path names no job.
     Query,
     /// Cancels a job.
     Cancel,
@@ -18,48 +18,48 @@
 /// A caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The host that it names, without a port.
+    /// The host that the request names, without a port.
     pub host: String,
     /// The path.
     pub path: String,
-    /// The key that it carries.
+    /// The workspace key, if the request carries one.
     pub key: Option<String>,
     /// How long the caller waits for the answer.
     pub patience: Duration,
-    /// What it asks for.
+    /// What the caller requests.
     pub call: CallerCall,
 }
 
-/// A job's state as callers see it.
+/// A job's state as reported to callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobState {
-    /// Nothing of it has started.
+    /// Nothing of the job has started.
     Queued,
-    /// Some of it has started.
+    /// Part of the job has started.
     Running,
     /// All tasks are done.
     Completed,
-    /// A task has failed as often as it may.
+    /// A task has failed as many times as its queue allows.
     Failed,
     /// A caller cancelled it.
     Cancelled,
 }
 
-/// Why a request was refused; nothing of it was done, and nothing will be.
+/// Why a request was refused. Nothing of it was carried out, and nothing will be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
     /// The process has not read the configuration yet, or is stopping.
     NotReady,
-    /// The process can't prove that its configuration is still in force.
+    /// The process can't confirm that its configuration is still in force.
     ConfigurationStale,
     /// The store refused the record.
     StoreRefused,
-    /// The store does not answer; nothing was sent.
+    /// The store does not answer; nothing was sent to it.
     StoreUnreachable,
 }
 
 impl Refusal {
-    /// Returns the name under which refusals are counted.
+    /// Returns the name that refusals are counted under.
     pub const fn name(self) -> &'static str {
         match self {
             Self::NotReady => "not_ready",
@@ -70,7 +70,7 @@
     }
 }
 
-/// The answer to a caller.
+/// The answer to a caller's request.
 #[derive(Clone, Debug)]
 pub enum CallerAnswer {
     /// The job is accepted and stored.
@@ -79,31 +79,32 @@
     State(JobState),
     /// The job is cancelled or had ended.
     Cancelled,
-    /// Accepted jobs of the queue of which nothing has started.
+    /// Number of accepted jobs of the queue of which nothing has started.
     Pending(usize),
-    /// No such queue.
+    /// There is no such queue.
     NoQueue,
-    /// No such job.
+    /// There is no such job.
     NoJob,
-    /// The key is not known.
+    /// The workspace key is unknown.
     UnknownKey,
-    /// The request can't be understood.
+    /// The request can't be parsed or is invalid.
     Malformed,
-    /// Not done, and the caller may come again after the given time.
+    /// Not carried out; the caller may retry after the given time.
     Refused(Refusal, Duration),
-    /// It is not known whether it was done; the caller may ask again under the same name.
+    /// It is unknown whether the request was carried out; the caller may retry it under the same
+    /// job name.
     Unknown,
 }
 
-/// Answers callers.
+/// Handles callers' requests.
 #[expect(
     async_fn_in_trait,
     reason = "a process runs all its tasks on one thread"
 )]
 pub trait CallerHandler: 'static {
-    /// Answers a request.
+    /// Handles a request and returns its answer.
     async fn call(&self, req: CallerRequest) -> CallerAnswer;
 
-    /// Returns whether the balancer may send requests here.
+    /// Returns whether the load balancer may send requests to this process.
     fn is_ready(&self) -> bool;
 }
--- a/dragonflyrun/src/port/mod.rs
+++ b/dragonflyrun/src/port/mod.rs
@@ -1,8 +1,8 @@
-//! What the product asks of a platform: a store, workers, and the callers' and operators' side.
+//! Interfaces between the product and a platform: the store, workers, callers and operators.
 //!
-//! Each trait and type here is in the product's own words. An adapter implements the traits and
-//! decodes what comes from outside into these types; it decides nothing. `docs/SYSTEM.md` tells
-//! which promise rests on which of these calls.
+//! The traits and types use the product's own terms. An adapter implements the traits and
+//! translates the platform's data into these types; it makes no decisions. `docs/SYSTEM.md` lists
+//! which guarantee depends on which of these calls.
 
 mod advisor;
 mod caller;
--- a/dragonflyrun/src/port/operator.rs
+++ b/dragonflyrun/src/port/operator.rs
@@ -1,13 +1,13 @@
-//! What operators have in force.
+//! The operators' records: the configuration, and failure domains that are out of service.
 
 use std::time::Duration;
 
 use crate::utils::Name;
 
-/// The configuration that operators write, as one document with a version.
+/// The operators' configuration: one document with a version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not always by one.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Queue>,
@@ -17,37 +17,37 @@
     pub workspaces: Vec<Workspace>,
 }
 
-/// A queue of jobs, which callers reach by host and path.
+/// A queue of jobs, which callers address by host and path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
     /// Its name.
     pub name: Name,
     /// The host in callers' requests.
     pub host: Name,
-    /// What the path begins with.
+    /// The path prefix in callers' requests.
     pub prefix: Name,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the queue's tasks.
     pub service: Name,
-    /// 0 comes first and may take the place of others.
+    /// 0 is the most urgent, and may evict work of other priorities.
     pub priority: u32,
-    /// Runs of a task that may end as failed.
+    /// Number of runs of a task that may end as failed.
     pub max_attempts: u32,
-    /// The objective is this many times the longest chain of work, and `target` more.
+    /// A job's objective is this multiple of its critical path, plus `target`.
     pub stretch: f64,
-    /// See `stretch`.
+    /// The constant part of the objective; see `stretch`.
     pub target: Duration,
-    /// Whether callers need no key.
+    /// Whether callers need no workspace key.
     pub public: bool,
-    /// Set where only some workers may run the queue's steps, and the advisor knows which.
+    /// Set if only some workers may run the queue's steps and the advisor decides which.
     pub advice: Option<Advice>,
 }
 
-/// How long the advisor takes for a question.
+/// How long the advisor takes to answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Advice {
-    /// For any question.
+    /// The time for any question.
     pub base: Duration,
-    /// More for each worker that is asked about.
+    /// The additional time for each worker in the question.
     pub each: Duration,
 }
 
@@ -56,7 +56,7 @@
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// Whether its workers themselves refuse what does not fit.
+    /// Whether the workers themselves reject tasks that exceed their free capacity.
     pub rejects_overload: bool,
 }
 
@@ -65,30 +65,31 @@
 pub struct Workspace {
     /// Its name.
     pub name: Name,
-    /// The keys of its callers.
+    /// The keys that callers of the workspace use.
     pub keys: Vec<Name>,
-    /// Accelerators that belong to its jobs of priority 0 at all times.
+    /// Accelerators that are guaranteed to its jobs of priority 0 at all times.
     pub guaranteed_accelerators: u32,
 }
 
 /// One record of the operators' topic.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRecord {
-    /// A new configuration in full.
+    /// A complete new configuration.
     Configuration(Box<Configuration>),
-    /// A failure domain is out of service, or back in it.
+    /// A failure domain was taken out of service or put back into service.
     Evacuation {
         /// The failure domain.
         failure_domain: Name,
-        /// Whether it is out.
+        /// Whether it is out of service.
         out: bool,
     },
-    /// Something that does not concern this program.
+    /// A record that this program does not use.
     Other,
 }
 
 impl Configuration {
-    /// Returns the queue for a request: the longest prefix on its host, and the rest of the path.
+    /// Returns the queue with the longest matching prefix on the request's host, and the rest of
+    /// the path.
     pub fn queue_of<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let matches = self.queues.iter().filter(|q| &*q.host == host);
         let matches = matches.filter_map(|q| Some((q, path.strip_prefix(&*q.prefix)?)));
--- a/dragonflyrun/src/port/store.rs
+++ b/dragonflyrun/src/port/store.rs
@@ -1,4 +1,5 @@
-//! The platform's store: a log in partitions, of which some keep each key's newest record.
+//! The platform's store: a log of partitioned topics, some of which keep the newest record of each
+//! key.
 
 use std::{future::Future, pin::Pin, time::Duration};
 
@@ -9,36 +10,36 @@
 /// A stream of records in the store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Topic {
-    /// What operators write; the system reads it only. Keyed.
+    /// Records that operators write and this program only reads. Keyed.
     Operator,
     /// Jobs, their cancellations, the plan of each, and the planner's terms. Keyed.
     Jobs,
     /// The newest report of each worker's agent. Keyed.
     Workers,
-    /// Orders of the planner to agents; the number tells topics of this kind apart. Not keyed.
+    /// Orders of the planner to agents; the number distinguishes several such topics. Not keyed.
     Orders(u32),
 }
 
 impl Topic {
-    /// Returns whether the store keeps the newest record of each key for ever.
+    /// Returns whether the store keeps the newest record of each key indefinitely.
     pub const fn is_keyed(self) -> bool {
         !matches!(self, Self::Orders(_))
     }
 }
 
-/// A part of a topic in which the store keeps the order of records.
+/// A part of a topic within which the store keeps records in order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Partition {
     /// The topic.
     pub topic: Topic,
-    /// The number of the partition in its topic.
+    /// The number of the partition within its topic.
     pub number: u32,
 }
 
 impl Partition {
-    /// What operators write.
+    /// The partition that operators write to.
     pub const OPERATOR: Self = Self::first(Topic::Operator);
-    /// Jobs and their plans.
+    /// The partition of the jobs and their plans.
     pub const JOBS: Self = Self::first(Topic::Jobs);
     /// Returns a partition of agents' reports.
     pub const fn workers(number: u32) -> Self {
@@ -53,41 +54,44 @@
     }
 }
 
-/// One record; a keyed record without a value drops its key.
+/// One record. In a keyed topic a record without a value deletes its key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoreRecord {
-    /// The key; empty in a topic that is not keyed.
+    /// The key; empty in a topic without keys.
     pub key: Name,
     /// The content.
     pub value: Option<Vec<u8>>,
 }
 
-/// Who appends, where late appends of somebody who has been replaced must be refused.
+/// The writer of an append, for partitions where late appends of a replaced writer must be
+/// refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Writer {
-    /// The name that all writers share of whom one follows the other.
+    /// The name shared by all writers that succeed one another.
     pub name: &'static str,
-    /// The fencing token: the store refuses an append with a lower one than it has seen.
+    /// The fencing token: the store refuses an append with a lower term than the highest it has
+    /// seen.
     pub term: u64,
-    /// Numbers the appends of a term to one partition, so that a repeat is recognised.
+    /// Numbers the appends of a term to one partition, so that the store recognises repeats.
     pub sequence: u64,
 }
 
-/// Records that are appended all or nothing.
+/// Records that are appended all together or not at all.
 #[derive(Clone, Debug)]
 pub struct Append {
-    /// Where.
+    /// The partition to append to.
     pub partition: Partition,
-    /// What. None at all only sets the writer's term.
+    /// The records. An append without records only sets the writer's term.
     pub records: Vec<StoreRecord>,
-    /// The writer, where there is one at a time; none for records whose repeats and late arrivals do no harm.
+    /// The writer, if only one may write at a time; `None` for records of which repeated and late
+    /// copies do no harm.
     pub writer: Option<Writer>,
-    /// The offset at which the partition has to end for the append to be done.
+    /// If set, the append succeeds only if the partition ends at this offset.
     pub at: Option<u64>,
 }
 
 impl Append {
-    /// Returns the bytes of its records.
+    /// Returns the size of the keys and values in bytes.
     pub fn bytes(&self) -> usize {
         let of =
             |record: &StoreRecord| record.key.len() + record.value.as_ref().map_or(0, Vec::len);
@@ -95,7 +99,7 @@
     }
 }
 
-/// Where the records of an append stand.
+/// The position of appended records.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Appended {
     /// The offset of the first record.
@@ -108,30 +112,30 @@
     /// Why an append was not confirmed.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum AppendError {
-        /// The writer has been replaced; nothing was appended.
+        /// The writer has been replaced by one with a later term; nothing was appended.
         Fenced {
             display("the writer has been replaced")
         }
-        /// The partition ends elsewhere; nothing was appended.
+        /// The partition ends at another offset than the append requires; nothing was appended.
         EndMoved(end: u64) {
             display("the partition ends at {end}")
         }
         /// The store expects another sequence number; nothing was appended.
         OutOfOrder(expected: Option<u64>) {
-            display("the sequence number is not the next one, {expected:?}")
+            display("unexpected sequence number; the store expects {expected:?}")
         }
-        /// Nothing was appended for certain.
+        /// It is certain that nothing was appended.
         NotAppended(reason: String) {
             display("not appended: {reason}")
         }
-        /// The records may be there, or may still come.
+        /// The records may have been appended, or may still be.
         Unknown(reason: String) {
-            display("not known whether appended: {reason}")
+            display("unknown whether appended: {reason}")
         }
     }
 }
 
-/// Records that were read.
+/// Records that were read from a partition.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// The end of the partition when the store answered.
@@ -140,24 +144,22 @@
     pub records: Vec<StoreRecord>,
 }
 
-/// A page whose answer has begun to come.
-///
-/// That it has begun shows that the store can be reached. How long the rest takes hangs on how much it is and
-/// on the host's link, so no bound on the store's answers may count it
-/// (`docs/incidents/planner-without-configuration.md`).
+/// A page whose answer has started to arrive, which shows that the store is reachable. The time
+/// that the rest takes depends on its size and on the host's link, so no time limit for the
+/// store's answers may include it (`docs/incidents/planner-without-configuration.md`).
 pub struct PageBody<'a>(Pin<Box<dyn Future<Output = Result<Page, ReadError>> + 'a>>);
 
 impl<'a> PageBody<'a> {
-    /// Returns a page that `rest` brings.
+    /// Returns a page that the future `rest` yields.
     pub fn new(rest: impl Future<Output = Result<Page, ReadError>> + 'a) -> Self {
         Self(Box::pin(rest))
     }
 
-    /// Returns the page once all of it has come.
+    /// Waits for the rest of the page and returns it.
     ///
     /// # Errors
     ///
-    /// Where the answer ends early, falls silent or can't be used.
+    /// Returns an error if the answer ends early, stops arriving or is invalid.
     pub async fn read_all(self) -> Result<Page, ReadError> {
         self.0.await
     }
@@ -169,26 +171,26 @@
     }
 }
 
-/// A page of the newest record of each key.
+/// A page of the newest records of each key.
 #[derive(Clone, Debug, Default)]
 pub struct Newest {
     /// The end of the partition when the store answered.
     pub end: u64,
     /// The records, in the order of their keys.
     pub records: Vec<StoreRecord>,
-    /// Whether there are more keys after the last one.
+    /// Whether more keys follow the last one.
     pub more: bool,
 }
 
 quick_error! {
-    /// Why a read gave nothing.
+    /// Why a read returned no records.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum ReadError {
-        /// The records asked for are no longer kept; the first that is kept follows.
+        /// The requested records are no longer retained; carries the first offset that is.
         Dropped(first: u64) {
-            display("records before offset {first} are no longer kept")
+            display("records before offset {first} are no longer retained")
         }
-        /// The store gave no answer that can be used.
+        /// The store returned no usable answer.
         Unavailable(reason: String) {
             display("the store gave no answer: {reason}")
         }
@@ -201,11 +203,11 @@
     reason = "a process runs all its tasks on one thread"
 )]
 pub trait Store: 'static {
-    /// Appends records, waiting up to `within` for the confirmation.
+    /// Appends records, waiting up to `within` for the store's confirmation.
     async fn append(&self, append: &Append, within: Duration) -> Result<Appended, AppendError>;
 
-    /// Reads from offset `from` on, and waits up to `wait` for a record to come; returns as soon as the
-    /// answer begins to come.
+    /// Reads from offset `from` on, waiting up to `wait` for a record. Returns as soon as the
+    /// answer starts to arrive.
     async fn read(
         &self,
         partition: Partition,
@@ -213,6 +215,6 @@
         wait: Duration,
     ) -> Result<PageBody<'_>, ReadError>;
 
-    /// Reads the newest record of each key after `after`.
+    /// Reads the newest record of each key, starting after the key `after`.
     async fn newest(&self, partition: Partition, after: Option<&str>) -> Result<Newest, ReadError>;
 }
--- a/dragonflyrun/src/port/worker.rs
+++ b/dragonflyrun/src/port/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its agent sees it, and what a worker says of itself.
+//! The interface between an agent and its worker.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,45 +10,46 @@
     workload::{Resources, RunId},
 };
 
-/// What a worker says of itself, over and over.
+/// The state that a worker reports at regular intervals.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The worker's name. A worker that starts again may take the same name.
+    /// The worker's name. A restarted worker may keep its name.
     pub worker: Name,
-    /// Unix milliseconds of its start; tells two lives under one name apart.
+    /// When it started, in Unix milliseconds; distinguishes incarnations of the same name.
     pub born_ms: u64,
-    /// Where it listens; no two workers do so at one address at once.
+    /// The address that it listens on, which no two workers share at the same time.
     #[serde(default)]
     pub address: Name,
-    /// The pool that it serves.
+    /// The service whose pool it belongs to.
     pub service: Name,
     /// Its failure domain.
     pub failure_domain: Name,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it will leave soon and accepts no new work.
     pub draining: bool,
-    /// What it can run at once.
+    /// The resources that all its running tasks may use together.
     pub capacity: Resources,
-    /// Its labels, all of them.
+    /// All its labels.
     pub labels: Vec<Name>,
-    /// The rack it stands in, where it names one.
+    /// The rack that it is in, if it reports one.
     pub rack: Option<Name>,
-    /// Milliseconds that a draining worker stays at the least, where it says so.
+    /// The least time that a draining worker will stay, in milliseconds, if it reports one.
     #[serde(default)]
     pub remaining_ms: Option<u64>,
-    /// Rises with each heartbeat of one life.
+    /// Increases with each heartbeat of one incarnation.
     pub sequence: u64,
 }
 
-/// A task that runs on a worker.
+/// A task that is running on a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunningTask {
     /// Which run of which task.
     #[serde(rename = "r")]
     pub run: RunId,
-    /// Its newest checkpoint; empty for none.
+    /// Its newest checkpoint; empty if it has none.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
-    /// How much of its work is done, in percent; one that serves users is at work at 100.
+    /// How much of its work is done, in percent; a task that serves users reports 100 once it is
+    /// serving.
     #[serde(rename = "p", default)]
     pub percent: u32,
 }
@@ -58,24 +59,24 @@
 pub enum EndKind {
     /// The task is done.
     Done,
-    /// The task or its worker is at fault.
+    /// The task or its worker failed.
     Failed,
-    /// It was told to stop.
+    /// The run was ordered to stop.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not start in time.
     GangIncomplete,
-    /// The adapter knows no such end; it counts as a run that ended without fault.
+    /// An end that the adapter does not know; it counts as an end without a fault.
     Other,
 }
 
 /// The end of a run, as the worker lists it until it is confirmed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct End {
-    /// Numbers the ends of one life of the worker, from 1 on.
+    /// The number of this end among those of one incarnation of the worker, from 1 on.
     #[serde(rename = "n")]
     pub number: u64,
     /// Which run of which task.
@@ -84,21 +85,21 @@
     /// How it ended.
     #[serde(rename = "k")]
     pub kind: EndKind,
-    /// Its last checkpoint; empty for none.
+    /// Its last checkpoint; empty if it has none.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     pub checkpoint: String,
 }
 
-/// What a worker lists.
+/// The runs and ends that a worker lists.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerLists {
     /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// Unix milliseconds of the worker's start, where it says so.
+    /// When the worker started, in Unix milliseconds, if it reports it.
     pub born_ms: Option<u64>,
-    /// What runs.
+    /// The running tasks.
     pub running: Vec<RunningTask>,
-    /// Ends that have not been confirmed, oldest first.
+    /// The ends that have not been confirmed, oldest first.
     pub ends: Vec<End>,
 }
 
@@ -107,67 +108,68 @@
 pub struct StartOrder {
     /// Which run of which task.
     pub run: RunId,
-    /// What the caller handed in for the task to work on.
+    /// The task's input as submitted by the caller.
     pub payload: Arc<str>,
-    /// Where the task goes on; empty for the beginning.
+    /// The checkpoint that the task resumes from; empty to start from the beginning.
     pub checkpoint: String,
-    /// The worker's own clock at which everything on it loses its lease, in milliseconds.
+    /// When the lease of everything on the worker expires, in milliseconds of the worker's own
+    /// clock.
     pub lease_until_ms: u64,
     /// The fencing token.
     pub token: u64,
-    /// Proof for the queue's policy that the worker may run the step.
+    /// The ticket that proves that the queue's policy allows this worker to run the step.
     pub ticket: Option<String>,
 }
 
-/// What a worker made of a start order.
+/// The outcome of a start order at a worker.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StartOutcome {
-    /// The run is there.
+    /// The run exists on the worker.
     Started,
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// The worker has stopped or ended this run or a later one.
+    /// The worker has already stopped or ended this run or a later one of the task.
     Superseded,
-    /// The lease in the order has already run out.
+    /// The lease in the order had already expired.
     Expired,
-    /// The task does not fit beside what runs.
+    /// The task does not fit beside the running ones.
     NoRoom,
-    /// The proof for the queue's policy was refused.
+    /// The ticket for the queue's policy was refused.
     NoTicket,
-    /// The worker could not read the order.
+    /// The worker could not parse the order.
     Malformed,
-    /// The worker is not well and did nothing.
+    /// The worker is unhealthy and did nothing.
     Unhealthy,
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     OtherLife,
-    /// The agent did not ask the worker, which is about to leave.
+    /// The agent did not call the worker, which will leave soon.
     Draining,
 }
 
 quick_error! {
-    /// Why a call to a worker gave no answer.
+    /// Why a call to a worker returned no result.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum CallError {
-        /// The call may have been carried out, or may be yet.
+        /// The call may have been carried out, or may still be.
         NoAnswer(reason: String) {
             display("no answer: {reason}")
         }
-        /// Nobody listens at the worker's address; nothing was done.
+        /// Nothing listens on the worker's address; nothing was done.
         NotListening {
-            display("nobody listens there")
+            display("nothing listens on the worker's address")
         }
-        /// Another life of the worker answered; nothing was done.
+        /// Another incarnation of the worker answered; nothing was done.
         OtherLife {
-            display("another life of the worker answered")
+            display("another incarnation of the worker answered")
         }
-        /// The worker refused; nothing was done.
+        /// The worker refused the call; nothing was done.
         Refused(status: u16) {
             display("refused with status {status}")
         }
     }
 }
 
-/// The worker beside an agent.
+/// Access to an agent's worker.
 #[expect(
     async_fn_in_trait,
     reason = "a process runs all its tasks on one thread"
@@ -176,11 +178,11 @@
     /// Starts a run.
     async fn start(&self, worker: &str, order: &StartOrder) -> Result<StartOutcome, CallError>;
 
-    /// Stops a run, or makes sure that it never starts.
+    /// Stops a run, or ensures that it never starts.
     async fn stop(&self, worker: &str, run: &RunId, token: u64) -> Result<(), CallError>;
 
-    /// Confirms ends up to `confirmed`, extends the lease to `lease_until_ms` on the worker's
-    /// clock where given, and waits up to `wait` for an end.
+    /// Confirms ends up to number `confirmed`, extends the lease to `lease_until_ms` of the
+    /// worker's clock if given, and waits up to `wait` for a run to end.
     async fn renew(
         &self,
         worker: &str,
@@ -191,11 +193,11 @@
     ) -> Result<WorkerLists, CallError>;
 }
 
-/// Takes what workers say of themselves.
+/// Receives the messages that workers send by themselves.
 pub trait Registry: 'static {
-    /// Takes a heartbeat; returns whether it was taken in and may be confirmed.
+    /// Handles a heartbeat; returns whether it was accepted and may be confirmed.
     fn heartbeat(&self, heartbeat: Heartbeat) -> bool;
 
-    /// Takes note that a worker ends now.
+    /// Handles the message that a worker is shutting down.
     fn leave(&self, worker: &str);
 }
