--- a/dragonflyrun/src/port/store.rs
+++ b/dragonflyrun/src/port/store.rs
@@ -87,7 +87,7 @@
     /// copies do no harm.
     pub writer: Option<Writer>,
     /// If set, the append succeeds only if the partition ends at this offset.
-    pub at: Option<u64>,
+    pub expected_end: Option<u64>,
 }
 
 impl Append {
@@ -140,7 +140,7 @@
 pub struct Page {
     /// The end of the partition when the store answered.
     pub end: u64,
-    /// The records from the offset that was asked for on, as many as fit.
+    /// The records from the requested offset on, as many as fit.
     pub records: Vec<StoreRecord>,
 }
 
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -160,7 +160,7 @@
                 })),
             }],
             writer: None,
-            at: None,
+            expected_end: None,
         };
         match self.store.append(&append, APPEND_TIMEOUT).await {
             Ok(appended) => Some(appended.offset),
@@ -373,7 +373,7 @@
                     value: Some(encode(&report)),
                 }],
                 writer: None,
-                at: None,
+                expected_end: None,
             };
             if let Err(error) = self.store.append(&append, REPORT_TIMEOUT).await {
                 self.counters.event("report_not_stored");
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -102,7 +102,7 @@
             partition: Partition::JOBS,
             records: vec![record.encode()],
             writer: None,
-            at: None,
+            expected_end: None,
         };
         let deadline = Instant::now() + req.patience.mul_f64(PATIENCE_SHARE);
         if !self.probe_store(deadline).await {
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -104,7 +104,7 @@
     ) -> Arc<Self> {
         let election = Election::new(settings.name.clone(), rand::random(), Timestamp::default());
         Arc::new(Self {
-            link_load: LinkLoad::new(settings.link),
+            link_load: LinkLoad::new(settings.link_bytes_per_s),
             settings,
             store,
             advisor,
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -64,7 +64,7 @@
 /// and on a slow store at least every 2.6 s.
 const MAX_AGENT_SILENCE: Duration = Duration::from_millis(3_000);
 
-/// How much slower than the planner's clock a worker's clock may run, as a ratio of their rates.
+/// How many times faster the planner's clock may run than a worker's clock.
 const MAX_CLOCK_RATE_RATIO: f64 = 1.02;
 
 /// Margin added to the time after which a lease has expired, for steps in either clock.
@@ -131,7 +131,7 @@
                 term: term.number,
                 sequence: FIRST_SEQUENCE,
             }),
-            at: Some(end),
+            expected_end: Some(end),
         };
         match entry.store.append(&append, APPEND_TIMEOUT).await {
             Ok(Appended { .. }) => {}
@@ -501,7 +501,7 @@
                     value: None,
                 }],
                 writer: None,
-                at: None,
+                expected_end: None,
             };
             if let Err(error) = store.append(&append, APPEND_TIMEOUT).await {
                 log::info!(reason:% = error; "report_not_deleted");
--- a/dragonflyrun/src/process/on_store/read_pause.rs
+++ b/dragonflyrun/src/process/on_store/read_pause.rs
@@ -37,7 +37,7 @@
     /// A caller's request waits for the next read, which must return at once even without new
     /// records.
     ReadRequested,
-    /// The next read may wait for news.
+    /// The next read may wait for new records.
     Due,
 }
 
--- a/dragonflyrun/src/process/on_store/settings.rs
+++ b/dragonflyrun/src/process/on_store/settings.rs
@@ -29,8 +29,8 @@
     pub name: Name,
     /// Number of partitions of each topic in the store.
     pub partitions: u32,
-    /// Speed of the host's link in bytes per second, if known.
-    pub link: Option<u64>,
+    /// Bytes per second that the host's link carries, if known.
+    pub link_bytes_per_s: Option<u64>,
     /// Time limits and factors.
     pub bounds: StoreBounds,
 }
--- a/dragonflyrun/src/process/on_store/term_writer.rs
+++ b/dragonflyrun/src/process/on_store/term_writer.rs
@@ -124,7 +124,7 @@
                 term: self.term,
                 sequence,
             }),
-            at: None,
+            expected_end: None,
         }
     }
 
--- a/dragonflyrun/tests/slow_orders.rs
+++ b/dragonflyrun/tests/slow_orders.rs
@@ -115,7 +115,7 @@
         }
         let mut jobs = lock(&self.jobs);
         let offset = jobs.len() as u64;
-        if append.at.is_some_and(|at| at != offset) {
+        if append.expected_end.is_some_and(|at| at != offset) {
             return Err(AppendError::EndMoved(offset));
         }
         jobs.extend(append.records.iter().cloned());
@@ -237,7 +237,7 @@
 fn settings() -> StoreSettings {
     StoreSettings {
         partitions: PARTITIONS,
-        link: Some(u64::from(LINK)),
+        link_bytes_per_s: Some(u64::from(LINK)),
         ..store_entry::settings()
     }
 }
--- a/dragonflyrun/tests/store_entry/mod.rs
+++ b/dragonflyrun/tests/store_entry/mod.rs
@@ -41,7 +41,7 @@
     StoreSettings {
         name: "entry".into(),
         partitions: 12,
-        link: None,
+        link_bytes_per_s: None,
         bounds: StoreBounds {
             lease: Duration::from_secs(10),
             revoke: Duration::from_secs(60),
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -165,7 +165,7 @@
     StoreSettings {
         name: name.into(),
         partitions: 4,
-        link: None,
+        link_bytes_per_s: None,
         bounds: StoreBounds {
             lease: Duration::from_secs(6),
             revoke: Duration::from_secs(5),
@@ -247,7 +247,7 @@
             value: Some(Vec::new()),
         }],
         writer: None,
-        at: None,
+        expected_end: None,
     };
     let appended = store.append(&append, PATIENCE).await;
     appended.map_err(|e| io::Error::other(e.to_string()))?;
--- a/standins/src/steps/store.rs
+++ b/standins/src/steps/store.rs
@@ -64,7 +64,7 @@
             return Ok(repeated);
         }
         let offset = partition.end();
-        if append.at.is_some_and(|at| at != offset) {
+        if append.expected_end.is_some_and(|at| at != offset) {
             return Err(AppendError::EndMoved(offset));
         }
         partition.records.extend(append.records.iter().cloned());
