--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -290,12 +290,12 @@
     /// Polls the worker: confirms ends, extends the lease, and reads the lists of runs and ends.
     async fn poll_worker(self: Arc<Self>) {
         loop {
-            let asked = {
+            let request = {
                 let mut table = lock(&self.table);
                 let worker = table.worker();
                 worker.and_then(|(worker, _)| Some((worker, table.ask_lists()?)))
             };
-            let Some((worker, (asked, session, confirmed, lease))) = asked else {
+            let Some((worker, (request, session, confirmed, lease))) = request else {
                 wait_for(&self.poll_wakeup, IDLE_POLL_INTERVAL).await;
                 continue;
             };
@@ -308,15 +308,15 @@
                 .await;
             self.counters.latency("renewal", sent.elapsed());
             let report_now = match lists {
-                Ok(lists) => lock(&self.table).lists(asked, session, lists),
+                Ok(lists) => lock(&self.table).lists(request, session, lists),
                 Err(error) => {
                     let refused = error == CallError::NotListening;
-                    let new = lock(&self.table).unreachable(refused, Instant::now());
-                    if new {
+                    let newly_unreachable = lock(&self.table).unreachable(refused, Instant::now());
+                    if newly_unreachable {
                         log::warn!(worker:% = worker, session, why:% = error; "worker_unreachable");
                     }
                     sleep(RETRY_DELAY).await;
-                    new
+                    newly_unreachable
                 }
             };
             if report_now {
--- a/dragonflyrun/src/process/on_store/api.rs
+++ b/dragonflyrun/src/process/on_store/api.rs
@@ -102,8 +102,8 @@
         let ready = self.is_ready();
         let now = self.now();
         let state = lock(&self.state);
-        let age = |proof: Option<BootTime>| {
-            let ms = proof.map(|p| p.elapsed().as_millis());
+        let age = |current_at: Option<BootTime>| {
+            let ms = current_at.map(|p| p.elapsed().as_millis());
             ms.map(|ms| u64::try_from(ms).unwrap_or(u64::MAX))
         };
         let mut counts = [0; 3];
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -158,14 +158,14 @@
     /// stored until its time runs out. A read without an answer has no such effect: the caller is
     /// refused for certain and tries another entry.
     async fn probe_store(&self, deadline: Instant) -> bool {
-        let (recent, delay, end) = {
+        let (is_recent, delay, end) = {
             let state = lock(&self.state);
-            let recent = state
+            let is_recent = state
                 .reachability
                 .is_recent(Instant::now(), state.store_delay);
-            (recent, state.store_delay, state.job_table_end)
+            (is_recent, state.store_delay, state.job_table_end)
         };
-        if recent {
+        if is_recent {
             return true;
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
--- a/dragonflyrun/src/process/on_store/caller_requests.rs
+++ b/dragonflyrun/src/process/on_store/caller_requests.rs
@@ -71,8 +71,8 @@
     /// Returns the answer for a job that the job table lacks. Only a current table can show that
     /// there is no such job; otherwise the request is refused.
     pub(super) fn unknown_job_answer(&self) -> CallerAnswer {
-        let proof = lock(&self.state).job_table_current_at;
-        if proof.is_some_and(|p| p.elapsed() < MAX_READY_AGE) {
+        let current_at = lock(&self.state).job_table_current_at;
+        if current_at.is_some_and(|p| p.elapsed() < MAX_READY_AGE) {
             CallerAnswer::NoJob
         } else {
             self.refuse(Refusal::NotReady)
@@ -85,11 +85,11 @@
             drop(state);
             return Err(self.refuse(Refusal::NotReady));
         };
-        let proof = state.operators_current_at.map(BootTime::elapsed);
-        let read = state.job_table_current_at.is_some();
+        let configuration_age = state.operators_current_at.map(BootTime::elapsed);
+        let has_read_jobs = state.job_table_current_at.is_some();
         drop(state);
         let max_age = self.settings.bounds.revoke.mul_f64(REVOKE_BOUND_SHARE);
-        if proof.is_none_or(|age| age > max_age) || !read {
+        if configuration_age.is_none_or(|age| age > max_age) || !has_read_jobs {
             return Err(self.refuse(Refusal::ConfigurationStale));
         }
         let Some((queue, rest)) = configuration.queue_of(&req.host, &req.path) else {
@@ -154,7 +154,8 @@
 
     fn is_ready(&self) -> bool {
         let state = lock(&self.state);
-        let current = |proof: Option<BootTime>| proof.is_some_and(|p| p.elapsed() < MAX_READY_AGE);
+        let current =
+            |current_at: Option<BootTime>| current_at.is_some_and(|p| p.elapsed() < MAX_READY_AGE);
         state.configuration.is_some()
             && current(state.operators_current_at)
             && current(state.job_table_current_at)
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -43,16 +43,17 @@
 /// How often an entry checks whether the planner is silent.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tasks are started only while the last current read of the operators' records is younger than
-/// this. It keeps the time during which tasks may still start in a failure domain that is out of
-/// service to a few seconds.
-const MAX_START_CONFIGURATION_AGE: Duration = Duration::from_millis(2_000);
+/// Age up to which the last current read counts as fresh. Tasks are started only with a fresh read
+/// of the operators' records, which limits the time during which they may still start in a failure
+/// domain that is out of service to a few seconds. Heartbeats are sent only with a fresh read of
+/// the jobs.
+const MAX_FRESH_READ_AGE: Duration = Duration::from_millis(2_000);
 
-const _: () = assert!(MAX_START_CONFIGURATION_AGE.as_millis() > 2 * READ_WAIT.as_millis());
+const _: () = assert!(MAX_FRESH_READ_AGE.as_millis() > 2 * READ_WAIT.as_millis());
 
 /// Age of the last current read of the operators' records above which the planner declares itself
 /// stale, so that an entry with a fresher read takes over. It is longer than
-/// [`MAX_START_CONFIGURATION_AGE`] because changing the planner costs as much as a short pause in
+/// [`MAX_FRESH_READ_AGE`] because changing the planner costs as much as a short pause in
 /// starts.
 const STALE_CONFIGURATION_AGE: Duration = Duration::from_millis(3_000);
 
@@ -225,7 +226,7 @@
             }
             // A planner that can't read the jobs sends no heartbeat, so that another entry can
             // take over.
-            if job_table_current_at.is_some_and(|p| p.elapsed() < MAX_START_CONFIGURATION_AGE) {
+            if job_table_current_at.is_some_and(|p| p.elapsed() < MAX_FRESH_READ_AGE) {
                 let term = Term {
                     stale,
                     ..self.term.clone()
@@ -350,7 +351,7 @@
     /// stored.
     async fn pass(self: &Rc<Self>) {
         let started_at = Instant::now();
-        let (mut decisions, proof_age) = {
+        let (mut decisions, configuration_age) = {
             let mut state = lock(&self.entry.state);
             let mut planner = self.planner.borrow_mut();
             for record in state.new_records.drain(..) {
@@ -360,20 +361,20 @@
                 return;
             };
             let evacuated = state.evacuated.clone();
-            let proof_age = state.operators_current_at.map(BootTime::elapsed);
+            let configuration_age = state.operators_current_at.map(BootTime::elapsed);
             drop(state);
             let decisions = planner.decide(&View {
                 now: self.entry.now(),
                 unix_ms: unix_ms(),
                 configuration: &configuration,
                 evacuated: &evacuated,
-                is_fresh: proof_age.is_some_and(|age| age < MAX_START_CONFIGURATION_AGE),
+                is_fresh: configuration_age.is_some_and(|age| age < MAX_FRESH_READ_AGE),
                 reports_since: self.reports_readable_since.get(),
             });
-            (decisions, proof_age)
+            (decisions, configuration_age)
         };
         self.record_metrics(&decisions, started_at);
-        self.log_withheld_starts(&decisions, proof_age);
+        self.log_withheld_starts(&decisions, configuration_age);
         lock(&self.entry.state).waiting = std::mem::take(&mut decisions.waiting);
         if !decisions.plans.is_empty() {
             self.heartbeats.borrow_mut().plan_sent();
@@ -418,11 +419,11 @@
 
     /// Logs when waiting work starts to be withheld because the configuration can't be confirmed
     /// as current, and when starts resume.
-    fn log_withheld_starts(&self, decisions: &Decisions, proof_age: Option<Duration>) {
-        let is_fresh = proof_age.is_some_and(|age| age < MAX_START_CONFIGURATION_AGE);
+    fn log_withheld_starts(&self, decisions: &Decisions, configuration_age: Option<Duration>) {
+        let is_fresh = configuration_age.is_some_and(|age| age < MAX_FRESH_READ_AGE);
         let jobs = decisions.waiting.len();
         let counters = &self.entry.counters;
-        let age_ms = proof_age.map(|age| age.as_millis() as u64);
+        let age_ms = configuration_age.map(|age| age.as_millis() as u64);
         counters.level("configuration_age_ms", age_ms.unwrap_or(0) as f64);
         let now = self.entry.now();
         match self.withheld_starts.borrow_mut().pass(now, is_fresh, jobs) {
@@ -528,7 +529,7 @@
         store_delay: state.store_delay,
         proves: state
             .operators_current_at
-            .is_some_and(|p| p.elapsed() < MAX_START_CONFIGURATION_AGE),
+            .is_some_and(|p| p.elapsed() < MAX_FRESH_READ_AGE),
     };
     match state.election.step(now, candidate) {
         TermStep::Wait => None,
--- a/dragonflyrun/src/process/on_store/reader.rs
+++ b/dragonflyrun/src/process/on_store/reader.rs
@@ -56,11 +56,11 @@
     /// late because their records arrived late.
     const MAX_SAMPLES: usize = 4;
 
-    fn record(&mut self, took: Duration, wait: Duration, has_news: bool) {
+    fn record(&mut self, took: Duration, wait: Duration, has_records: bool) {
         if self.samples.len() == Self::MAX_SAMPLES {
             self.samples.pop_front();
         }
-        let delay = if has_news {
+        let delay = if has_records {
             took
         } else {
             took.saturating_sub(wait)
