--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -252,14 +252,14 @@
             return Vec::new();
         };
         let mut absent = self.jobs_on(agent);
-        let mut notices = Vec::new();
+        let mut messages = Vec::new();
         for member in members {
             if self.gang_mut(&member.gang).is_some() {
                 absent.retain(|job| *job != member.gang.job);
                 self.member_state(now, agent, member);
             } else if is_held(member.state) {
                 // The attempt was abandoned before it reached the log, or has ended.
-                notices.push(AgentMessage {
+                messages.push(AgentMessage {
                     to: agent.clone(),
                     message: GangMessage::Stop {
                         term,
@@ -275,7 +275,7 @@
                 gang.report(now, agent, None);
             }
         }
-        notices
+        messages
     }
 
     /// Returns the actions to carry out now; to be called every 100 ms.
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -129,7 +129,7 @@
         let reserved = self.reserved_against(now, entry);
         let workers = self.reservations.values().flat_map(|r| &r.parts);
         let reserved_workers: HashSet<WorkerId> = workers.map(|p| p.worker).collect();
-        let mut seats: Vec<Candidate> = reserved_workers
+        let mut candidates: Vec<Candidate> = reserved_workers
             .iter()
             .map(|worker| {
                 let reserved = reserved.get(worker).copied().unwrap_or(0);
@@ -146,12 +146,12 @@
             .inventory
             .free
             .most_available(entry.spec.tasks as usize);
-        seats.extend(
+        candidates.extend(
             roomiest
                 .into_iter()
                 .filter(|s| !reserved_workers.contains(&s.worker)),
         );
-        pick(&seats, &entry.spec.shape()).map(|plan| plan.parts)
+        pick(&candidates, &entry.spec.shape()).map(|plan| plan.parts)
     }
 
     /// Returns the accelerators of each worker that are reserved and not lent to `entry`. Room is
@@ -183,21 +183,21 @@
     fn earliest_reservation(&mut self, now: Timestamp, job: &JobId) -> Option<Reservation> {
         let entry = self.jobs.get(job)?.clone();
         let shape = entry.spec.shape();
-        let mut seats = self.eviction_candidates(&entry);
+        let mut candidates = self.eviction_candidates(&entry);
         let reserved = self.reserved_against(now, &entry);
-        for seat in &mut seats {
-            let reserved = reserved.get(&seat.worker).copied().unwrap_or(0);
-            seat.available = seat.available.saturating_sub(reserved);
+        for candidate in &mut candidates {
+            let reserved = reserved.get(&candidate.worker).copied().unwrap_or(0);
+            candidate.available = candidate.available.saturating_sub(reserved);
         }
-        let mut ends = self.expected_ends(now, &entry, &seats);
+        let mut ends = self.expected_ends(now, &entry, &candidates);
         ends.sort_by_key(|e| e.at);
         let mut at = now;
         let mut due = ends.into_iter().peekable();
         loop {
             while let Some(end) = due.next_if(|e| e.at <= at) {
-                seats[end.seat].available += end.accelerators;
+                candidates[end.candidate].available += end.accelerators;
             }
-            if let Some(plan) = pick(&seats, &shape) {
+            if let Some(plan) = pick(&candidates, &shape) {
                 return Some(Reservation {
                     parts: plan.parts,
                     task_accelerators: shape.accelerators,
@@ -208,16 +208,16 @@
         }
     }
 
-    /// Returns when the accelerators on `seats` are expected to become free for `entry`.
+    /// Returns when the accelerators on `candidates` are expected to become free for `entry`.
     fn expected_ends(
         &self,
         now: Timestamp,
         entry: &JobEntry,
-        seats: &[Candidate],
+        candidates: &[Candidate],
     ) -> Vec<ExpectedEnd> {
         let mut ends = Vec::new();
-        for (seat, i) in seats.iter().zip(0..) {
-            for holding in &self.inventory.worker(seat.worker).jobs {
+        for (candidate, i) in candidates.iter().zip(0..) {
+            for holding in &self.inventory.worker(candidate.worker).jobs {
                 let Some(other) = self.jobs.get(&holding.job) else {
                     continue;
                 };
@@ -236,7 +236,7 @@
                 };
                 ends.push(ExpectedEnd {
                     at,
-                    seat: i,
+                    candidate: i,
                     accelerators: holding.accelerators,
                 });
             }
@@ -259,7 +259,7 @@
 /// The expected end of a job on one worker.
 struct ExpectedEnd {
     at: Timestamp,
-    /// The index of the worker among the seats examined.
-    seat: usize,
+    /// The index of the worker among the candidates examined.
+    candidate: usize,
     accelerators: u32,
 }
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -75,14 +75,14 @@
         if self.leaving.load(Ordering::Relaxed) {
             return;
         }
-        let notices = {
+        let messages = {
             let roster = lock(&self.cx.roster);
             let Some(peer) = roster.peer(from).filter(|p| p.peer.role == Role::Agent) else {
                 return;
             };
             lock(&self.table).on_heartbeat(self.cx.now(), peer)
         };
-        for AgentMessage { to, message } in notices {
+        for AgentMessage { to, message } in messages {
             self.send(&to, message);
         }
     }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -135,7 +135,7 @@
     /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
     pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<AgentMessage> {
         let agent = &peer.peer.name;
-        let mut notices = self.take_report(now, agent, peer);
+        let mut messages = self.take_report(now, agent, peer);
         let renewal = self
             .renewals
             .on_heartbeat(now, agent, peer.confirmed, peer.sent_ms);
@@ -144,9 +144,9 @@
             .is_some_and(|at| now.since(at) <= RENEWAL_WITHOUT_LOG);
         if let Some(message) = renewal.filter(|_| may_renew) {
             let to = agent.clone();
-            notices.push(AgentMessage { to, message });
+            messages.push(AgentMessage { to, message });
         }
-        notices
+        messages
     }
 
     /// Takes note that the link to an agent ended.
@@ -308,11 +308,11 @@
         }
         // Before it knows its worker, an agent reports none of those that its predecessor left.
         let knows_worker = report.accelerators > 0;
-        let mut notices = self
+        let mut messages = self
             .planner
             .report(now, agent, &taken.members, knows_worker);
-        notices.extend(self.renewals.report(agent, incarnation, taken.members));
-        notices
+        messages.extend(self.renewals.report(agent, incarnation, taken.members));
+        messages
     }
 }
 
