--- a/dragonflyrun/benches/costs.rs
+++ b/dragonflyrun/benches/costs.rs
@@ -84,7 +84,7 @@
 struct Cluster {
     scheduler: Scheduler,
     accepted: u64,
-    last: LiveJob,
+    last_job: LiveJob,
     running: Vec<LiveJob>,
 }
 
@@ -99,7 +99,7 @@
         let mut cluster = Self {
             scheduler,
             accepted: 0,
-            last: live(0, &spec(1, 1, Adjacency::Any)),
+            last_job: live(0, &spec(1, 1, Adjacency::Any)),
             running: Vec::new(),
         };
         for number in 0..workers / 2 {
@@ -119,12 +119,12 @@
 
     fn submit(&mut self, spec: &JobSpec) {
         self.accepted += 1;
-        self.last = live(self.accepted, spec);
-        self.scheduler.job_waits(NOW, &self.last);
+        self.last_job = live(self.accepted, spec);
+        self.scheduler.job_waits(NOW, &self.last_job);
     }
 
     fn end(&mut self) {
-        self.scheduler.job_gone(NOW, &self.last.job);
+        self.scheduler.job_gone(NOW, &self.last_job.job);
     }
 
     /// Starts a job that goes on; returns whether it has started.
@@ -132,7 +132,7 @@
         self.submit(spec);
         let started = self.scheduler.decide(NOW).len() == 1;
         if started {
-            self.running.push(self.last.clone());
+            self.running.push(self.last_job.clone());
         }
         started
     }
@@ -157,7 +157,7 @@
             self.scheduler.job_waits(NOW, stopped.expect("it runs"));
         }
         let started = self.scheduler.decide(NOW);
-        assert!(matches!(&started[0], Decision::Start { job, .. } if *job == self.last.job));
+        assert!(matches!(&started[0], Decision::Start { job, .. } if *job == self.last_job.job));
         self.end();
         self.scheduler.decide(NOW);
     }
--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -34,13 +34,13 @@
 const WORKERS: [u32; 4] = [11, 110, 1_100, 5_500];
 
 /// Members on one worker at the size of two years on: 160,000 tasks on 5,500 workers.
-const MEMBERS: u32 = 29;
+const MEMBERS_PER_WORKER: u32 = 29;
 
 const GANGS: [u32; 2] = [8, 256];
 const RUNS: u32 = 5;
 
 /// The time between two heartbeats of one agent.
-const BEAT_MS: u64 = 250;
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 fn main() {
     println!(
@@ -82,14 +82,16 @@
 fn entry(workers: u32, gang: u32) {
     let mut entry = Entry::new(workers, gang);
     entry.tick();
-    let answered = (0..workers).filter(|w| entry.beat(*w, None)).count();
+    let answered = (0..workers)
+        .filter(|w| entry.take_heartbeat(*w, None))
+        .count();
     assert_eq!(
         answered, workers as usize,
         "every agent's gangs are renewed"
     );
     let calls = workers * 4;
     let beat = time_of(calls, |i| {
-        entry.beat(i % workers, None);
+        entry.take_heartbeat(i % workers, None);
     });
     row(
         "entry: unchanged heartbeat, 29 members",
@@ -99,7 +101,7 @@
     );
     let changed = time_of(workers.min(1_000), |i| {
         let state = [MemberState::Reserved, MemberState::Running][i as usize % 2];
-        entry.beat(i % workers, Some(state));
+        entry.take_heartbeat(i % workers, Some(state));
     });
     row(
         "entry: heartbeat in which one has changed",
@@ -130,16 +132,16 @@
                 incarnation: 1,
             };
             entry.roster.up(Timestamp::from_millis(0), peer);
-            entry.beat(worker, Some(MemberState::Running));
+            entry.take_heartbeat(worker, Some(MemberState::Running));
         }
         entry
     }
 
     /// Takes a heartbeat; `first` is the state of the agent's first member, where the heartbeat
     /// carries a report. Returns whether it was answered with a renewal.
-    fn beat(&mut self, worker: u32, first: Option<MemberState>) -> bool {
+    fn take_heartbeat(&mut self, worker: u32, first: Option<MemberState>) -> bool {
         // All agents send within the time of one heartbeat.
-        self.now += u64::from(worker == 0) * BEAT_MS;
+        self.now += u64::from(worker == 0) * HEARTBEAT_INTERVAL_MS;
         let now = Timestamp::from_millis(self.now);
         let heartbeat = Heartbeat {
             sent_ms: self.now,
@@ -150,9 +152,9 @@
         };
         self.roster.heard(now, &name(worker), heartbeat);
         let peer = self.roster.peer(&name(worker)).expect("it is linked");
-        let notices = self.table.on_heartbeat(now, peer);
+        let messages = self.table.on_heartbeat(now, peer);
         let is_renewal = |m: &GangMessage| matches!(m, GangMessage::Renewal { .. });
-        black_box(notices.iter().any(|n| is_renewal(&n.message)))
+        black_box(messages.iter().any(|n| is_renewal(&n.message)))
     }
 
     fn tick(&mut self) {
@@ -163,7 +165,7 @@
     }
 
     fn report(&self, worker: u32, first: MemberState) -> Report {
-        let members = (0..MEMBERS).map(|member| MemberReport {
+        let members = (0..MEMBERS_PER_WORKER).map(|member| MemberReport {
             number: u64::from(member) + 1,
             gang: gang_id(member, worker / self.gang),
             members: self.members_of(worker),
@@ -193,7 +195,7 @@
 fn agent() {
     let mut members = Members::new(Timestamp::from_millis(0));
     members.calls(Timestamp::from_millis(0));
-    let leases = (0..MEMBERS).map(|member| WorkerLease {
+    let leases = (0..MEMBERS_PER_WORKER).map(|member| WorkerLease {
         lease: LeaseName {
             gang: gang_id(member, 0),
             member: 0,
@@ -216,16 +218,21 @@
         black_box(members.reports());
     });
     row("agent: report of 29 members", 1, 8, reports);
-    let look = time_of(2_000, |i| {
+    let read_leases = time_of(2_000, |i| {
         let now = Timestamp::from_millis(2 + u64::from(i) / 100);
         members.on_leases(now, now, &view);
         black_box(members.calls(now));
     });
-    row("agent: look at 29 leases, and the calls due", 1, 8, look);
+    row(
+        "agent: look at 29 leases, and the calls due",
+        1,
+        8,
+        read_leases,
+    );
     let renewal = GangMessage::Renewal {
         echo_ms: 10_000_000,
         age_ms: 750,
-        members: (1..=u64::from(MEMBERS)).collect(),
+        members: (1..=u64::from(MEMBERS_PER_WORKER)).collect(),
     };
     let bytes = codec::encode(&Message::Gang(renewal)).len();
     println!("renewal of 29 members: {bytes} bytes");
--- a/dragonflyrun/benches/measures/main.rs
+++ b/dragonflyrun/benches/measures/main.rs
@@ -36,7 +36,7 @@
     let mut report = Report::default();
     for name in WORKLOADS {
         let text = fs::read_to_string(data.join(format!("{name}.json"))).expect("a workload");
-        let workload = Workload::read(&text);
+        let workload = Workload::parse(&text);
         println!("{name}: {}", workload.deployment);
         for seed in 1..=seeds {
             let naive = World::run(&workload, seed, &mut Naive::default());
--- a/dragonflyrun/benches/measures/simulation/figures.rs
+++ b/dragonflyrun/benches/measures/simulation/figures.rs
@@ -3,11 +3,11 @@
 use dragonflyrun::version::Urgency;
 use serde::{Deserialize, Serialize};
 
-use super::world::{Job, LARGE};
+use super::world::{Job, LARGE_JOB_ACCELERATORS};
 
 /// Completion times of a kind of jobs, from submission to end, in seconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Spread {
+pub(crate) struct CompletionTimes {
     pub(crate) jobs: usize,
     pub(crate) median_s: f64,
     pub(crate) p99_s: f64,
@@ -18,10 +18,10 @@
 /// What one run gave.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Figures {
-    pub(crate) urgent: Spread,
-    pub(crate) normal: Spread,
-    pub(crate) patient: Spread,
-    pub(crate) large: Spread,
+    pub(crate) urgent: CompletionTimes,
+    pub(crate) normal: CompletionTimes,
+    pub(crate) patient: CompletionTimes,
+    pub(crate) large: CompletionTimes,
     /// The longest wait of a large job for its first start, in seconds.
     pub(crate) large_longest_wait_s: f64,
     /// The time until the last end over the larger of work over capacity and the longest job.
@@ -47,7 +47,7 @@
     #[serde(skip)]
     pub(super) idle_ms: u64,
     #[serde(skip)]
-    pub(super) able_ms: u64,
+    pub(super) usable_ms: u64,
     #[serde(skip)]
     pub(super) fragmented_ms: u64,
     #[serde(skip)]
@@ -63,18 +63,21 @@
 impl Figures {
     pub(super) fn finish(&mut self, jobs: &[Job], accelerators: u32) {
         let urgency = |u: Urgency| jobs.iter().filter(move |j| j.plan.spec.urgency == u);
-        self.urgent = Spread::of(urgency(Urgency::Urgent));
-        self.normal = Spread::of(urgency(Urgency::Normal));
-        self.patient = Spread::of(urgency(Urgency::Patient));
-        let large = || jobs.iter().filter(|j| j.accelerators() >= LARGE);
-        self.large = Spread::of(large());
+        self.urgent = CompletionTimes::of(urgency(Urgency::Urgent));
+        self.normal = CompletionTimes::of(urgency(Urgency::Normal));
+        self.patient = CompletionTimes::of(urgency(Urgency::Patient));
+        let large = || {
+            jobs.iter()
+                .filter(|j| j.accelerators() >= LARGE_JOB_ACCELERATORS)
+        };
+        self.large = CompletionTimes::of(large());
         let times = large().filter_map(|j| Some(seconds(j.finished? - j.live_since())));
         self.large_times_s = times.collect();
         let waits = large().filter_map(|j| Some(j.first_start? - j.live_since()));
         self.large_longest_wait_s = seconds(waits.max().unwrap_or(0));
         self.makespan_over_bound = makespan_over_bound(jobs, accelerators);
         self.fragmentation = share(self.fragmented_ms, self.idle_ms);
-        self.fragmentation_of_all = share(self.fragmented_ms, self.able_ms);
+        self.fragmentation_of_all = share(self.fragmented_ms, self.usable_ms);
         self.drain_share = share(self.drain_work_ms, self.drain_allowed_ms);
         self.lost_to_evictions_s = seconds(self.lost_to_evictions_ms);
         self.lost_to_failures_s = seconds(self.lost_to_failures_ms);
@@ -91,7 +94,7 @@
     }
 }
 
-impl Spread {
+impl CompletionTimes {
     fn of<'a>(jobs: impl Iterator<Item = &'a Job>) -> Self {
         let finished = jobs.filter_map(|j| Some((j.finished? - j.live_since(), j.plan.run_ms)));
         let (mut times, mut bounds): (Vec<u64>, Vec<u64>) = finished.unzip();
--- a/dragonflyrun/benches/measures/simulation/naive.rs
+++ b/dragonflyrun/benches/measures/simulation/naive.rs
@@ -26,7 +26,7 @@
     waiting: BTreeMap<u64, LiveJob>,
     running: HashMap<JobId, (JobSpec, Vec<Placement>)>,
     stopping: HashSet<JobId>,
-    stale: bool,
+    needs_pass: bool,
 }
 
 impl Naive {
@@ -51,7 +51,7 @@
     }
 
     /// Returns the waiting jobs that fit, the oldest first, with where they do.
-    fn that_fit(&self) -> Vec<(LiveJob, Vec<Placement>)> {
+    fn startable_jobs(&self) -> Vec<(LiveJob, Vec<Placement>)> {
         let mut free = self.free();
         let mut fit = Vec::new();
         for live in self.waiting.values() {
@@ -75,13 +75,13 @@
 
     /// Returns the first workers, in their order, that hold the job with its adjacency.
     pub(crate) fn first_fit(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> Option<Vec<Placement>> {
-        let near = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
+        let adjacent = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
             Adjacency::Any => true,
             Adjacency::FailureDomain => a.failure_domain == b.failure_domain,
             Adjacency::Rack => a.rack == b.rack,
             Adjacency::Worker => a.name == b.name,
         };
-        let scopes = free.chunk_by(|(a, _), (b, _)| near(a, b));
+        let scopes = free.chunk_by(|(a, _), (b, _)| adjacent(a, b));
         let slots = |left: &u32| left / spec.accelerators;
         let mut whole = scopes.filter(|scope| {
             let slots: u32 = scope.iter().map(|(_, left)| slots(left)).sum();
@@ -106,12 +106,12 @@
 impl Policy for Naive {
     fn configure(&mut self, version: &Arc<Version>) {
         self.version = Some(version.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn worker_up(&mut self, _now: Timestamp, info: WorkerInfo) {
         self.workers.insert(info.name.clone(), (info, true));
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn worker_down(&mut self, _now: Timestamp, worker: &Name) {
@@ -124,14 +124,14 @@
         self.running.remove(&job.job);
         self.stopping.remove(&job.job);
         self.waiting.insert(job.accepted, job.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
         self.running.remove(job);
         self.stopping.remove(job);
         self.waiting.retain(|_, w| w.job != *job);
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn start_failed(&mut self, _now: Timestamp, _worker: &Name) {}
@@ -147,7 +147,7 @@
     }
 
     fn decide(&mut self, _now: Timestamp) -> Vec<Decision> {
-        if !std::mem::take(&mut self.stale) {
+        if !std::mem::take(&mut self.needs_pass) {
             return Vec::new();
         }
         let mut decisions = Vec::new();
@@ -169,7 +169,7 @@
                 self.stopping.insert(job.clone());
             }
         }
-        for (live, placements) in self.that_fit() {
+        for (live, placements) in self.startable_jobs() {
             self.waiting.remove(&live.accepted);
             let held = (live.spec, placements.clone());
             self.running.insert(live.job.clone(), held);
--- a/dragonflyrun/benches/measures/simulation/workload.rs
+++ b/dragonflyrun/benches/measures/simulation/workload.rs
@@ -123,7 +123,7 @@
 
 impl Workload {
     /// Reads a data file.
-    pub(crate) fn read(text: &str) -> Self {
+    pub(crate) fn parse(text: &str) -> Self {
         serde_json::from_str(text).expect("the workload is valid")
     }
 
@@ -157,7 +157,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut jobs = Vec::new();
         for stream in &self.streams {
-            stream.arrive(self.horizon_s, &mut rng, &mut jobs);
+            stream.generate_jobs(self.horizon_s, &mut rng, &mut jobs);
         }
         jobs.sort_by_key(|j| j.arrives_ms);
         jobs
@@ -165,7 +165,7 @@
 }
 
 impl Stream {
-    fn arrive(&self, horizon_s: u64, rng: &mut StdRng, jobs: &mut Vec<PlannedJob>) {
+    fn generate_jobs(&self, horizon_s: u64, rng: &mut StdRng, jobs: &mut Vec<PlannedJob>) {
         let mean_gap_s = 3_600.0 / self.bursts_an_hour;
         let mut at_s = 0.0;
         loop {
@@ -182,8 +182,9 @@
 
     fn job(&self, arrives_ms: u64, rng: &mut StdRng) -> PlannedJob {
         let shape = self.shapes[rng.random_range(0..self.shapes.len())];
-        let run_s = self.run_time_s * (self.run_time_spread * normal(rng)).exp();
-        let off = self.declared_factor * (self.declared_spread * normal(rng)).exp();
+        let run_s = self.run_time_s * (self.run_time_spread * standard_normal(rng)).exp();
+        let declared_ratio =
+            self.declared_factor * (self.declared_spread * standard_normal(rng)).exp();
         PlannedJob {
             spec: JobSpec {
                 workspace: self.workspace.clone(),
@@ -191,7 +192,7 @@
                 tasks: shape.tasks,
                 accelerators: shape.accelerators,
                 adjacency: shape.adjacency,
-                run_time_ms: (run_s * off * 1_000.0) as u64,
+                run_time_ms: (run_s * declared_ratio * 1_000.0) as u64,
                 program: Name::from(""),
             },
             arrives_ms,
@@ -204,7 +205,7 @@
 }
 
 /// Returns a draw from the standard normal distribution.
-fn normal(rng: &mut StdRng) -> f64 {
+fn standard_normal(rng: &mut StdRng) -> f64 {
     let radius = (-2.0 * rng.random_range(f64::EPSILON..1.0).ln()).sqrt();
     radius * (TAU * rng.random::<f64>()).cos()
 }
--- a/dragonflyrun/benches/measures/simulation/world.rs
+++ b/dragonflyrun/benches/measures/simulation/world.rs
@@ -26,19 +26,19 @@
 const STOP_MS: u64 = 1_500;
 
 /// A stop of a member that doesn't answer: its lease has lapsed for certain.
-const LAPSE_MS: u64 = 6_000;
+const LEASE_LAPSE_MS: u64 = 6_000;
 
 /// The share of stops in which a member doesn't answer, and no checkpoint is saved.
-const SILENT_STOPS: f64 = 0.03;
+const SILENT_STOP_SHARE: f64 = 0.03;
 
 /// The start from a checkpoint, during which no work is done.
 const RESTORE_MS: u64 = 5_000;
 
 /// Silence after which a worker counts as lost.
-const SILENCE_MS: u64 = 2_000;
+const WORKER_SILENCE_MS: u64 = 2_000;
 
 /// How long an owner may wait for a guaranteed shape: a stop that lapses, a start, and a tick.
-pub(crate) const RECLAIM_BOUND_MS: u64 = LAPSE_MS + START_MS + 2 * TICK_MS;
+pub(crate) const RECLAIM_BOUND_MS: u64 = LEASE_LAPSE_MS + START_MS + 2 * TICK_MS;
 
 /// How often the policy is asked while nothing happens.
 const TICK_MS: u64 = 1_000;
@@ -47,7 +47,7 @@
 pub(crate) const CLOCK_START_MS: u64 = 10_000;
 
 /// Jobs of at least so many accelerators count as large: two whole workers.
-pub(crate) const LARGE: u32 = 16;
+pub(crate) const LARGE_JOB_ACCELERATORS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
@@ -56,13 +56,13 @@
     Ended(usize, u32),
     Stopped(usize, u32),
     Usage(usize),
-    DrainFrom,
-    DrainTo,
-    OutageFrom,
-    OutageTo,
+    DrainStarts,
+    DrainEnds,
+    OutageStarts,
+    OutageEnds,
     WorkerDies(usize),
     WorkerSilent(usize),
-    WorkerBack(usize),
+    WorkerReturns(usize),
     Cancel(usize),
     Tick,
 }
@@ -70,14 +70,14 @@
 /// Where a job is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    Unborn,
-    Waits,
-    Starts,
+    NotArrived,
+    Waiting,
+    Starting,
     /// It has run since then, or is being restored until then.
-    Runs(u64),
+    Running(u64),
     /// It is being stopped, with or without a member that does not answer.
-    Stops,
-    Over,
+    Stopping,
+    Ended,
 }
 
 #[derive(Clone, Debug)]
@@ -98,8 +98,11 @@
         self.plan.spec.tasks * self.plan.spec.accelerators
     }
 
-    fn holds(&self) -> bool {
-        matches!(self.stage, Stage::Starts | Stage::Runs(_) | Stage::Stops)
+    fn holds_accelerators(&self) -> bool {
+        matches!(
+            self.stage,
+            Stage::Starting | Stage::Running(_) | Stage::Stopping
+        )
     }
 }
 
@@ -158,12 +161,12 @@
         };
         world.prepare();
         while let Some(Reverse((at, _, event))) = world.events.pop() {
-            world.account(at);
+            world.record_until(at);
             world.now_ms = at;
             world.handle(event);
             world.decide();
             if event == Event::Tick && !world.is_over() {
-                world.watch_guarantees();
+                world.count_violations();
                 world.push(at + TICK_MS, Event::Tick);
             }
         }
@@ -189,11 +192,11 @@
             );
         }
         let events = self.workload.events.clone();
-        self.push(events.drain.from_s * 1_000, Event::DrainFrom);
-        self.push(events.drain.to_s * 1_000, Event::DrainTo);
+        self.push(events.drain.from_s * 1_000, Event::DrainStarts);
+        self.push(events.drain.to_s * 1_000, Event::DrainEnds);
         for outage in &events.log_outages {
-            self.push(outage.from_s * 1_000, Event::OutageFrom);
-            self.push(outage.to_s * 1_000, Event::OutageTo);
+            self.push(outage.from_s * 1_000, Event::OutageStarts);
+            self.push(outage.to_s * 1_000, Event::OutageEnds);
         }
         for WorkerSpan {
             worker,
@@ -202,8 +205,11 @@
         } in events.lost_workers
         {
             self.push(from_s * 1_000, Event::WorkerDies(worker));
-            self.push(from_s * 1_000 + SILENCE_MS, Event::WorkerSilent(worker));
-            self.push(to_s * 1_000, Event::WorkerBack(worker));
+            self.push(
+                from_s * 1_000 + WORKER_SILENCE_MS,
+                Event::WorkerSilent(worker),
+            );
+            self.push(to_s * 1_000, Event::WorkerReturns(worker));
         }
         for (cancellation, at) in events.cancellations.iter().zip(0..) {
             self.push(cancellation.at_s * 1_000, Event::Cancel(at));
@@ -221,7 +227,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.live.is_empty() && self.jobs.iter().all(|j| j.stage == Stage::Over)
+        self.live.is_empty() && self.jobs.iter().all(|j| j.stage == Stage::Ended)
     }
 
     fn handle(&mut self, event: Event) {
@@ -246,17 +252,17 @@
                 };
                 self.policy.usage(self.now(), &report);
             }
-            Event::DrainFrom => self.configure(true),
-            Event::DrainTo => self.configure(false),
-            Event::OutageFrom => {
+            Event::DrainStarts => self.configure(true),
+            Event::DrainEnds => self.configure(false),
+            Event::OutageStarts => {
                 let outages = &self.workload.events.log_outages;
                 let this = outages.iter().find(|o| o.from_s * 1_000 == self.now_ms);
                 self.outage_until = this.map(|o| o.to_s * 1_000);
             }
-            Event::OutageTo => self.outage_until = None,
+            Event::OutageEnds => self.outage_until = None,
             Event::WorkerDies(worker) => self.dead[worker] = true,
-            Event::WorkerSilent(worker) => self.lose(worker),
-            Event::WorkerBack(worker) => {
+            Event::WorkerSilent(worker) => self.worker_lost(worker),
+            Event::WorkerReturns(worker) => {
                 self.dead[worker] = false;
                 let info = self.workers[worker].clone();
                 self.policy.worker_up(self.now(), info);
@@ -267,29 +273,29 @@
     }
 
     fn is_current(&self, at: usize, attempt: u32) -> bool {
-        self.jobs[at].live.attempt == attempt && self.jobs[at].stage != Stage::Over
+        self.jobs[at].live.attempt == attempt && self.jobs[at].stage != Stage::Ended
     }
 
     fn arrive(&mut self, at: usize) {
         if !self.policy.is_possible(&self.jobs[at].plan.spec) {
             assert!(self.jobs[at].plan.impossible, "a possible job was refused");
             self.jobs[at].refused = true;
-            self.jobs[at].stage = Stage::Over;
+            self.jobs[at].stage = Stage::Ended;
             return;
         }
         self.live.insert(at, ());
-        self.wait(at);
+        self.enqueue(at);
     }
 
-    fn wait(&mut self, at: usize) {
-        self.jobs[at].stage = Stage::Waits;
+    fn enqueue(&mut self, at: usize) {
+        self.jobs[at].stage = Stage::Waiting;
         self.jobs[at].live.placements.clear();
         let now = self.now();
         self.policy.job_waits(now, &self.jobs[at].live);
     }
 
     fn started(&mut self, at: usize) {
-        if self.jobs[at].stage != Stage::Starts {
+        if self.jobs[at].stage != Stage::Starting {
             return;
         }
         let placements = self.jobs[at].live.placements.clone();
@@ -297,7 +303,7 @@
         let mut failed = false;
         for p in &placements {
             let worker = self.by_name[&p.worker];
-            if self.fails(worker) {
+            if self.is_failing(worker) {
                 self.policy.start_failed(now, &p.worker);
                 failed = true;
             } else if !self.dead[worker] {
@@ -309,7 +315,7 @@
         if failed {
             self.figures.failed_starts += 1;
             self.release(at);
-            self.wait(at);
+            self.enqueue(at);
             return;
         }
         let job = &mut self.jobs[at];
@@ -318,13 +324,13 @@
             0 => self.now_ms,
             _ => self.now_ms + RESTORE_MS,
         };
-        job.stage = Stage::Runs(restored);
+        job.stage = Stage::Running(restored);
         let ends = restored + job.plan.run_ms - job.saved_ms;
         let attempt = job.live.attempt;
         self.push(ends, Event::Ended(at, attempt));
     }
 
-    fn fails(&self, worker: usize) -> bool {
+    fn is_failing(&self, worker: usize) -> bool {
         let spans = &self.workload.events.failing_workers;
         let now_s = self.now_ms / 1_000;
         spans
@@ -334,26 +340,26 @@
 
     fn ended(&mut self, at: usize) {
         // An end that an eviction has overtaken is no end: the checkpoint was taken before.
-        if !matches!(self.jobs[at].stage, Stage::Runs(_)) || self.is_broken(at) {
+        if !matches!(self.jobs[at].stage, Stage::Running(_)) || self.has_dead_member(at) {
             return;
         }
         self.jobs[at].finished = Some(self.now_ms);
-        self.over(at);
+        self.end_job(at);
         let lag_ms = self.workload.events.usage_lag_s * 1_000;
         self.push(self.now_ms + lag_ms, Event::Usage(at));
     }
 
     /// Returns whether a member of the job is on a dead worker.
-    fn is_broken(&self, at: usize) -> bool {
+    fn has_dead_member(&self, at: usize) -> bool {
         let placements = &self.jobs[at].live.placements;
         placements
             .iter()
             .any(|p| self.dead[self.by_name[&p.worker]])
     }
 
-    fn over(&mut self, at: usize) {
+    fn end_job(&mut self, at: usize) {
         self.release(at);
-        self.jobs[at].stage = Stage::Over;
+        self.jobs[at].stage = Stage::Ended;
         self.live.remove(&at);
         let now = self.now();
         self.policy.job_gone(now, &self.jobs[at].live.job);
@@ -362,14 +368,14 @@
     fn stopped(&mut self, at: usize) {
         self.release(at);
         if self.jobs[at].live.cancelled {
-            self.over(at);
+            self.end_job(at);
         } else {
-            self.wait(at);
+            self.enqueue(at);
         }
     }
 
     fn release(&mut self, at: usize) {
-        if !self.jobs[at].holds() {
+        if !self.jobs[at].holds_accelerators() {
             return;
         }
         let size = self.jobs[at].plan.spec.accelerators;
@@ -382,13 +388,13 @@
     fn stop(&mut self, at: usize, evicted: bool) {
         let job = &mut self.jobs[at];
         let since = match job.stage {
-            Stage::Runs(since) => since,
-            Stage::Starts => self.now_ms,
+            Stage::Running(since) => since,
+            Stage::Starting => self.now_ms,
             _ => return,
         };
         let draw = (job.plan.stop_draw + f64::from(job.live.attempt) * 0.618) % 1.0;
         let worked = self.now_ms.saturating_sub(since);
-        let silent = draw < SILENT_STOPS || self.is_broken(at);
+        let silent = draw < SILENT_STOP_SHARE || self.has_dead_member(at);
         let job = &mut self.jobs[at];
         if silent {
             let lost = worked * u64::from(job.accelerators());
@@ -400,9 +406,9 @@
             job.saved_ms += worked;
             job.live.checkpointed = true;
         }
-        job.stage = Stage::Stops;
+        job.stage = Stage::Stopping;
         let attempt = job.live.attempt;
-        let takes = if silent { LAPSE_MS } else { STOP_MS };
+        let takes = if silent { LEASE_LAPSE_MS } else { STOP_MS };
         self.push(self.now_ms + takes, Event::Stopped(at, attempt));
     }
 
@@ -415,7 +421,7 @@
     }
 
     /// A worker counts as lost: gangs with a member there are broken.
-    fn lose(&mut self, worker: usize) {
+    fn worker_lost(&mut self, worker: usize) {
         let name = self.workers[worker].name.clone();
         let now = self.now();
         self.policy.worker_down(now, &name);
@@ -435,7 +441,7 @@
             }
             job.live.cancelled = true;
             match job.stage {
-                Stage::Waits => self.over(at),
+                Stage::Waiting => self.end_job(at),
                 _ => self.stop(at, false),
             }
         }
@@ -463,7 +469,7 @@
                     let at = self.by_id[&job];
                     assert!(self.jobs[at].plan.impossible, "a possible job was ended");
                     self.jobs[at].refused = true;
-                    self.over(at);
+                    self.end_job(at);
                 }
             }
         }
@@ -472,7 +478,11 @@
     /// Carries out a start after checking what no policy may get wrong.
     fn start(&mut self, at: usize, placements: Vec<Placement>) {
         let spec = self.jobs[at].plan.spec.clone();
-        assert_eq!(self.jobs[at].stage, Stage::Waits, "a job was started twice");
+        assert_eq!(
+            self.jobs[at].stage,
+            Stage::Waiting,
+            "a job was started twice"
+        );
         let used = placements.iter().map(|p| {
             let worker = &self.workers[self.by_name[&p.worker]];
             (worker, p.tasks * spec.accelerators)
@@ -489,47 +499,47 @@
         let job = &mut self.jobs[at];
         job.live.placements = placements;
         job.live.attempt += 1;
-        job.stage = Stage::Starts;
+        job.stage = Stage::Starting;
         let attempt = job.live.attempt;
         self.push(self.now_ms + START_MS, Event::Started(at, attempt));
     }
 
     /// Adds up what happens until `to`.
-    fn account(&mut self, to: u64) {
+    fn record_until(&mut self, to: u64) {
         let ms = to - self.now_ms;
         if ms == 0 {
             return;
         }
         let idle = self.idle();
         let total: u32 = idle.iter().map(|(_, free)| free).sum();
-        let able: u32 = (0..self.workers.len())
-            .filter(|w| self.is_able(*w))
+        let usable: u32 = (0..self.workers.len())
+            .filter(|w| self.is_usable(*w))
             .map(|w| self.workers[w].accelerators)
             .sum();
         let waiting = self.live.keys().map(|at| &self.jobs[*at]);
-        let waiting = waiting.filter(|j| j.stage == Stage::Waits && !j.plan.impossible);
+        let waiting = waiting.filter(|j| j.stage == Stage::Waiting && !j.plan.impossible);
         let largest = waiting.max_by_key(|j| j.accelerators());
         let wasted = largest.is_some_and(|j| Naive::first_fit(&idle, &j.plan.spec).is_none());
         let figures = &mut self.figures;
         figures.idle_ms += ms * u64::from(total);
-        figures.able_ms += ms * u64::from(able);
+        figures.usable_ms += ms * u64::from(usable);
         if wasted {
             figures.fragmented_ms += ms * u64::from(total);
         }
         if self.drained {
-            self.account_drain(ms, to, able);
+            self.record_drain(ms, to, usable);
         }
     }
 
-    fn account_drain(&mut self, ms: u64, to: u64, able: u32) {
+    fn record_drain(&mut self, ms: u64, to: u64, usable: u32) {
         let empty: Vec<_> = (0..self.workers.len())
-            .filter(|w| self.is_able(*w))
+            .filter(|w| self.is_usable(*w))
             .map(|w| (&self.workers[w], self.workers[w].accelerators))
             .collect();
         let (mut demand, mut work) = (0, 0);
         for at in self.live.keys() {
             let job = &self.jobs[*at];
-            if let Stage::Runs(since) = job.stage {
+            if let Stage::Running(since) = job.stage {
                 let worked = to.saturating_sub(since.max(self.now_ms));
                 work += worked * u64::from(job.accelerators());
             }
@@ -538,28 +548,29 @@
             }
         }
         self.figures.drain_work_ms += work;
-        self.figures.drain_allowed_ms += ms * u64::from(able.min(demand));
+        self.figures.drain_allowed_ms += ms * u64::from(usable.min(demand));
     }
 
-    fn is_able(&self, worker: usize) -> bool {
+    fn is_usable(&self, worker: usize) -> bool {
         let in_service = self
             .version
             .in_service(&self.workers[worker].failure_domain);
-        in_service && !self.dead[worker] && !self.fails(worker)
+        in_service && !self.dead[worker] && !self.is_failing(worker)
     }
 
     fn idle(&self) -> Vec<(&WorkerInfo, u32)> {
-        let able = (0..self.workers.len()).filter(|w| self.is_able(*w));
-        able.map(|w| {
-            let free = self.workers[w].accelerators - self.held[w];
-            (&self.workers[w], free)
-        })
-        .collect()
+        let usable = (0..self.workers.len()).filter(|w| self.is_usable(*w));
+        usable
+            .map(|w| {
+                let free = self.workers[w].accelerators - self.held[w];
+                (&self.workers[w], free)
+            })
+            .collect()
     }
 
     /// Counts owners that have waited too long for a shape that they are guaranteed. A waiting
     /// job is entitled if its shape is that of a guarantee which no job of its workspace holds.
-    fn watch_guarantees(&mut self) {
+    fn count_violations(&mut self) {
         let mut entitled = HashSet::default();
         if self.outage_until.is_none() {
             for workspace in self.version.workspaces() {
@@ -589,7 +600,7 @@
         let mut holding: Vec<&Job> = jobs
             .clone()
             .map(|at| &self.jobs[*at])
-            .filter(|j| j.holds())
+            .filter(|j| j.holds_accelerators())
             .collect();
         holding.sort_by_key(|j| Reverse(j.accelerators()));
         for job in holding {
@@ -610,7 +621,7 @@
         }
         for at in jobs {
             let spec = &self.jobs[*at].plan.spec;
-            if self.jobs[*at].stage != Stage::Waits {
+            if self.jobs[*at].stage != Stage::Waiting {
                 continue;
             }
             let same = left.iter().position(|g| {
@@ -632,7 +643,7 @@
     Job {
         plan,
         live,
-        stage: Stage::Unborn,
+        stage: Stage::NotArrived,
         saved_ms: 0,
         first_start: None,
         finished: None,
--- a/dragonflyrun/tests/common/exhaustive.rs
+++ b/dragonflyrun/tests/common/exhaustive.rs
@@ -7,54 +7,55 @@
 };
 
 /// Ways that are tried before the search gives up.
-const MOST_WAYS: u32 = 200_000;
+const MAX_PLACEMENTS: u32 = 200_000;
 
 /// A worker with the accelerators that are left of it.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
+pub(crate) struct FreeWorker {
     pub(crate) worker: WorkerInfo,
     pub(crate) left: u32,
 }
 
-/// Returns whether all of `shapes` fit into `rooms` at once; none where it takes too long to say.
-pub(crate) fn all_fit(rooms: &mut [Room], shapes: &[Shape]) -> Option<bool> {
-    let mut ways = 0;
+/// Returns whether all of `shapes` fit into `free_workers` at once; none where it takes too long to say.
+pub(crate) fn all_fit(free_workers: &mut [FreeWorker], shapes: &[Shape]) -> Option<bool> {
+    let mut tried = 0;
     place(
-        rooms,
+        free_workers,
         shapes,
         shapes.first().map_or(0, |s| s.tasks),
         None,
-        &mut ways,
+        &mut tried,
     )
 }
 
 /// Places the last `tasks` tasks of the first shape, one at a time, then the other shapes.
 fn place(
-    rooms: &mut [Room],
+    free_workers: &mut [FreeWorker],
     shapes: &[Shape],
     tasks: u32,
     first: Option<usize>,
-    ways: &mut u32,
+    tried: &mut u32,
 ) -> Option<bool> {
     let Some((shape, others)) = shapes.split_first() else {
         return Some(true);
     };
     if tasks == 0 {
         let next = others.first().map_or(0, |s| s.tasks);
-        return place(rooms, others, next, None, ways);
+        return place(free_workers, others, next, None, tried);
     }
-    for i in 0..rooms.len() {
-        *ways += 1;
-        if *ways > MOST_WAYS {
+    for i in 0..free_workers.len() {
+        *tried += 1;
+        if *tried > MAX_PLACEMENTS {
             return None;
         }
-        let near = first.is_none_or(|f| is_near(&rooms[f].worker, &rooms[i].worker, shape));
-        if !near || rooms[i].left < shape.accelerators {
+        let adjacent = first
+            .is_none_or(|f| is_adjacent(&free_workers[f].worker, &free_workers[i].worker, shape));
+        if !adjacent || free_workers[i].left < shape.accelerators {
             continue;
         }
-        rooms[i].left -= shape.accelerators;
-        let fits = place(rooms, shapes, tasks - 1, first.or(Some(i)), ways);
-        rooms[i].left += shape.accelerators;
+        free_workers[i].left -= shape.accelerators;
+        let fits = place(free_workers, shapes, tasks - 1, first.or(Some(i)), tried);
+        free_workers[i].left += shape.accelerators;
         if fits != Some(false) {
             return fits;
         }
@@ -63,7 +64,7 @@
 }
 
 /// Returns whether two workers may hold tasks of one gang of `shape`.
-pub(crate) fn is_near(a: &WorkerInfo, b: &WorkerInfo, shape: &Shape) -> bool {
+pub(crate) fn is_adjacent(a: &WorkerInfo, b: &WorkerInfo, shape: &Shape) -> bool {
     match shape.adjacency {
         Adjacency::Any => true,
         Adjacency::FailureDomain => a.failure_domain == b.failure_domain,
--- a/dragonflyrun/tests/drain_starts.rs
+++ b/dragonflyrun/tests/drain_starts.rs
@@ -5,46 +5,46 @@
 
 use dragonflyrun::connection::JobEnd;
 
-use gang_world::{Fault, World, sleeping};
+use gang_world::{Fault, World, sleep_job};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
-const SUBMIT: u64 = 10_000;
+const SUBMIT_MS: u64 = 10_000;
 
 /// Agents of the domain that is taken out, as processes and as workers.
-const AGENTS_OUT: [usize; 2] = [0, 2];
+const DRAINED_AGENTS: [usize; 2] = [0, 2];
 
-fn world(seed: u64) -> World {
+fn world_before_submit(seed: u64) -> World {
     let mut world = World::new(seed, ENTRIES, AGENTS);
-    world.run(SUBMIT - 1_000);
+    world.run(SUBMIT_MS - 1_000);
     world
 }
 
 /// Starts of tasks in the domain that was taken out, after that.
 fn late_starts(world: &World) -> Vec<u64> {
     let out = world.outages[0].clone();
-    let ran = world.ran();
-    let starts = ran
+    let run_records = world.run_records();
+    let starts = run_records
         .iter()
         .filter(|r| r.domain == out.domain && r.fresh_start);
     let late = starts.filter(|r| r.start > out.from && r.start < out.to);
     late.map(|r| r.start - out.from).collect()
 }
 
-fn drain_at(step: u64, more: &[(u64, u64, Fault)]) -> World {
-    let mut world = world(step);
+fn drain_at(step: u64, faults: &[(u64, u64, Fault)]) -> World {
+    let mut world = world_before_submit(step);
     for job in 0..4 {
         world.submit(
-            SUBMIT + 20 * job,
+            SUBMIT_MS + 20 * job,
             &format!("job-{job}"),
-            sleeping(2, 2, 1_500),
+            sleep_job(2, 2, 1_500),
         );
     }
-    world.fault(SUBMIT + 10 * step, 40_000, Fault::Drain(0));
-    for (at, length, fault) in more {
-        world.fault(SUBMIT + at, *length, *fault);
+    world.inject(SUBMIT_MS + 10 * step, 40_000, Fault::Drain(0));
+    for (at, length, fault) in faults {
+        world.inject(SUBMIT_MS + at, *length, *fault);
     }
-    world.run(SUBMIT + 45_000);
+    world.run(SUBMIT_MS + 45_000);
     world.run_to_end(120_000);
     world.check_records();
     for job in 0..4 {
@@ -72,7 +72,7 @@
     let mut starts = 0;
     for step in 0..60 {
         let host = |w| Fault::Freeze(ENTRIES + w);
-        let freeze = AGENTS_OUT.map(|w| (10 * step, 9_000, host(w)));
+        let freeze = DRAINED_AGENTS.map(|w| (10 * step, 9_000, host(w)));
         starts += late_starts(&drain_at(step + 1, &freeze)).len();
     }
     // What was already sent when the agent was frozen may start, and nothing else.
@@ -83,7 +83,7 @@
 #[test]
 fn cut_from_log() {
     for step in 0..40 {
-        let cut = AGENTS_OUT.map(|w| (0, 30_000, Fault::CutLog(ENTRIES + w)));
+        let cut = DRAINED_AGENTS.map(|w| (0, 30_000, Fault::CutLog(ENTRIES + w)));
         drain_at(3 * step, &cut);
     }
 }
@@ -92,39 +92,39 @@
 #[test]
 fn planner_frozen() {
     for step in 0..40 {
-        let planner = world(step).planners()[0];
+        let planner = world_before_submit(step).planners()[0];
         drain_at(step, &[(10 * step, 6_000, Fault::Freeze(planner))]);
     }
 }
 
 /// The log's answers are lost around the edit, and records take effect late.
 #[test]
-fn log_loses_answers() {
+fn log_answers_lost() {
     for step in 0..20 {
-        drain_at(step, &[(0, 10_000, Fault::LogLoses)]);
+        drain_at(step, &[(0, 10_000, Fault::LogAnswersLost)]);
     }
 }
 
 /// The order to start waits in a broken link until long after the edit, and the only planner, frozen
 /// by then, can't take it back. `more` fails besides. Returns in how many runs the order was held.
-fn late_order(more: &[Fault]) -> usize {
+fn held_start_order(faults: &[Fault]) -> usize {
     let mut held = 0;
     for step in 0..60 {
         let mut world = World::new(step, 1, 2);
-        let cut = SUBMIT + 10 * step;
-        world.submit(SUBMIT, "job-0", sleeping(2, 4, 1_500));
+        let cut = SUBMIT_MS + 10 * step;
+        world.submit(SUBMIT_MS, "job-0", sleep_job(2, 4, 1_500));
         for agent in 1..=2 {
-            world.fault(cut, 7_000, Fault::Cut(0, agent, true));
+            world.inject(cut, 7_000, Fault::Cut(0, agent, true));
         }
-        world.fault(cut + 130, 9_000, Fault::Freeze(0));
-        world.fault(cut + 200, 30_000, Fault::Drain(0));
-        for fault in more {
-            world.fault(cut + 190, 20_000, *fault);
+        world.inject(cut + 130, 9_000, Fault::Freeze(0));
+        world.inject(cut + 200, 30_000, Fault::Drain(0));
+        for fault in faults {
+            world.inject(cut + 190, 20_000, *fault);
         }
         world.run(cut + 8_000);
         let placed = world.nodes[1].ledger.jobs.live(&"job-0".into());
         let placed = placed.is_some_and(|live| live.is_placed());
-        held += usize::from(placed && world.ran().is_empty());
+        held += usize::from(placed && world.run_records().is_empty());
         world.run_to_end(120_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
@@ -134,13 +134,13 @@
 
 /// Nobody is left to stop the start but the agent itself, which knows of the edit.
 #[test]
-fn informed_agent() {
-    assert!(late_order(&[]) > 0, "no order was held");
+fn agent_saw_drain() {
+    assert!(held_start_order(&[]) > 0, "no order was held");
 }
 
 /// The agent does not know of the edit either, but it knows that it may not know everything.
 #[test]
 fn cut_off_agent() {
     let cut = [Fault::CutLog(1), Fault::CutLog(2)];
-    assert!(late_order(&cut) > 0, "no order was held");
+    assert!(held_start_order(&cut) > 0, "no order was held");
 }
--- a/dragonflyrun/tests/gang_faults.rs
+++ b/dragonflyrun/tests/gang_faults.rs
@@ -14,27 +14,27 @@
     version::{Adjacency, Urgency},
 };
 
-use gang_world::{Fault, World, checks, sleeping};
+use gang_world::{Fault, World, checks, sleep_job};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 6;
 
 /// When the last failure is over, in milliseconds of the world's clock.
-const FAULTS_UNTIL: u64 = 60_000;
+const FAULTS_END_MS: u64 = 60_000;
 
 /// When all jobs have ended at the latest.
 ///
 /// A job whose workers were lost, together with an entry that may have gone on renewing their
 /// leases, waits for `RENEWAL_WITHOUT_LOG`.
-const END: u64 = 1_200_000;
+const MAX_RUN_MS: u64 = 1_200_000;
 
 /// Seeds that CI runs. `GANG_SEEDS` sets another number; `GANG_SEED` runs a single one that was
 /// printed, and `GANG_TRACE` shows its messages and records.
-const SEEDS: u64 = 150;
+const DEFAULT_SEEDS: u64 = 150;
 
 fn seeds() -> u64 {
     let set = std::env::var("GANG_SEEDS").ok();
-    set.map_or(SEEDS, |s| s.parse().expect("a number of seeds"))
+    set.map_or(DEFAULT_SEEDS, |s| s.parse().expect("a number of seeds"))
 }
 
 fn spec(u: &mut Unstructured<'_>) -> Result<JobSpec> {
@@ -71,7 +71,7 @@
         9 => Fault::CutLog(node),
         10 => Fault::Drain(u.choose_index(2)?),
         11 if hold => Fault::LogDown,
-        11 => Fault::LogLoses,
+        11 => Fault::LogAnswersLost,
         12 => return Ok((0..ENTRIES).map(Fault::Freeze).collect()),
         _ => {
             let cut = |entry| Fault::Cut(entry, ENTRIES + worker, hold);
@@ -81,7 +81,7 @@
     Ok(vec![one])
 }
 
-fn any_failures(u: &mut Unstructured<'_>) -> Result<()> {
+fn random_scenario(u: &mut Unstructured<'_>) -> Result<()> {
     let mut world = World::new(u.arbitrary()?, ENTRIES, AGENTS);
     for job in 0..u.int_in_range(1..=12)? {
         let name = format!("job-{job}");
@@ -93,12 +93,12 @@
     }
     for _ in 0..u.int_in_range(0..=12)? {
         let at = u.int_in_range(2_000..=50_000)?;
-        let length = u.int_in_range(50..=FAULTS_UNTIL - at)?.min(20_000);
+        let length = u.int_in_range(50..=FAULTS_END_MS - at)?.min(20_000);
         for fault in faults(u)? {
-            world.fault(at, length, fault);
+            world.inject(at, length, fault);
         }
     }
-    while world.now < END && (world.now < FAULTS_UNTIL || !world.all_ended()) {
+    while world.now < MAX_RUN_MS && (world.now < FAULTS_END_MS || !world.all_ended()) {
         world.run(world.now + 1_000);
     }
     check(&world);
@@ -107,12 +107,15 @@
 
 fn check(world: &World) {
     world.check_records();
-    let ran = world.ran();
+    let run_records = world.run_records();
     for (job, spec) in &world.submitted {
         match world.end(job) {
             None => panic!("{job} has not ended"),
             Some(JobEnd::Finished) => {
-                assert!(checks::has_finished(&ran, job), "{job} did not finish");
+                assert!(
+                    checks::has_finished(&run_records, job),
+                    "{job} did not finish"
+                );
             }
             Some(JobEnd::Failed) => {
                 // A worker that fails all it starts can fail a good program a few times only.
@@ -130,7 +133,7 @@
 fn random_failures() {
     if let Ok(seed) = std::env::var("GANG_SEED") {
         let seed = u64::from_str_radix(seed.trim_start_matches("0x"), 16);
-        arbtest(any_failures).seed(seed.expect("a seed in hexadecimal"));
+        arbtest(random_scenario).seed(seed.expect("a seed in hexadecimal"));
         return;
     }
     let threads = 4;
@@ -139,44 +142,49 @@
             scope.spawn(move || {
                 for seed in (thread..seeds()).step_by(threads as usize) {
                     let size = 128 + 32 * (seed % 16);
-                    arbtest(any_failures).seed((seed + 1) << 32 | size);
+                    arbtest(random_scenario).seed((seed + 1) << 32 | size);
                 }
             });
         }
     });
 }
 
-const SUBMIT: u64 = 10_000;
+const SUBMIT_MS: u64 = 10_000;
 
 /// A world in which the job runs, and nothing fails by itself: a lost answer of a worker may cost
 /// an attempt, and these tests count attempts.
-fn running(seed: u64, job: JobSpec) -> World {
+fn world_running(seed: u64, job: JobSpec) -> World {
     let mut world = World::new(seed, ENTRIES, AGENTS);
     world.noise = false;
-    world.submit(SUBMIT, "job-0", job);
-    world.run(SUBMIT + 2_000);
-    assert!(!world.ran().is_empty());
+    world.submit(SUBMIT_MS, "job-0", job);
+    world.run(SUBMIT_MS + 2_000);
+    assert!(!world.run_records().is_empty());
     world
 }
 
 fn attempts(world: &World) -> u32 {
-    world.ran().iter().map(|r| r.attempt).max().unwrap_or(0)
+    world
+        .run_records()
+        .iter()
+        .map(|r| r.attempt)
+        .max()
+        .unwrap_or(0)
 }
 
 /// The host of one member is lost, and at the same moment nobody is left who could tell the others:
 /// all entries are frozen. The others would compute for a gang that can't finish.
 #[test]
-fn entries_lost() {
+fn entries_frozen() {
     let mut longest = 0;
     for seed in 0..10 {
-        let mut world = running(seed, sleeping(6, 4, 20_000));
-        world.fault(world.now, 60_000, Fault::KillHost(1));
+        let mut world = world_running(seed, sleep_job(6, 4, 20_000));
+        world.inject(world.now, 60_000, Fault::KillHost(1));
         for entry in 0..ENTRIES {
-            world.fault(world.now, 20_000, Fault::Freeze(entry));
+            world.inject(world.now, 20_000, Fault::Freeze(entry));
         }
         world.run_to_end(200_000);
         world.check_records();
-        longest = longest.max(checks::longest_partial(&world.ran(), world.now));
+        longest = longest.max(checks::longest_partial(&world.run_records(), world.now));
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
     }
     println!("longest partial window: {longest} ms");
@@ -185,13 +193,13 @@
 /// The planner alone can't reach the only member of a gang, which the other entries go on renewing.
 /// Another attempt next to it would pay an owner twice.
 #[test]
-fn lone_member() {
+fn planner_cut_off() {
     for seed in 0..10 {
-        let mut world = running(seed, sleeping(2, 2, 15_000));
+        let mut world = world_running(seed, sleep_job(2, 2, 15_000));
         let planner = world.planners()[0];
-        let member = world.workers.iter().position(|w| !w.ran.is_empty());
+        let member = world.workers.iter().position(|w| !w.run_records.is_empty());
         let agent = ENTRIES + member.expect("a member runs");
-        world.fault(world.now, 60_000, Fault::Cut(planner, agent, seed % 2 == 0));
+        world.inject(world.now, 60_000, Fault::Cut(planner, agent, seed % 2 == 0));
         world.run_to_end(200_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
@@ -202,19 +210,19 @@
 /// A gang's only member and one entry are cut off from everybody else and from the log. They go on
 /// together, and the rest must leave the job alone, also when it has removed that entry.
 #[test]
-fn one_entry_left() {
+fn isolated_entry() {
     for seed in 0..10 {
-        let mut world = running(seed, sleeping(2, 2, 40_000));
+        let mut world = world_running(seed, sleep_job(2, 2, 40_000));
         let planner = world.planners()[0];
         let entry = (planner + 1) % ENTRIES;
-        let member = world.workers.iter().position(|w| !w.ran.is_empty());
+        let member = world.workers.iter().position(|w| !w.run_records.is_empty());
         let agent = ENTRIES + member.expect("a member runs");
         for other in (0..ENTRIES).filter(|e| *e != entry) {
-            world.fault(world.now, 60_000, Fault::Cut(other, agent, false));
-            world.fault(world.now, 60_000, Fault::Cut(other, entry, false));
+            world.inject(world.now, 60_000, Fault::Cut(other, agent, false));
+            world.inject(world.now, 60_000, Fault::Cut(other, entry, false));
         }
-        world.fault(world.now, 60_000, Fault::CutLog(entry));
-        world.fault(world.now, 60_000, Fault::CutLog(agent));
+        world.inject(world.now, 60_000, Fault::CutLog(entry));
+        world.inject(world.now, 60_000, Fault::CutLog(agent));
         world.run_to_end(1_200_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
@@ -225,16 +233,16 @@
 /// Workers of which one fails all it starts, and programs that fail wherever they run: the good
 /// jobs finish, the bad ones are ended after a bounded number of attempts.
 #[test]
-fn bad_jobs() {
+fn failing_programs() {
     let mut world = World::new(1, ENTRIES, AGENTS);
-    world.fault(2_000, 200_000, Fault::BreakWorker(2));
+    world.inject(2_000, 200_000, Fault::BreakWorker(2));
     for i in 0..12 {
         let program = if i % 4 == 0 { "fail:100" } else { "sleep:800" };
         let spec = JobSpec {
             program: program.into(),
-            ..sleeping(1 + i % 3, 2, 800)
+            ..sleep_job(1 + i % 3, 2, 800)
         };
-        world.submit(SUBMIT + u64::from(i) * 50, &format!("job-{i}"), spec);
+        world.submit(SUBMIT_MS + u64::from(i) * 50, &format!("job-{i}"), spec);
     }
     world.run_to_end(300_000);
     check(&world);
--- a/dragonflyrun/tests/gang_protocol.rs
+++ b/dragonflyrun/tests/gang_protocol.rs
@@ -17,11 +17,11 @@
     utils::{Name, Timestamp},
 };
 
-use gang_world::{Fault, World, checks, sleeping};
+use gang_world::{Fault, World, checks, sleep_job};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
-const SUBMIT: u64 = 10_000;
+const SUBMIT_MS: u64 = 10_000;
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_millis(ms)
@@ -100,7 +100,7 @@
 }
 
 /// Answers the calls that are due with the lease in `state`, and returns them.
-fn serve(members: &mut Members, now: u64, state: LeaseState) -> Vec<WorkerOp> {
+fn answer_calls(members: &mut Members, now: u64, state: LeaseState) -> Vec<WorkerOp> {
     let mut ops = Vec::new();
     for call in members.calls(at(now)) {
         if let WorkerCall::Lease { number, op, .. } = call {
@@ -111,7 +111,7 @@
     ops
 }
 
-const OPEN: StartConditions = StartConditions {
+const ALL_MET: StartConditions = StartConditions {
     fresh: true,
     next_offset: 11,
     in_service: true,
@@ -129,12 +129,12 @@
         checkpointed: false,
     };
     assert_eq!(states(&members), [stopped]);
-    assert!(serve(&mut members, 30, LeaseState::Held).is_empty());
+    assert!(answer_calls(&mut members, 30, LeaseState::Held).is_empty());
 }
 
 /// A planner that was frozen goes on after its successor has taken over.
 #[test]
-fn older_order() {
+fn superseded_planner() {
     let mut members = agent();
     members.on_record(
         at(5),
@@ -146,7 +146,7 @@
     members.on_message(at(10), reserve(1, 1));
     assert!(members.reports().is_empty());
     members.on_message(at(20), reserve(2, 1));
-    serve(&mut members, 30, LeaseState::Held);
+    answer_calls(&mut members, 30, LeaseState::Held);
     members.on_message(at(40), stop(1, 1));
     assert_eq!(states(&members), [MemberState::Reserved]);
 }
@@ -156,12 +156,12 @@
 fn reservation_lapses() {
     let mut members = agent();
     members.on_message(at(10), reserve(1, 1));
-    serve(&mut members, 20, LeaseState::Held);
+    answer_calls(&mut members, 20, LeaseState::Held);
     let end = 10 + RESERVATION_TIMEOUT.as_millis() as u64;
     for now in (600..end).step_by(600) {
-        assert!(!serve(&mut members, now, LeaseState::Held).is_empty());
+        assert!(!answer_calls(&mut members, now, LeaseState::Held).is_empty());
     }
-    let ops = serve(&mut members, end + 600, LeaseState::Stopped);
+    let ops = answer_calls(&mut members, end + 600, LeaseState::Stopped);
     assert_eq!(ops, [WorkerOp::Stop { checkpoint: false }]);
     assert!(!members.is_active());
 }
@@ -169,42 +169,42 @@
 /// The order to start arrives before the agent has read the record that allows it, at an agent
 /// that does not know the latest state of the log, or after the domain was taken out.
 #[test]
-fn start_needs_gate() {
+fn start_checked() {
     let cases = [
-        (OPEN, StartCheck::Start),
+        (ALL_MET, StartCheck::Start),
         (
             StartConditions {
                 next_offset: 10,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Wait,
         ),
         (
             StartConditions {
                 fresh: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Wait,
         ),
         (
             StartConditions {
                 in_service: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Never,
         ),
         (
             StartConditions {
                 allowed: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Never,
         ),
     ];
-    for (gate, expected) in cases {
+    for (conditions, expected) in cases {
         let mut members = agent();
         members.on_message(at(10), reserve(1, 1));
-        serve(&mut members, 20, LeaseState::Held);
+        answer_calls(&mut members, 20, LeaseState::Held);
         members.on_message(at(30), go(1, 1));
         let calls = members.calls(at(30));
         let [
@@ -217,7 +217,7 @@
         else {
             panic!("a start was to be due, not {calls:?}");
         };
-        assert_eq!(members.may_start(at(31), *number, gate), expected);
+        assert_eq!(members.may_start(at(31), *number, conditions), expected);
     }
 }
 
@@ -227,11 +227,14 @@
 fn gang_lease_ends() {
     let mut members = agent();
     members.on_message(at(10), reserve(1, 1));
-    serve(&mut members, 20, LeaseState::Held);
+    answer_calls(&mut members, 20, LeaseState::Held);
     members.on_message(at(30), go(1, 1));
     for call in members.calls(at(30)) {
         if let WorkerCall::Lease { number, op, .. } = call {
-            assert_eq!(members.may_start(at(30), number, OPEN), StartCheck::Start);
+            assert_eq!(
+                members.may_start(at(30), number, ALL_MET),
+                StartCheck::Start
+            );
             let running = Ok(lease(LeaseState::Running));
             members.on_answer(at(30), at(30), number, &op, &running);
         }
@@ -240,7 +243,7 @@
     let mut now = 30;
     loop {
         now += 100;
-        match serve(&mut members, now, LeaseState::Running).first() {
+        match answer_calls(&mut members, now, LeaseState::Running).first() {
             Some(WorkerOp::Renew { until }) => {
                 assert!(at(now) + WorkerOp::ttl(*until, at(now)) <= end);
             }
@@ -256,7 +259,7 @@
 
 /// A renewal that waited in a buffer says that the gang was whole long ago.
 #[test]
-fn late_renewal() {
+fn stale_renewal() {
     let mut members = agent();
     members.on_leases(at(2), at(1), &view(Vec::new()));
     let mut restarted = Members::new(at(10_000));
@@ -270,7 +273,7 @@
         members: vec![1],
     };
     restarted.on_message(at(11_000), renewal(10_900, 5_000));
-    serve(&mut restarted, 11_600, LeaseState::Running);
+    answer_calls(&mut restarted, 11_600, LeaseState::Running);
     assert_eq!(states(&restarted), [MemberState::Stopping]);
 }
 
@@ -344,7 +347,7 @@
 /// An agent is replaced and its worker does not answer. It must not say that a gang has stopped
 /// before the leases of its predecessor have lapsed.
 #[test]
-fn early_stop() {
+fn stop_before_lapse() {
     let mut members = Members::new(at(0));
     members.on_message(at(10), stop(1, 1));
     members.calls(at(20));
@@ -362,12 +365,12 @@
 fn quick_restart() {
     let mut world = World::new(3, ENTRIES, AGENTS);
     world.noise = false;
-    world.submit(SUBMIT, "job-0", sleeping(4, 3, 10_000));
-    world.fault(SUBMIT + 3_000, 200, Fault::Kill(ENTRIES + 1));
+    world.submit(SUBMIT_MS, "job-0", sleep_job(4, 3, 10_000));
+    world.inject(SUBMIT_MS + 3_000, 200, Fault::Kill(ENTRIES + 1));
     world.run_to_end(60_000);
     world.check_records();
     assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
-    assert!(world.ran().iter().all(|r| r.attempt == 1));
+    assert!(world.run_records().iter().all(|r| r.attempt == 1));
 }
 
 /// The members of a gang end one after the other, here 0.5, 5.5, 10.5 and 15.5 s after its start, and
@@ -379,17 +382,23 @@
         world.noise = false;
         let job = JobSpec {
             program: "stagger:500".into(),
-            ..sleeping(4, 3, 500)
+            ..sleep_job(4, 3, 500)
         };
-        world.submit(SUBMIT, "job-0", job);
-        world.run(SUBMIT + 3_000);
-        let first = world.workers.iter().position(|w| w.ran[0].member == 0);
-        world.fault(world.now, 10_000, Fault::KillHost(first.expect("it ran")));
+        world.submit(SUBMIT_MS, "job-0", job);
+        world.run(SUBMIT_MS + 3_000);
+        let first = world
+            .workers
+            .iter()
+            .position(|w| w.run_records[0].member == 0);
+        world.inject(world.now, 10_000, Fault::KillHost(first.expect("it ran")));
         world.run_to_end(60_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
         assert!(
-            world.ran().iter().all(|r| r.attempt == 1 && r.finished),
+            world
+                .run_records()
+                .iter()
+                .all(|r| r.attempt == 1 && r.finished),
             "seed {seed}"
         );
     }
@@ -415,14 +424,14 @@
     for faults in &kinds {
         for step in 0..16 {
             let mut world = World::new(step, ENTRIES, AGENTS);
-            world.submit(SUBMIT, &job, sleeping(6, 2, 3_000));
+            world.submit(SUBMIT_MS, &job, sleep_job(6, 2, 3_000));
             let length = if step % 2 == 0 { 700 } else { 9_000 };
             for fault in faults {
-                world.fault(SUBMIT + 60 * step, length, *fault);
+                world.inject(SUBMIT_MS + 60 * step, length, *fault);
             }
             world.run_to_end(90_000);
             world.check_records();
-            longest = longest.max(checks::longest_partial(&world.ran(), world.now));
+            longest = longest.max(checks::longest_partial(&world.run_records(), world.now));
             let end = world.end(&job);
             assert_eq!(end, Some(JobEnd::Finished), "{faults:?} step {step}");
         }
--- a/dragonflyrun/tests/gang_world/checks.rs
+++ b/dragonflyrun/tests/gang_world/checks.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrun::{job::START_BOUND, utils::Name};
 
-use super::worker::Ran;
+use super::worker::RunRecord;
 
 /// When a failure domain was taken out and returned, by the log.
 #[derive(Clone, Debug)]
@@ -14,11 +14,11 @@
     pub to: u64,
 }
 
-type Gangs<'a> = BTreeMap<(&'a Name, u32), Vec<&'a Ran>>;
+type Gangs<'a> = BTreeMap<(&'a Name, u32), Vec<&'a RunRecord>>;
 
-fn gangs(ran: &[Ran]) -> Gangs<'_> {
+fn gangs(run_records: &[RunRecord]) -> Gangs<'_> {
     let mut gangs = Gangs::new();
-    for r in ran {
+    for r in run_records {
         gangs.entry((&r.job, r.attempt)).or_default().push(r);
     }
     gangs
@@ -26,15 +26,15 @@
 
 /// Returns the longest time for which some member of one attempt ran and another neither ran nor
 /// had finished.
-pub fn longest_partial(ran: &[Ran], now: u64) -> u64 {
-    gangs(ran)
+pub fn longest_partial(run_records: &[RunRecord], now: u64) -> u64 {
+    gangs(run_records)
         .values()
-        .map(|g| partial(g, now))
+        .map(|g| longest_partial_of(g, now))
         .max()
         .unwrap_or(0)
 }
 
-fn partial(gang: &[&Ran], now: u64) -> u64 {
+fn longest_partial_of(gang: &[&RunRecord], now: u64) -> u64 {
     let members = gang[0].members;
     let mut times: BTreeSet<u64> = BTreeSet::new();
     for r in gang {
@@ -63,9 +63,9 @@
 }
 
 /// Panics where two attempts of one job ran at the same time.
-pub fn one_attempt_at_once(ran: &[Ran], now: u64) {
+pub fn assert_one_attempt(run_records: &[RunRecord], now: u64) {
     let mut jobs: HashMap<&Name, BTreeMap<u32, (u64, u64)>> = HashMap::new();
-    for r in ran {
+    for r in run_records {
         let attempts = jobs.entry(&r.job).or_default();
         let end = r.end.unwrap_or(now);
         let span = attempts.entry(r.attempt).or_insert((r.start, end));
@@ -84,9 +84,9 @@
 }
 
 /// Panics where tasks started in a failure domain that had been out for longer than the bound.
-pub fn no_start_in_domain_out(ran: &[Ran], outages: &[Outage]) {
+pub fn assert_no_late_start(run_records: &[RunRecord], outages: &[Outage]) {
     let bound = START_BOUND.as_millis() as u64;
-    for r in ran.iter().filter(|r| r.fresh_start) {
+    for r in run_records.iter().filter(|r| r.fresh_start) {
         for o in outages.iter().filter(|o| o.domain == r.domain) {
             let late = r.start > o.from + bound && r.start < o.to;
             assert!(
@@ -99,8 +99,8 @@
 }
 
 /// Returns whether some attempt of `job` had all members finish.
-pub fn has_finished(ran: &[Ran], job: &Name) -> bool {
-    gangs(ran)
+pub fn has_finished(run_records: &[RunRecord], job: &Name) -> bool {
+    gangs(run_records)
         .iter()
         .filter(|((j, _), _)| *j == job)
         .any(|(_, gang)| {
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -33,13 +33,13 @@
 
 use checks::Outage;
 use node::{Node, RoleTable, SECRET, domain_name};
-use worker::{Checkpoints, FakeWorker, Ran};
+use worker::{Checkpoints, FakeWorker, RunRecord};
 
 const DOMAINS: usize = 2;
-const WORKER_TIMEOUT: u64 = 1_000;
+const WORKER_TIMEOUT_MS: u64 = 1_000;
 
 /// Silence after which the planner removes an entry; far sooner than the product does.
-const ENTRY_GONE: u64 = 6_000;
+const ENTRY_REMOVAL_SILENCE_MS: u64 = 6_000;
 
 /// What fails, and comes back at the end of its time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -63,7 +63,7 @@
     /// The log refuses everything.
     LogDown,
     /// The log's answers are lost, and appends take effect late or not at all.
-    LogLoses,
+    LogAnswersLost,
     /// A failure domain is taken out and returned at the end.
     Drain(usize),
 }
@@ -71,18 +71,18 @@
 #[derive(Clone, Debug)]
 enum Event {
     Tick(usize, u64),
-    Beat(usize, u64),
-    Poll(usize, u64),
+    Heartbeat(usize, u64),
+    ReadLog(usize, u64),
     Deliver(usize, u64, Name, Box<Message>),
     /// An agent's thread takes up a call.
-    Run(usize, u64, WorkerCall),
+    PrepareCall(usize, u64, WorkerCall),
     /// It sends the call, with the time to live that it has reckoned.
-    Send(usize, u64, u64, Timestamp, WorkerCall, u64),
-    Arrive(usize, u64, u64, u64, Timestamp, WorkerCall, u64),
-    Answer(usize, u64, u64, Timestamp, WorkerCall, Box<Reply>),
+    SendCall(usize, u64, u64, Timestamp, WorkerCall, u64),
+    CallArrives(usize, u64, u64, u64, Timestamp, WorkerCall, u64),
+    CallAnswered(usize, u64, u64, Timestamp, WorkerCall, Box<Reply>),
     Append(usize, u64, Vec<(Name, String)>),
-    Effect(Vec<(Name, String)>),
-    GiveUp(usize, u64, Name),
+    LateAppend(Vec<(Name, String)>),
+    AppendTimeout(usize, u64, Name),
     Link(usize, usize),
     Fault(Fault),
     Heal(Fault),
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Debug)]
 enum Reply {
-    Look(Result<WorkerView, WorkerError>),
+    Leases(Result<WorkerView, WorkerError>),
     Lease(Result<WorkerLease, WorkerError>),
     Nothing,
 }
@@ -113,12 +113,12 @@
     pub log: Vec<LogRecord>,
     pub log_times: Vec<u64>,
     log_down: u32,
-    log_loses: u32,
+    log_answers_lost: u32,
     cuts: HashMap<(usize, usize), u32>,
-    held: HashMap<(usize, usize), Vec<Event>>,
-    frozen: HashMap<usize, Vec<Event>>,
+    held_events: HashMap<(usize, usize), Vec<Event>>,
+    frozen_events: HashMap<usize, Vec<Event>>,
     last_delivery: HashMap<(usize, usize), u64>,
-    out: HashMap<usize, u32>,
+    domains_out: HashMap<usize, u32>,
     section_version: u64,
     pub outages: Vec<Outage>,
     pub submitted: BTreeMap<Name, JobSpec>,
@@ -152,12 +152,12 @@
             log: Vec::new(),
             log_times: Vec::new(),
             log_down: 0,
-            log_loses: 0,
+            log_answers_lost: 0,
             cuts: HashMap::new(),
-            held: HashMap::new(),
-            frozen: HashMap::new(),
+            held_events: HashMap::new(),
+            frozen_events: HashMap::new(),
             last_delivery: HashMap::new(),
-            out: HashMap::new(),
+            domains_out: HashMap::new(),
             section_version: 0,
             outages: Vec::new(),
             submitted: BTreeMap::new(),
@@ -169,7 +169,7 @@
                 entry: format!("entry-{i}").into(),
                 address: "127.0.0.1:1".into(),
             };
-            world.put("entry-0", &body);
+            world.append_as("entry-0", &body);
         }
         world.edit();
         for i in 0..entries + agents {
@@ -195,7 +195,7 @@
         }
         self.now = until;
         for worker in &mut self.workers {
-            worker.look(until);
+            worker.advance(until);
         }
     }
 
@@ -208,13 +208,16 @@
         self.at(at, Event::Cancel(job.into()));
     }
 
-    pub fn fault(&mut self, at: u64, length: u64, fault: Fault) {
+    pub fn inject(&mut self, at: u64, length: u64, fault: Fault) {
         self.at(at, Event::Fault(fault));
         self.at(at + length, Event::Heal(fault));
     }
 
-    pub fn ran(&self) -> Vec<Ran> {
-        self.workers.iter().flat_map(|w| w.ran.clone()).collect()
+    pub fn run_records(&self) -> Vec<RunRecord> {
+        self.workers
+            .iter()
+            .flat_map(|w| w.run_records.clone())
+            .collect()
     }
 
     /// How a job ended, as the first live entry has it.
@@ -227,19 +230,19 @@
         self.submitted.keys().all(|job| self.end(job).is_some())
     }
 
-    /// Runs until all submitted jobs have ended, or until `most`.
-    pub fn run_to_end(&mut self, most: u64) {
-        while self.now < most && !self.all_ended() {
+    /// Runs until all submitted jobs have ended, or until `limit_ms`.
+    pub fn run_to_end(&mut self, limit_ms: u64) {
+        while self.now < limit_ms && !self.all_ended() {
             self.run(self.now + 100);
         }
     }
 
     /// What must hold of the records whatever has failed.
     pub fn check_records(&self) {
-        let ran = self.ran();
-        checks::one_attempt_at_once(&ran, self.now);
-        checks::no_start_in_domain_out(&ran, &self.outages);
-        let partial = checks::longest_partial(&ran, self.now);
+        let run_records = self.run_records();
+        checks::assert_one_attempt(&run_records, self.now);
+        checks::assert_no_late_start(&run_records, &self.outages);
+        let partial = checks::longest_partial(&run_records, self.now);
         assert!(
             u128::from(partial) <= PARTIAL_BOUND.as_millis(),
             "a gang ran partially for {partial} ms"
@@ -272,8 +275,8 @@
         let incarnation = self.nodes[i].incarnation;
         for event in [
             Event::Tick(i, incarnation),
-            Event::Beat(i, incarnation),
-            Event::Poll(i, incarnation),
+            Event::Heartbeat(i, incarnation),
+            Event::ReadLog(i, incarnation),
         ] {
             let delay = self.rng.random_range(1..100);
             self.after(delay, event);
@@ -299,13 +302,13 @@
     /// The process that an event needs running; events of a frozen one wait until it goes on.
     fn owner(event: &Event) -> Option<(usize, u64)> {
         match event {
-            Event::Tick(i, n) | Event::Beat(i, n) | Event::Poll(i, n) => Some((*i, *n)),
-            Event::Deliver(i, n, ..) | Event::Run(i, n, ..) | Event::Send(i, n, ..) => {
-                Some((*i, *n))
-            }
-            Event::Answer(i, n, ..) | Event::Append(i, n, ..) | Event::GiveUp(i, n, ..) => {
+            Event::Tick(i, n) | Event::Heartbeat(i, n) | Event::ReadLog(i, n) => Some((*i, *n)),
+            Event::Deliver(i, n, ..) | Event::PrepareCall(i, n, ..) | Event::SendCall(i, n, ..) => {
                 Some((*i, *n))
             }
+            Event::CallAnswered(i, n, ..)
+            | Event::Append(i, n, ..)
+            | Event::AppendTimeout(i, n, ..) => Some((*i, *n)),
             _ => None,
         }
     }
@@ -317,7 +320,7 @@
                 return;
             }
             if node.frozen {
-                self.frozen.entry(i).or_default().push(event);
+                self.frozen_events.entry(i).or_default().push(event);
                 return;
             }
         }
@@ -326,62 +329,78 @@
                 self.after(100, Event::Tick(i, n));
                 self.tick(i);
             }
-            Event::Beat(i, n) => {
-                self.after(50, Event::Beat(i, n));
-                self.beat(i);
+            Event::Heartbeat(i, n) => {
+                self.after(50, Event::Heartbeat(i, n));
+                self.send_heartbeats(i);
             }
-            Event::Poll(i, n) => {
-                self.after(100, Event::Poll(i, n));
+            Event::ReadLog(i, n) => {
+                self.after(100, Event::ReadLog(i, n));
                 let down = self.log_down > 0;
                 self.nodes[i].read_log(self.now, &self.log, down);
             }
             Event::Deliver(i, _, from, message) => self.receive(i, &from, *message),
-            Event::Run(i, n, call) => self.run_call(i, n, call),
-            Event::Send(i, n, id, asked, call, ttl) => {
+            Event::PrepareCall(i, n, call) => self.prepare_call(i, n, call),
+            Event::SendCall(i, n, id, called_at, call, ttl) => {
                 let delay = self.worker_delay();
                 self.after(
-                    WORKER_TIMEOUT,
-                    Event::Answer(i, n, id, asked, call.clone(), Box::new(lost(&call))),
+                    WORKER_TIMEOUT_MS,
+                    Event::CallAnswered(
+                        i,
+                        n,
+                        id,
+                        called_at,
+                        call.clone(),
+                        Box::new(timed_out(&call)),
+                    ),
                 );
                 let epoch = self.workers[i - self.entries].epoch;
-                self.after(delay, Event::Arrive(i, n, epoch, id, asked, call, ttl));
+                self.after(
+                    delay,
+                    Event::CallArrives(i, n, epoch, id, called_at, call, ttl),
+                );
             }
-            Event::Arrive(i, n, epoch, id, asked, call, ttl) => {
+            Event::CallArrives(i, n, epoch, id, called_at, call, ttl) => {
                 let w = i - self.entries;
                 if self.workers[w].frozen && self.workers[w].epoch == epoch {
-                    let again = Event::Arrive(i, n, epoch, id, asked, call, ttl);
-                    self.frozen.entry(usize::MAX - w).or_default().push(again);
+                    let again = Event::CallArrives(i, n, epoch, id, called_at, call, ttl);
+                    self.frozen_events
+                        .entry(usize::MAX - w)
+                        .or_default()
+                        .push(again);
                     return;
                 }
                 let reply = self.call(w, epoch, &call, ttl);
                 let delay = self.worker_delay();
                 if !(self.noise && self.rng.random_ratio(1, 100)) {
-                    self.after(delay, Event::Answer(i, n, id, asked, call, Box::new(reply)));
+                    self.after(
+                        delay,
+                        Event::CallAnswered(i, n, id, called_at, call, Box::new(reply)),
+                    );
                 }
             }
-            Event::Answer(i, _, id, asked, call, reply) => {
+            Event::CallAnswered(i, _, id, called_at, call, reply) => {
                 if self.answered.insert(id) {
-                    self.answer(i, asked, &call, &reply);
+                    self.answer(i, called_at, &call, &reply);
                 }
             }
             Event::Append(i, n, records) => self.append(i, n, records),
-            Event::Effect(records) => {
+            Event::LateAppend(records) => {
                 for (_, data) in records {
                     self.push(data);
                 }
             }
-            Event::GiveUp(i, _, id) => {
+            Event::AppendTimeout(i, _, id) => {
                 if self.nodes[i].pending.remove(&id).is_some() {
                     self.append_failed(i, &id);
                 }
             }
             Event::Link(a, b) => self.link(a, b),
-            Event::Fault(fault) => self.begin(fault),
-            Event::Heal(fault) => self.heal(fault),
+            Event::Fault(fault) => self.begin_fault(fault),
+            Event::Heal(fault) => self.end_fault(fault),
             Event::Submit(job, spec) => {
-                self.put("entry-0", &RecordBody::JobAccepted { job, spec });
+                self.append_as("entry-0", &RecordBody::JobAccepted { job, spec });
             }
-            Event::Cancel(job) => self.put("entry-0", &RecordBody::JobCancelled { job }),
+            Event::Cancel(job) => self.append_as("entry-0", &RecordBody::JobCancelled { job }),
         }
     }
 
@@ -391,7 +410,7 @@
         let node = &mut self.nodes[i];
         let actions = match &mut node.table {
             RoleTable::Agent(_) => {
-                self.pump(i);
+                self.queue_calls(i);
                 return;
             }
             RoleTable::Entry(table) => {
@@ -399,10 +418,10 @@
                 table.tick(now, &view)
             }
         };
-        self.keep_list(i, fresh);
+        self.maintain_entries(i, fresh);
         for action in actions {
             match action {
-                PlannerAction::Send(notice) => self.notify(i, notice),
+                PlannerAction::Send(outgoing) => self.send_to_agent(i, outgoing),
                 PlannerAction::Append { body, purpose } => self.queue_append(i, &body, purpose),
                 PlannerAction::Repeat(item) => {
                     if let Some(body) = carried_body(&self.nodes[i].ledger, &item) {
@@ -415,7 +434,7 @@
     }
 
     /// Joins the list of entries where this one is not on it, and removes silent ones as planner.
-    fn keep_list(&mut self, i: usize, fresh: bool) {
+    fn maintain_entries(&mut self, i: usize, fresh: bool) {
         let now = self.nodes[i].clock(self.now);
         let node = &self.nodes[i];
         let entries = node.ledger.membership.entries();
@@ -430,7 +449,7 @@
         } else if node.ledger.membership.planner() == Some(&node.name) {
             let is_gone = |name: &&Name| {
                 let peer = node.roster.peer(name);
-                let silent = |at| now.since(at) > Duration::from_millis(ENTRY_GONE);
+                let silent = |at| now.since(at) > Duration::from_millis(ENTRY_REMOVAL_SILENCE_MS);
                 **name != node.name && peer.is_some_and(|p| silent(p.heard))
             };
             let Some(entry) = entries.keys().find(is_gone).cloned() else {
@@ -476,19 +495,19 @@
             }
             return;
         }
-        if self.log_loses > 0 {
+        if self.log_answers_lost > 0 {
             for (id, _) in &records {
                 self.nodes[i].pending.insert(id.clone(), true);
                 let now = self.nodes[i].clock(self.now);
                 self.nodes[i].freshness.append_pending(now, true);
-                self.after(8_000, Event::GiveUp(i, incarnation, id.clone()));
+                self.after(8_000, Event::AppendTimeout(i, incarnation, id.clone()));
             }
             // It takes effect at once, late, or never.
             match self.rng.random_range(0..3) {
-                0 => self.after(1, Event::Effect(records)),
+                0 => self.after(1, Event::LateAppend(records)),
                 1 => {
                     let delay = self.rng.random_range(1..12_000);
-                    self.after(delay, Event::Effect(records));
+                    self.after(delay, Event::LateAppend(records));
                 }
                 _ => {}
             }
@@ -501,8 +520,8 @@
 
     fn append_failed(&mut self, i: usize, id: &Name) {
         let now = self.nodes[i].clock(self.now);
-        let unsure = self.nodes[i].pending.values().any(|lost| *lost);
-        self.nodes[i].freshness.append_pending(now, unsure);
+        let uncertain = self.nodes[i].pending.values().any(|lost| *lost);
+        self.nodes[i].freshness.append_pending(now, uncertain);
         if let RoleTable::Entry(table) = &mut self.nodes[i].table {
             table.append_failed(now, id);
         }
@@ -514,7 +533,7 @@
         self.log_times.push(self.now);
     }
 
-    fn put(&mut self, author: &str, body: &RecordBody) {
+    fn append_as(&mut self, author: &str, body: &RecordBody) {
         if self.trace {
             println!("{} on the log: {body:?}", self.now);
         }
@@ -537,7 +556,7 @@
                 .map(|d| FailureDomain {
                     name: domain_name(d),
                     region: None,
-                    in_service: self.out.get(&d).copied().unwrap_or(0) == 0,
+                    in_service: self.domains_out.get(&d).copied().unwrap_or(0) == 0,
                 })
                 .collect(),
             limits: Some(Limits {
@@ -553,10 +572,10 @@
         };
         // A version is the offset after its edit.
         self.section_version = self.log.len() as u64 + 1;
-        self.put("ops", &RecordBody::Edit(edit));
+        self.append_as("ops", &RecordBody::Edit(edit));
     }
 
-    fn beat(&mut self, i: usize) {
+    fn send_heartbeats(&mut self, i: usize) {
         for peer in 0..self.nodes.len() {
             if peer == i || (i >= self.entries && peer >= self.entries) {
                 continue;
@@ -569,16 +588,16 @@
         }
     }
 
-    fn notify(&mut self, from: usize, notice: AgentMessage) {
-        let to = self.nodes.iter().position(|n| n.name == notice.to);
+    fn send_to_agent(&mut self, from: usize, outgoing: AgentMessage) {
+        let to = self.nodes.iter().position(|n| n.name == outgoing.to);
         let Some(to) = to else { return };
-        if self.trace && !matches!(notice.message, GangMessage::Renewal { .. }) {
+        if self.trace && !matches!(outgoing.message, GangMessage::Renewal { .. }) {
             println!(
                 "{} {} to {}: {:?}",
-                self.now, self.nodes[from].name, notice.to, notice.message
+                self.now, self.nodes[from].name, outgoing.to, outgoing.message
             );
         }
-        let message = Message::Gang(notice.message);
+        let message = Message::Gang(outgoing.message);
         // A link may break and come back, with the planner's next copy on it overtaking.
         if self.rng.random_ratio(1, 20) {
             self.send(from, to, message.clone(), false);
@@ -590,15 +609,18 @@
         let incarnation = self.nodes[to].incarnation;
         let name = self.nodes[from].name.clone();
         let event = Event::Deliver(to, incarnation, name, Box::new(message));
-        if let Some(hold) = self.cuts.get(&pair(from, to)) {
+        if let Some(hold) = self.cuts.get(&unordered_pair(from, to)) {
             if *hold > 0 {
-                self.held.entry(pair(from, to)).or_default().push(event);
+                self.held_events
+                    .entry(unordered_pair(from, to))
+                    .or_default()
+                    .push(event);
             }
             return;
         }
         let slow = self.noise && self.rng.random_ratio(1, 50);
-        let most = if slow { 800 } else { 5 };
-        let mut at = self.now + self.rng.random_range(1..=most);
+        let max_delay = if slow { 800 } else { 5 };
+        let mut at = self.now + self.rng.random_range(1..=max_delay);
         if in_order {
             let last = self.last_delivery.entry((from, to)).or_default();
             at = at.max(*last);
@@ -610,28 +632,28 @@
     fn receive(&mut self, i: usize, from: &Name, message: Message) {
         let now = self.nodes[i].clock(self.now);
         let node = &mut self.nodes[i];
-        let mut notices = Vec::new();
+        let mut agent_messages = Vec::new();
         match (message, &mut node.table) {
             (Message::Heartbeat(heartbeat), table) => {
                 node.roster.heard(now, from, *heartbeat);
                 if let (RoleTable::Entry(table), Some(peer)) = (table, node.roster.peer(from))
                     && peer.peer.role == Role::Agent
                 {
-                    notices = table.on_heartbeat(now, peer);
+                    agent_messages = table.on_heartbeat(now, peer);
                 }
             }
             (Message::Gang(message), RoleTable::Agent(members)) => {
                 members.on_message(now, message);
-                self.pump(i);
+                self.queue_calls(i);
             }
             _ => {}
         }
-        for notice in notices {
-            self.notify(i, notice);
+        for outgoing in agent_messages {
+            self.send_to_agent(i, outgoing);
         }
     }
 
-    fn pump(&mut self, i: usize) {
+    fn queue_calls(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
         let incarnation = self.nodes[i].incarnation;
         let RoleTable::Agent(members) = &mut self.nodes[i].table else {
@@ -639,17 +661,17 @@
         };
         for call in members.calls(now) {
             let delay = self.rng.random_range(0..2);
-            self.after(delay, Event::Run(i, incarnation, call));
+            self.after(delay, Event::PrepareCall(i, incarnation, call));
         }
     }
 
-    fn run_call(&mut self, i: usize, n: u64, call: WorkerCall) {
-        let asked = self.nodes[i].clock(self.now);
+    fn prepare_call(&mut self, i: usize, n: u64, call: WorkerCall) {
+        let called_at = self.nodes[i].clock(self.now);
         let mut ttl = 0;
         if let WorkerCall::Lease { number, op, .. } = &call {
             match op {
                 WorkerOp::Obtain { until, .. } | WorkerOp::Renew { until } => {
-                    ttl = WorkerOp::ttl(*until, asked).as_millis() as u64;
+                    ttl = WorkerOp::ttl(*until, called_at).as_millis() as u64;
                 }
                 WorkerOp::Start(_) if !self.may_start(i, *number) => return,
                 _ => {}
@@ -659,18 +681,18 @@
         let id = self.next_call;
         // The thread may lose its processor between the decision and the call.
         let delay = self.rng.random_range(0..40);
-        self.after(delay, Event::Send(i, n, id, asked, call, ttl));
+        self.after(delay, Event::SendCall(i, n, id, called_at, call, ttl));
     }
 
     fn may_start(&mut self, i: usize, number: u64) -> bool {
-        let Some(gate) = self.nodes[i].gate(self.now, number) else {
+        let Some(conditions) = self.nodes[i].start_conditions(self.now, number) else {
             return false;
         };
         let now = self.nodes[i].clock(self.now);
         let RoleTable::Agent(members) = &mut self.nodes[i].table else {
             return false;
         };
-        members.may_start(now, number, gate) == StartCheck::Start
+        members.may_start(now, number, conditions) == StartCheck::Start
     }
 
     fn worker_delay(&mut self) -> u64 {
@@ -684,8 +706,8 @@
         let refused = || WorkerError::Refused("connection refused".to_owned());
         let reached = worker.alive && worker.epoch == epoch;
         match call {
-            WorkerCall::ListLeases if !reached => Reply::Look(Err(refused())),
-            WorkerCall::ListLeases => Reply::Look(Ok(worker.view(now))),
+            WorkerCall::ListLeases if !reached => Reply::Leases(Err(refused())),
+            WorkerCall::ListLeases => Reply::Leases(Ok(worker.view(now))),
             WorkerCall::Remove { lease } => {
                 if reached {
                     worker.remove(now, lease);
@@ -705,15 +727,15 @@
         }
     }
 
-    fn answer(&mut self, i: usize, asked: Timestamp, call: &WorkerCall, reply: &Reply) {
+    fn answer(&mut self, i: usize, called_at: Timestamp, call: &WorkerCall, reply: &Reply) {
         let now = self.nodes[i].clock(self.now);
         let RoleTable::Agent(members) = &mut self.nodes[i].table else {
             return;
         };
         match (call, reply) {
-            (_, Reply::Look(view)) => members.on_leases(now, asked, view),
+            (_, Reply::Leases(view)) => members.on_leases(now, called_at, view),
             (WorkerCall::Lease { number, op, .. }, Reply::Lease(answer)) => {
-                members.on_answer(now, asked, *number, op, answer);
+                members.on_answer(now, called_at, *number, op, answer);
             }
             _ => {}
         }
@@ -721,7 +743,7 @@
 
     fn link(&mut self, a: usize, b: usize) {
         let both = self.nodes[a].alive && self.nodes[b].alive;
-        if !both || self.cuts.contains_key(&pair(a, b)) {
+        if !both || self.cuts.contains_key(&unordered_pair(a, b)) {
             return;
         }
         let (peer_a, peer_b) = (self.nodes[a].peer(), self.nodes[b].peer());
@@ -744,7 +766,7 @@
         self.nodes[b].link_down(self.now, &peer_a);
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn begin_fault(&mut self, fault: Fault) {
         if self.trace {
             println!("{} fault {fault:?}", self.now);
         }
@@ -762,14 +784,16 @@
             Fault::FreezeWorker(w) => self.freeze_worker(w),
             Fault::BreakWorker(w) => self.workers[w].broken = true,
             Fault::Cut(a, b, hold) => {
-                self.cuts.entry(pair(a, b)).or_insert(u32::from(hold));
+                self.cuts
+                    .entry(unordered_pair(a, b))
+                    .or_insert(u32::from(hold));
             }
             Fault::CutLog(i) => self.nodes[i].log_cut = true,
             Fault::LogDown => self.log_down += 1,
-            Fault::LogLoses => self.log_loses += 1,
+            Fault::LogAnswersLost => self.log_answers_lost += 1,
             Fault::Drain(d) => {
-                *self.out.entry(d).or_default() += 1;
-                if self.out[&d] == 1 {
+                *self.domains_out.entry(d).or_default() += 1;
+                if self.domains_out[&d] == 1 {
                     self.outages.push(Outage {
                         domain: d,
                         from: self.now,
@@ -781,7 +805,7 @@
         }
     }
 
-    fn heal(&mut self, fault: Fault) {
+    fn end_fault(&mut self, fault: Fault) {
         if self.trace {
             println!("{} healed {fault:?}", self.now);
         }
@@ -799,8 +823,11 @@
             Fault::FreezeWorker(w) => self.thaw_worker(w),
             Fault::BreakWorker(w) => self.workers[w].broken = false,
             Fault::Cut(a, b, _) => {
-                self.cuts.remove(&pair(a, b));
-                let held = self.held.remove(&pair(a, b)).unwrap_or_default();
+                self.cuts.remove(&unordered_pair(a, b));
+                let held = self
+                    .held_events
+                    .remove(&unordered_pair(a, b))
+                    .unwrap_or_default();
                 if held.is_empty() || !self.are_linked(a, b) {
                     self.unlink(a, b);
                     self.after(300, Event::Link(a, b));
@@ -811,10 +838,10 @@
             }
             Fault::CutLog(i) => self.nodes[i].log_cut = false,
             Fault::LogDown => self.log_down -= 1,
-            Fault::LogLoses => self.log_loses -= 1,
+            Fault::LogAnswersLost => self.log_answers_lost -= 1,
             Fault::Drain(d) => {
-                *self.out.entry(d).or_default() -= 1;
-                if self.out[&d] == 0 {
+                *self.domains_out.entry(d).or_default() -= 1;
+                if self.domains_out[&d] == 0 {
                     let open = self.outages.iter_mut().rfind(|o| o.domain == d);
                     open.expect("it was taken out").to = self.now;
                     self.edit();
@@ -823,18 +850,18 @@
         }
     }
 
-    fn kill(&mut self, i: usize, seen: bool) {
+    fn kill(&mut self, i: usize, closes_connections: bool) {
         if !self.nodes[i].alive {
             return;
         }
         for peer in 0..self.nodes.len() {
             // A host that is lost closes no connection.
-            if seen && peer != i && self.nodes[peer].alive {
+            if closes_connections && peer != i && self.nodes[peer].alive {
                 self.unlink(i, peer);
             }
         }
         self.nodes[i].alive = false;
-        self.frozen.remove(&i);
+        self.frozen_events.remove(&i);
     }
 
     fn restart(&mut self, i: usize) {
@@ -846,7 +873,7 @@
 
     fn thaw(&mut self, i: usize) {
         self.nodes[i].frozen = false;
-        for event in self.frozen.remove(&i).unwrap_or_default() {
+        for event in self.frozen_events.remove(&i).unwrap_or_default() {
             self.after(1, event);
         }
     }
@@ -861,23 +888,27 @@
         if self.workers[w].frozen {
             self.workers[w].thaw(self.now);
         }
-        for event in self.frozen.remove(&(usize::MAX - w)).unwrap_or_default() {
+        for event in self
+            .frozen_events
+            .remove(&(usize::MAX - w))
+            .unwrap_or_default()
+        {
             self.after(1, event);
         }
     }
 }
 
-fn lost(call: &WorkerCall) -> Reply {
+fn timed_out(call: &WorkerCall) -> Reply {
     let error = || WorkerError::Uncertain("timeout".to_owned());
     match call {
-        WorkerCall::ListLeases => Reply::Look(Err(error())),
+        WorkerCall::ListLeases => Reply::Leases(Err(error())),
         WorkerCall::Lease { .. } => Reply::Lease(Err(error())),
         WorkerCall::Remove { .. } => Reply::Nothing,
     }
 }
 
 /// A job of the only workspace that sleeps.
-pub fn sleeping(tasks: u32, accelerators: u32, ms: u64) -> JobSpec {
+pub fn sleep_job(tasks: u32, accelerators: u32, ms: u64) -> JobSpec {
     JobSpec {
         workspace: "murtal".into(),
         urgency: Urgency::Normal,
@@ -889,6 +920,6 @@
     }
 }
 
-fn pair(a: usize, b: usize) -> (usize, usize) {
+fn unordered_pair(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -184,8 +184,8 @@
     fn on_folded(&mut self, now: u64, folded: &Folded) {
         let at = self.clock(now);
         self.pending.remove(&folded.record.id);
-        let unsure = self.pending.values().any(|lost| *lost);
-        self.freshness.append_pending(at, unsure);
+        let uncertain = self.pending.values().any(|lost| *lost);
+        self.freshness.append_pending(at, uncertain);
         match &mut self.table {
             RoleTable::Entry(table) => table.on_folded(at, folded, &self.ledger),
             RoleTable::Agent(members) if folded.in_effect => {
@@ -195,7 +195,7 @@
         }
     }
 
-    pub fn gate(&self, now: u64, number: u64) -> Option<StartConditions> {
+    pub fn start_conditions(&self, now: u64, number: u64) -> Option<StartConditions> {
         let RoleTable::Agent(members) = &self.table else {
             return None;
         };
--- a/dragonflyrun/tests/gang_world/worker.rs
+++ b/dragonflyrun/tests/gang_world/worker.rs
@@ -13,7 +13,7 @@
 
 /// A time in which the tasks of one member ran.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RunRecord {
     pub job: Name,
     pub attempt: u32,
     pub member: u32,
@@ -36,8 +36,8 @@
 
 struct Run {
     tasks: StartTasks,
-    began: u64,
-    done_before: u64,
+    started_at: u64,
+    restored_ms: u64,
     /// How much work it is, and whether it ends well.
     work: (u64, bool),
     record: usize,
@@ -55,7 +55,7 @@
     frozen_at: u64,
     leases: HashMap<Name, Lease>,
     checkpoints: Checkpoints,
-    pub ran: Vec<Ran>,
+    pub run_records: Vec<RunRecord>,
 }
 
 impl FakeWorker {
@@ -71,12 +71,12 @@
             frozen_at: 0,
             leases: HashMap::new(),
             checkpoints,
-            ran: Vec::new(),
+            run_records: Vec::new(),
         }
     }
 
     /// Lets leases lapse and tasks end up to `now`, each at its own time.
-    pub fn look(&mut self, now: u64) {
+    pub fn advance(&mut self, now: u64) {
         if self.frozen || !self.alive {
             return;
         }
@@ -88,22 +88,22 @@
                 && at <= now
                 && at < lease.until
             {
-                let well = run.work.1;
-                lease.state = if well {
+                let succeeds = run.work.1;
+                lease.state = if succeeds {
                     LeaseState::Finished
                 } else {
                     LeaseState::Failed
                 };
-                let record = &mut self.ran[run.record];
+                let record = &mut self.run_records[run.record];
                 record.end = Some(at);
-                record.finished = well;
+                record.finished = succeeds;
             }
             let live = matches!(lease.state, LeaseState::Held | LeaseState::Running);
             if live && lease.until <= now {
                 if lease.state == LeaseState::Running
                     && let Some(run) = &lease.run
                 {
-                    self.ran[run.record].end = Some(lease.until);
+                    self.run_records[run.record].end = Some(lease.until);
                 }
                 lease.state = LeaseState::Lapsed;
             }
@@ -111,12 +111,12 @@
     }
 
     pub fn freeze(&mut self, now: u64) {
-        self.look(now);
+        self.advance(now);
         self.frozen = true;
         self.frozen_at = now;
         for lease in self.leases.values_mut() {
             if let (LeaseState::Running, Some(run)) = (lease.state, &lease.run) {
-                self.ran[run.record].end = Some(now);
+                self.run_records[run.record].end = Some(now);
             }
         }
     }
@@ -131,22 +131,22 @@
                 lease.state = LeaseState::Lapsed;
             }
             if let (LeaseState::Running, Some(run)) = (lease.state, &mut lease.run) {
-                run.began += gap;
-                let again = Ran {
+                run.started_at += gap;
+                let again = RunRecord {
                     fresh_start: false,
                     start: now,
                     end: None,
-                    ..self.ran[run.record].clone()
+                    ..self.run_records[run.record].clone()
                 };
-                run.record = self.ran.len();
-                self.ran.push(again);
+                run.record = self.run_records.len();
+                self.run_records.push(again);
             }
         }
     }
 
     pub fn kill(&mut self, now: u64) {
-        self.look(now);
-        for record in &mut self.ran {
+        self.advance(now);
+        for record in &mut self.run_records {
             record.end = record.end.or(Some(now));
         }
         self.leases.clear();
@@ -156,7 +156,7 @@
     }
 
     pub fn view(&mut self, now: u64) -> WorkerView {
-        self.look(now);
+        self.advance(now);
         let leases = self.leases.keys().cloned().collect::<Vec<_>>();
         WorkerView {
             name: self.name.clone(),
@@ -175,7 +175,7 @@
         accelerators: u32,
         ttl: u64,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         if let Some(lease) = self.leases.get_mut(name) {
             if !matches!(lease.state, LeaseState::Held | LeaseState::Running) {
                 return Err(WorkerError::Over);
@@ -204,7 +204,7 @@
     }
 
     pub fn renew(&mut self, now: u64, name: &Name, ttl: u64) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         self.live(name)?.until = now + ttl;
         self.lease(now, name)
     }
@@ -215,8 +215,8 @@
         name: &Name,
         tasks: &StartTasks,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
-        let (domain, record, broken) = (self.domain, self.ran.len(), self.broken);
+        self.advance(now);
+        let (domain, record, broken) = (self.domain, self.run_records.len(), self.broken);
         let key = (tasks.job.clone(), tasks.member);
         let saved = self.checkpoints.borrow().get(&key).copied();
         let lease = self.live(name)?;
@@ -232,12 +232,12 @@
         lease.state = LeaseState::Running;
         lease.run = Some(Run {
             tasks: tasks.clone(),
-            began: now,
-            done_before: saved.filter(|_| tasks.resume).unwrap_or(0),
+            started_at: now,
+            restored_ms: saved.filter(|_| tasks.resume).unwrap_or(0),
             work,
             record,
         });
-        self.ran.push(Ran {
+        self.run_records.push(RunRecord {
             job: tasks.job.clone(),
             attempt: tasks.attempt,
             member: tasks.member,
@@ -257,14 +257,14 @@
         name: &Name,
         checkpoint: bool,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         let lease = self.leases.get_mut(name).ok_or(WorkerError::Over)?;
         if matches!(lease.state, LeaseState::Held | LeaseState::Running) {
             if let Some(run) = &lease.run {
-                self.ran[run.record].end = Some(now);
+                self.run_records[run.record].end = Some(now);
                 if checkpoint {
                     let key = (run.tasks.job.clone(), run.tasks.member);
-                    let done = run.done_before + (now - run.began);
+                    let done = run.restored_ms + (now - run.started_at);
                     self.checkpoints.borrow_mut().insert(key, done);
                     lease.checkpointed = true;
                 }
@@ -275,16 +275,16 @@
     }
 
     pub fn inspect(&mut self, now: u64, name: &Name) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         self.lease(now, name)
     }
 
     pub fn remove(&mut self, now: u64, name: &Name) {
-        self.look(now);
+        self.advance(now);
         if let Some(lease) = self.leases.remove(name)
             && let (LeaseState::Running, Some(run)) = (lease.state, &lease.run)
         {
-            self.ran[run.record].end = Some(now);
+            self.run_records[run.record].end = Some(now);
         }
     }
 
@@ -310,7 +310,7 @@
 
 impl Run {
     fn ends(&self) -> u64 {
-        self.began + self.work.0.saturating_sub(self.done_before)
+        self.started_at + self.work.0.saturating_sub(self.restored_ms)
     }
 }
 
--- a/dragonflyrun/tests/guarantee_reclaim.rs
+++ b/dragonflyrun/tests/guarantee_reclaim.rs
@@ -12,7 +12,7 @@
     job::{Decision, JobId, LiveJob, Scheduler, WorkerInfo},
     version::{Adjacency, FailureDomain, Guarantee, Section, Urgency, Version, Workspace},
 };
-use exhaustive::{Room, all_fit, is_near};
+use exhaustive::{FreeWorker, all_fit, is_adjacent};
 
 /// By then a member that does not answer has lost its lease for certain.
 const STOP_BOUND: Duration = Duration::from_secs(6);
@@ -30,7 +30,7 @@
 const DEFAULT_SEEDS: u64 = 200;
 
 /// The least input of one run; each event takes a few bytes.
-const BYTES: u64 = 96;
+const MIN_INPUT_BYTES: u64 = 96;
 
 const ADJACENCIES: [Adjacency; 4] = [
     Adjacency::Any,
@@ -100,7 +100,7 @@
     }
 
     /// Lets anything happen that may happen.
-    fn disturb(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
+    fn random_event(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         match u.int_in_range(0..=9)? {
             0 => self.drain_or_return(u)?,
             1 => self.lose_or_return(u)?,
@@ -267,7 +267,7 @@
         for p in placements {
             let worker = self.worker(&p.worker);
             assert!(
-                is_near(first, worker, shape),
+                is_adjacent(first, worker, shape),
                 "{placements:?} for {shape:?}"
             );
             assert!(
@@ -324,16 +324,19 @@
     fn check_unmet(&self) {
         let allotments = self.scheduler.allotments();
         let usable = self.workers.iter().filter(|w| self.is_usable(w));
-        let mut rooms: Vec<Room> = usable
-            .map(|worker| Room {
+        let mut free_workers: Vec<FreeWorker> = usable
+            .map(|worker| FreeWorker {
                 worker: worker.clone(),
                 left: worker.accelerators,
             })
             .collect();
         for a in allotments.iter().filter(|a| a.held) {
             for p in &a.placements {
-                for room in rooms.iter_mut().filter(|r| r.worker.name == p.worker) {
-                    room.left -= p.tasks * a.shape.accelerators;
+                for free_worker in free_workers
+                    .iter_mut()
+                    .filter(|r| r.worker.name == p.worker)
+                {
+                    free_worker.left -= p.tasks * a.shape.accelerators;
                 }
             }
             let tasks: u32 = a.placements.iter().map(|p| p.tasks).sum();
@@ -346,7 +349,11 @@
             .filter(|a| !a.held)
             .map(|a| a.shape)
             .collect();
-        assert_ne!(all_fit(&mut rooms, &free), Some(true), "all could be met");
+        assert_ne!(
+            all_fit(&mut free_workers, &free),
+            Some(true),
+            "all could be met"
+        );
     }
 
     /// The owner of a guarantee that is not in use asks for its shape, and no borrower's worker
@@ -360,9 +367,13 @@
         if unused.is_empty() || !self.scheduler.unmet().is_empty() {
             return Ok(());
         }
-        let wanted = u.choose(&unused)?;
+        let guarantee = u.choose(&unused)?;
         let mut cluster = self.clone();
-        let job = cluster.submit(wanted.workspace.clone(), wanted.shape, Urgency::Normal);
+        let job = cluster.submit(
+            guarantee.workspace.clone(),
+            guarantee.shape,
+            Urgency::Normal,
+        );
         let until = cluster.now + RECLAIM_BOUND;
         while cluster.now <= until {
             cluster.step();
@@ -374,13 +385,14 @@
         // Another job of the workspace may have taken it first.
         let unused = |c: &Self| {
             let allotments = c.scheduler.allotments().into_iter();
-            let same = allotments
-                .filter(|a| a.workspace == wanted.workspace && a.shape == wanted.shape && !a.held);
+            let same = allotments.filter(|a| {
+                a.workspace == guarantee.workspace && a.shape == guarantee.shape && !a.held
+            });
             same.count()
         };
         assert!(
             unused(&cluster) < unused(self),
-            "{wanted:?} was not given back in time"
+            "{guarantee:?} was not given back in time"
         );
         Ok(())
     }
@@ -437,11 +449,11 @@
 #[test]
 fn always_reclaimable() {
     for seed in 0..seeds() {
-        let size = BYTES + BYTES * (seed % 8);
+        let size = MIN_INPUT_BYTES + MIN_INPUT_BYTES * (seed % 8);
         arbtest(|u| {
             let mut cluster = Cluster::any(u)?;
             while !u.is_empty() {
-                cluster.disturb(u)?;
+                cluster.random_event(u)?;
                 cluster.now = cluster.now + TICK;
                 cluster.step();
                 cluster.check();
--- a/dragonflyrun/tests/job_policy.rs
+++ b/dragonflyrun/tests/job_policy.rs
@@ -125,7 +125,7 @@
 
 /// A workspace asks for more at once than its quota.
 #[test]
-fn quota_holds() {
+fn quota_limit() {
     let mut scheduler = scheduler();
     let small = |accepted| {
         let mut live = job(accepted, Urgency::Normal, 1, 3);
--- a/dragonflyrun/tests/measure_bounds.rs
+++ b/dragonflyrun/tests/measure_bounds.rs
@@ -39,13 +39,13 @@
     evictions: u32,
 }
 
-fn check(name: &str) {
+fn check_bounds(name: &str) {
     let data = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("benches/data");
     let read = |file: &str| fs::read_to_string(data.join(file)).expect("the file is there");
     let bounds: Bounds = serde_json::from_str(&read("bounds.json")).expect("bounds are valid");
     let bound = bounds.deployments.iter().find(|b| b.workload == name);
     let bound = bound.expect("the workload has bounds");
-    let workload = Workload::read(&read(&format!("{name}.json")));
+    let workload = Workload::parse(&read(&format!("{name}.json")));
     let naive = World::run(&workload, bound.seed, &mut Naive::default());
     let figures = World::run(&workload, bound.seed, &mut Scheduler::new());
     let large = figures.large.p99_s / naive.large.p99_s;
@@ -70,11 +70,11 @@
 /// jobs, checks wait, or an owner does not get its shape back.
 #[test]
 fn murtal_figures() {
-    check("murtal");
+    check_bounds("murtal");
 }
 
 /// The same at the other deployment, where bursts are shorter and a failure domain is out longer.
 #[test]
 fn prairie_pour_figures() {
-    check("prairie-pour");
+    check_bounds("prairie-pour");
 }
--- a/dragonflyrun/tests/owner_ring.rs
+++ b/dragonflyrun/tests/owner_ring.rs
@@ -7,7 +7,7 @@
 const AGENTS: usize = 4;
 
 /// Time after which the first owners are on the log.
-const SETTLED: u64 = 12_000;
+const RING_READY_MS: u64 = 12_000;
 
 fn owners(world: &World) -> usize {
     world.nodes[0].ledger.membership.ring().len()
@@ -19,10 +19,10 @@
 #[test]
 fn worker_silent() {
     let mut world = World::new(1, 3, AGENTS);
-    world.run(SETTLED);
+    world.run(RING_READY_MS);
     assert_eq!(owners(&world), AGENTS);
-    world.fault(SETTLED + 1_000, 60_000, Fault::FreezeWorker(0));
-    while world.now < SETTLED + 50_000 {
+    world.inject(RING_READY_MS + 1_000, 60_000, Fault::FreezeWorker(0));
+    while world.now < RING_READY_MS + 50_000 {
         world.run(world.now + 1_000);
         assert_eq!(owners(&world), AGENTS, "at {} ms", world.now);
     }
@@ -33,9 +33,9 @@
 #[test]
 fn host_lost() {
     let mut world = World::new(2, 3, AGENTS);
-    world.run(SETTLED);
+    world.run(RING_READY_MS);
     let agent = 3 + 1;
-    world.fault(SETTLED + 1_000, 60_000, Fault::Kill(agent));
-    world.run(SETTLED + 30_000);
+    world.inject(RING_READY_MS + 1_000, 60_000, Fault::Kill(agent));
+    world.run(RING_READY_MS + 30_000);
     assert_eq!(owners(&world), AGENTS - 1);
 }
--- a/dragonflyrun/tests/peer_roster.rs
+++ b/dragonflyrun/tests/peer_roster.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn whole(leaving: bool) -> Report {
+fn full_report(leaving: bool) -> Report {
     let gang = GangId {
         job: "job-1".into(),
         term: 1,
@@ -72,7 +72,7 @@
     })
 }
 
-fn heard(report: Option<Report>) -> Roster {
+fn roster_with(report: Option<Report>) -> Roster {
     let mut roster = Roster::default();
     roster.up(at(0), peer(1));
     roster.heard(at(100), &"worker-1".into(), heartbeat(None, report));
@@ -87,7 +87,7 @@
 /// Requests sent to it would wait until their deadline.
 #[test]
 fn silent_peer() {
-    let roster = heard(Some(whole(false)));
+    let roster = roster_with(Some(full_report(false)));
     assert!(live(&roster, at(100) + SILENCE));
     assert!(!live(&roster, at(101) + SILENCE));
     assert_eq!(roster.agents(at(101) + SILENCE).count(), 0);
@@ -95,14 +95,14 @@
 
 #[test]
 fn leaving_peer() {
-    assert!(!live(&heard(Some(whole(true))), at(100)));
+    assert!(!live(&roster_with(Some(full_report(true))), at(100)));
 }
 
 /// An agent dies and its successor links before the old link has ended. The late end of the old
 /// link must not take the successor out of work.
 #[test]
 fn successor_stays() {
-    let mut roster = heard(Some(whole(false)));
+    let mut roster = roster_with(Some(full_report(false)));
     roster.up(at(200), peer(2));
     roster.down(&peer(1));
     assert!(live(&roster, at(300)));
@@ -114,7 +114,7 @@
 /// peer may be dead by now; only the echo tells how old the sign of life is.
 #[test]
 fn buffered_heartbeat() {
-    let mut roster = heard(None);
+    let mut roster = roster_with(None);
     let name = Name::from("worker-1");
     roster.heard(at(10_100), &name, heartbeat(Some(50), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(50)));
@@ -128,7 +128,7 @@
 
 #[test]
 fn report_parts() {
-    let mut roster = heard(Some(whole(false)));
+    let mut roster = roster_with(Some(full_report(false)));
     let name = Name::from("worker-1");
     let part = Report::Backends(vec![backend(3)]);
     roster.heard(at(200), &name, heartbeat(None, Some(part.clone())));
@@ -137,14 +137,14 @@
     assert_eq!(report.backends, [backend(3)]);
     assert_eq!(report.members.len(), 1);
     // A part without the whole before it says too little to give the agent work.
-    let only_part = heard(Some(part));
+    let only_part = roster_with(Some(part));
     assert_eq!(only_part.agents(at(200)).count(), 0);
 }
 
 #[test]
 fn forgotten_peer() {
     let long = Duration::from_secs(120);
-    let mut roster = heard(Some(whole(false)));
+    let mut roster = roster_with(Some(full_report(false)));
     roster.forget(at(500_000), long);
     assert_eq!(roster.all().len(), 1);
     roster.down(&peer(1));
--- a/dragonflyrun/tests/placement_naive.rs
+++ b/dragonflyrun/tests/placement_naive.rs
@@ -112,7 +112,7 @@
         };
         let taken: Vec<_> = placements.iter().map(here).collect();
         assert_eq!(
-            slots(&taken, &spec),
+            max_tasks(&taken, &spec),
             spec.tasks,
             "{placements:?} for {spec:?}"
         );
@@ -135,15 +135,15 @@
 }
 
 /// Returns the most tasks of `spec` that fit near enough to each other, by a look at all workers.
-fn slots(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> u32 {
-    let near = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
+fn max_tasks(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> u32 {
+    let adjacent = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
         Adjacency::Any => true,
         Adjacency::FailureDomain => a.failure_domain == b.failure_domain,
         Adjacency::Rack => a.failure_domain == b.failure_domain && a.rack == b.rack,
         Adjacency::Worker => a.name == b.name,
     };
     let around = |a: &WorkerInfo| -> u32 {
-        let scope = free.iter().filter(|(b, _)| near(a, b));
+        let scope = free.iter().filter(|(b, _)| adjacent(a, b));
         scope.map(|(_, left)| left / spec.accelerators).sum()
     };
     free.iter().map(|(a, _)| around(a)).max().unwrap_or(0)
@@ -152,7 +152,7 @@
 /// Jobs come and go without guarantees among them. Where the index were wrong after some change,
 /// a job would wait although there is room for it, or be started where there is none.
 #[test]
-fn room_is_found() {
+fn free_slots_found() {
     seeds::each_seed(200, 512, |u| {
         let mut cluster = Cluster::any(u)?;
         while !u.is_empty() {
@@ -160,7 +160,7 @@
             cluster.decide();
             let free = cluster.free();
             for live in cluster.jobs.values().filter(|j| j.placements.is_empty()) {
-                let fits = slots(&free, &live.spec) >= live.spec.tasks;
+                let fits = max_tasks(&free, &live.spec) >= live.spec.tasks;
                 assert!(!fits, "{:?} waits although it fits", live.spec);
             }
         }
--- a/dragonflyrun/tests/planner_terms.rs
+++ b/dragonflyrun/tests/planner_terms.rs
@@ -7,7 +7,7 @@
     process::Ledger,
 };
 
-use gang_world::{Fault, World, sleeping};
+use gang_world::{Fault, World, sleep_job};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
@@ -23,7 +23,12 @@
 }
 
 fn attempts(world: &World) -> u32 {
-    world.ran().iter().map(|r| r.attempt).max().unwrap_or(0)
+    world
+        .run_records()
+        .iter()
+        .map(|r| r.attempt)
+        .max()
+        .unwrap_or(0)
 }
 
 /// The planner dies at any step of a job's start, run and end. A user would notice a job that is
@@ -33,8 +38,8 @@
     for step in 0..60 {
         let mut world = world(step);
         let planner = world.planners()[0];
-        world.submit(SUBMIT, "job-0", sleeping(6, 2, 1_500));
-        world.fault(SUBMIT + 50 * step, 20_000, Fault::Kill(planner));
+        world.submit(SUBMIT, "job-0", sleep_job(6, 2, 1_500));
+        world.inject(SUBMIT + 50 * step, 20_000, Fault::Kill(planner));
         world.run_to_end(90_000);
         world.check_records();
         assert_eq!(
@@ -52,9 +57,9 @@
     for step in 0..60 {
         let mut world = world(step);
         let planner = world.planners()[0];
-        world.submit(SUBMIT, "job-0", sleeping(6, 2, 4_000));
-        world.submit(SUBMIT + 500, "job-1", sleeping(3, 4, 2_000));
-        world.fault(SUBMIT + 50 * step, 7_000, Fault::Freeze(planner));
+        world.submit(SUBMIT, "job-0", sleep_job(6, 2, 4_000));
+        world.submit(SUBMIT + 500, "job-1", sleep_job(3, 4, 2_000));
+        world.inject(SUBMIT + 50 * step, 7_000, Fault::Freeze(planner));
         world.run_to_end(120_000);
         world.run(world.now + 10_000);
         world.check_records();
@@ -70,11 +75,11 @@
     let mut world = world(1);
     world.noise = false;
     let planner = world.planners()[0];
-    world.submit(SUBMIT, "job-0", sleeping(8, 2, 40_000));
+    world.submit(SUBMIT, "job-0", sleep_job(8, 2, 40_000));
     world.run(SUBMIT + 5_000);
-    assert_eq!(world.ran().len(), AGENTS, "it runs on all workers");
-    world.fault(world.now, 30_000, Fault::LogDown);
-    world.fault(world.now, 30_000, Fault::Kill(planner));
+    assert_eq!(world.run_records().len(), AGENTS, "it runs on all workers");
+    world.inject(world.now, 30_000, Fault::LogDown);
+    world.inject(world.now, 30_000, Fault::Kill(planner));
     world.run_to_end(90_000);
     world.check_records();
     assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
@@ -87,8 +92,8 @@
 fn claim_in_doubt() {
     for seed in 0..40 {
         let mut world = World::new(seed, ENTRIES, AGENTS);
-        world.fault(1_001, 15_000, Fault::LogLoses);
-        world.submit(3_000, "job-0", sleeping(4, 2, 1_000));
+        world.inject(1_001, 15_000, Fault::LogAnswersLost);
+        world.submit(3_000, "job-0", sleep_job(4, 2, 1_000));
         world.run_to_end(90_000);
         world.run(world.now + 15_000);
         world.check_records();
@@ -101,10 +106,10 @@
 #[test]
 fn all_entries_replaced() {
     let mut world = world(2);
-    world.submit(SUBMIT, "job-0", sleeping(4, 2, 8_000));
+    world.submit(SUBMIT, "job-0", sleep_job(4, 2, 8_000));
     world.run(SUBMIT + 3_000);
     for entry in 0..ENTRIES {
-        world.fault(world.now, 600, Fault::Kill(entry));
+        world.inject(world.now, 600, Fault::Kill(entry));
     }
     world.run_to_end(90_000);
     world.check_records();
@@ -130,7 +135,7 @@
     };
     let accepted = RecordBody::JobAccepted {
         job: "job-0".into(),
-        spec: sleeping(1, 1, 1),
+        spec: sleep_job(1, 1, 1),
     };
     let records = [
         ("entry-0", accepted, true),
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -24,7 +24,7 @@
 const SEEDS: u64 = 8;
 
 /// Records that the log keeps, at the least.
-const KEPT: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
+const KEPT_RECORDS: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
 
 /// A planner's entry with a log in memory.
 struct Planner {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn put(&mut self, author: &str, body: RecordBody) {
+    fn write(&mut self, author: &str, body: RecordBody) {
         let record = self.record(author, body);
         self.append(record);
     }
@@ -117,7 +117,7 @@
     }
 
     /// Something that happens to a job or the membership.
-    fn event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    fn random_event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let term = self.ledger.membership.term();
         let known = live_jobs(&self.ledger);
         let chosen = known.get(u.int_in_range(0..=40)?).cloned();
@@ -162,7 +162,7 @@
                 entry: "nobody".into(),
             },
         };
-        self.put("entry-0", body);
+        self.write("entry-0", body);
         Ok(())
     }
 
@@ -183,7 +183,7 @@
             section: section_name,
             content: Some(RawSection::from(&section)),
         };
-        self.put("ops", RecordBody::Edit(edit));
+        self.write("ops", RecordBody::Edit(edit));
     }
 }
 
@@ -213,9 +213,9 @@
     jobs
 }
 
-fn late_reader_knows_all(u: &mut Unstructured<'_>) -> Result<()> {
+fn check_late_reader(u: &mut Unstructured<'_>) -> Result<()> {
     let mut planner = Planner::new();
-    planner.put(
+    planner.write(
         "entry-0",
         RecordBody::EntryJoined {
             entry: "entry-0".into(),
@@ -223,10 +223,10 @@
         },
     );
     planner.edit();
-    while planner.log.len() < 3 * KEPT as usize {
+    while planner.log.len() < 3 * KEPT_RECORDS as usize {
         planner.tick(u)?;
         for _ in 0..u.int_in_range(0..=30)? {
-            planner.event(u)?;
+            planner.random_event(u)?;
         }
     }
     // What was read before the last change is repeated at once.
@@ -234,7 +234,7 @@
         planner.tick(&mut Unstructured::new(&[0xff; 64]))?;
     }
     let head = planner.log.len() as u64;
-    let first = u.int_in_range(1..=head - KEPT)?;
+    let first = u.int_in_range(1..=head - KEPT_RECORDS)?;
     let mut late = Ledger::default();
     late.skip_to(first);
     for offset in first..head {
@@ -260,7 +260,7 @@
 #[test]
 fn late_reader() {
     for seed in 1..=SEEDS {
-        arbtest(late_reader_knows_all).seed(seed << 32 | 0x4_0000);
+        arbtest(check_late_reader).seed(seed << 32 | 0x4_0000);
     }
 }
 
@@ -278,9 +278,9 @@
 /// A process was frozen for longer than the log keeps its records. It holds a job that has ended in
 /// between, and would run it again.
 #[test]
-fn gap_forgets_jobs() {
+fn gap_clears_jobs() {
     let mut planner = Planner::new();
-    planner.put(
+    planner.write(
         "entry-0",
         RecordBody::JobAccepted {
             job: "job-0".into(),
