--- a/dragonflyrun/tests/common/exhaustive.rs
+++ b/dragonflyrun/tests/common/exhaustive.rs
@@ -1,4 +1,4 @@
-//! The naive way to allot guarantees: every way is tried.
+//! An exhaustive search for an allotment of guarantees, as a reference for the scheduler.
 
 use dragonflyrun::{
     Shape,
@@ -6,17 +6,18 @@
     version::Adjacency, //
 };
 
-/// Ways that are tried before the search gives up.
+/// Number of task placements tried before the search gives up.
 const MAX_PLACEMENTS: u32 = 200_000;
 
-/// A worker with the accelerators that are left of it.
+/// A worker and the number of its accelerators that are still free.
 #[derive(Clone, Debug)]
 pub(crate) struct FreeWorker {
     pub(crate) worker: WorkerInfo,
     pub(crate) left: u32,
 }
 
-/// Returns whether all of `shapes` fit into `free_workers` at once; none where it takes too long to say.
+/// Returns whether all of `shapes` fit on `free_workers` together, or `None` if the search exceeds
+/// [`MAX_PLACEMENTS`].
 pub(crate) fn all_fit(free_workers: &mut [FreeWorker], shapes: &[Shape]) -> Option<bool> {
     let mut tried = 0;
     place(
@@ -28,7 +29,8 @@
     )
 }
 
-/// Places the last `tasks` tasks of the first shape, one at a time, then the other shapes.
+/// Places the remaining `tasks` of the first shape one at a time, then the other shapes. `first` is
+/// the worker of the shape's first task.
 fn place(
     free_workers: &mut [FreeWorker],
     shapes: &[Shape],
@@ -63,7 +65,7 @@
     Some(false)
 }
 
-/// Returns whether two workers may hold tasks of one gang of `shape`.
+/// Returns whether the adjacency of `shape` allows tasks of one gang on both workers.
 pub(crate) fn is_adjacent(a: &WorkerInfo, b: &WorkerInfo, shape: &Shape) -> bool {
     match shape.adjacency {
         Adjacency::Any => true,
--- a/dragonflyrun/tests/drain_starts.rs
+++ b/dragonflyrun/tests/drain_starts.rs
@@ -1,5 +1,5 @@
-//! No task starts in a failure domain a few seconds after operators have taken it out: the bound
-//! is `START_BOUND`, by the log's order and the workers' own records.
+//! No task starts in a failure domain later than `START_BOUND` after operators have taken it out of
+//! service. The tests compare the time of the edit on the log with the workers' own run records.
 
 mod gang_world;
 
@@ -11,7 +11,7 @@
 const AGENTS: usize = 4;
 const SUBMIT_MS: u64 = 10_000;
 
-/// Agents of the domain that is taken out, as processes and as workers.
+/// Indices of the agents, and of their workers, in the domain that is taken out of service.
 const DRAINED_AGENTS: [usize; 2] = [0, 2];
 
 fn world_before_submit(seed: u64) -> World {
@@ -20,7 +20,7 @@
     world
 }
 
-/// Starts of tasks in the domain that was taken out, after that.
+/// Returns the starts in the domain while it was out of service, in milliseconds after the edit.
 fn late_starts(world: &World) -> Vec<u64> {
     let out = world.outages[0].clone();
     let run_records = world.run_records();
@@ -55,18 +55,19 @@
 }
 
 /// The edit races the start of a gang, from well before its reservation until after its start.
-/// Operators would notice tasks that start on machines they are about to switch off.
+/// Guards against tasks that start on machines that operators are about to switch off.
 #[test]
 fn races_start() {
     let late: Vec<u64> = (0..60)
         .flat_map(|step| late_starts(&drain_at(step, &[])))
         .collect();
-    // Without failures an agent has read the edit by its next look at the log, a tenth of a second
-    // later; a call to a slow worker takes up to 0.9 s more in the tests' world.
+    // Without failures an agent reads the edit within 0.1 s, when it next polls the log. A slow
+    // call to a worker takes up to 0.9 s more in the simulation.
     assert!(late.iter().all(|ms| *ms < 1_100), "{late:?}");
 }
 
-/// An agent is frozen between its last check and the start, and goes on after the edit.
+/// An agent freezes between its last check and the start, and resumes after the edit. Guards
+/// against a start that relies on the check from before the freeze.
 #[test]
 fn frozen_before_start() {
     let mut starts = 0;
@@ -75,11 +76,12 @@
         let freeze = DRAINED_AGENTS.map(|w| (10 * step, 9_000, host(w)));
         starts += late_starts(&drain_at(step + 1, &freeze)).len();
     }
-    // What was already sent when the agent was frozen may start, and nothing else.
+    // Only calls that were sent before the freeze may still start tasks.
     assert!(starts <= 60, "{starts} late starts");
 }
 
-/// An agent can't reach the log any more, so that it does not learn of the edit.
+/// An agent can't reach the log and doesn't learn of the edit. Guards against starts on its
+/// outdated configuration.
 #[test]
 fn cut_from_log() {
     for step in 0..40 {
@@ -88,7 +90,8 @@
     }
 }
 
-/// The planner is frozen during the edit and goes on with what it knew before.
+/// The planner is frozen during the edit. Guards against starts that it orders from its earlier
+/// state when it resumes.
 #[test]
 fn planner_frozen() {
     for step in 0..40 {
@@ -97,7 +100,8 @@
     }
 }
 
-/// The log's answers are lost around the edit, and records take effect late.
+/// The log's answers are lost around the edit, and start records take effect late. Guards against
+/// starts under such a record.
 #[test]
 fn log_answers_lost() {
     for step in 0..20 {
@@ -105,8 +109,9 @@
     }
 }
 
-/// The order to start waits in a broken link until long after the edit, and the only planner, frozen
-/// by then, can't take it back. `more` fails besides. Returns in how many runs the order was held.
+/// Runs worlds in which the order to start is held back by a broken link until long after the edit,
+/// while the only planner is frozen and can't revoke it. `faults` happen as well. Returns the
+/// number of runs in which the order was held back.
 fn held_start_order(faults: &[Fault]) -> usize {
     let mut held = 0;
     for step in 0..60 {
@@ -132,13 +137,15 @@
     held
 }
 
-/// Nobody is left to stop the start but the agent itself, which knows of the edit.
+/// A start order arrives long after the edit at an agent that has read the edit. Guards against an
+/// agent that starts the tasks because no planner revokes the order.
 #[test]
 fn agent_saw_drain() {
     assert!(held_start_order(&[]) > 0, "no order was held");
 }
 
-/// The agent does not know of the edit either, but it knows that it may not know everything.
+/// The same at agents that are cut off from the log and have not read the edit. Guards against an
+/// agent that starts tasks although its configuration may be outdated.
 #[test]
 fn cut_off_agent() {
     let cut = [Fault::CutLog(1), Fault::CutLog(2)];
--- a/dragonflyrun/tests/gang_faults.rs
+++ b/dragonflyrun/tests/gang_faults.rs
@@ -1,6 +1,6 @@
-//! Gangs under all failures together: whatever fails, no gang runs partially for longer than the
-//! stated bound, no job runs twice, nothing starts where operators have taken it out, and every
-//! accepted job ends.
+//! Gangs under random combinations of failures: no gang runs partially for longer than the bound,
+//! no job runs twice at once, nothing starts in a failure domain out of service, and every accepted
+//! job ends.
 
 mod gang_world;
 
@@ -19,17 +19,17 @@
 const ENTRIES: usize = 3;
 const AGENTS: usize = 6;
 
-/// When the last failure is over, in milliseconds of the world's clock.
+/// Simulated time in milliseconds at which the last failure is over.
 const FAULTS_END_MS: u64 = 60_000;
 
-/// When all jobs have ended at the latest.
+/// Simulated time in milliseconds by which all jobs have ended.
 ///
-/// A job whose workers were lost, together with an entry that may have gone on renewing their
-/// leases, waits for `RENEWAL_WITHOUT_LOG`.
+/// A job may have to wait for `RENEWAL_WITHOUT_LOG` if its workers were lost together with an entry
+/// that may still renew their leases.
 const MAX_RUN_MS: u64 = 1_200_000;
 
-/// Seeds that CI runs. `GANG_SEEDS` sets another number; `GANG_SEED` runs a single one that was
-/// printed, and `GANG_TRACE` shows its messages and records.
+/// Number of seeds that CI runs. `GANG_SEEDS` sets another number, `GANG_SEED` runs a single seed
+/// that a failed run printed, and `GANG_TRACE` prints messages and records.
 const DEFAULT_SEEDS: u64 = 150;
 
 fn seeds() -> u64 {
@@ -51,7 +51,7 @@
     })
 }
 
-/// One failure, or some that come together.
+/// Returns one failure, or several that begin at the same time.
 fn faults(u: &mut Unstructured<'_>) -> Result<Vec<Fault>> {
     let node = u.choose_index(ENTRIES + AGENTS)?;
     let worker = u.choose_index(AGENTS)?;
@@ -118,7 +118,7 @@
                 );
             }
             Some(JobEnd::Failed) => {
-                // A worker that fails all it starts can fail a good program a few times only.
+                // A broken worker must not fail a working program often enough to fail its job.
                 assert!(spec.program.starts_with("fail"), "{job} was failed");
             }
             Some(JobEnd::Cancelled) => {}
@@ -127,8 +127,8 @@
     }
 }
 
-/// Hosts, processes, links and the log fail at any moment, together and twice. A user would notice
-/// a job that hangs on tasks that wait for each other, that runs twice, or that never ends.
+/// Guards against jobs that hang because their tasks wait for each other, run twice or never end,
+/// when hosts, processes, links and the log fail at any moment, at the same time and repeatedly.
 #[test]
 fn random_failures() {
     if let Ok(seed) = std::env::var("GANG_SEED") {
@@ -151,8 +151,8 @@
 
 const SUBMIT_MS: u64 = 10_000;
 
-/// A world in which the job runs, and nothing fails by itself: a lost answer of a worker may cost
-/// an attempt, and these tests count attempts.
+/// Returns a world without random noise in which the job runs. Noise is off because these tests
+/// count attempts, and a lost answer of a worker may cost one.
 fn world_running(seed: u64, job: JobSpec) -> World {
     let mut world = World::new(seed, ENTRIES, AGENTS);
     world.noise = false;
@@ -171,8 +171,8 @@
         .unwrap_or(0)
 }
 
-/// The host of one member is lost, and at the same moment nobody is left who could tell the others:
-/// all entries are frozen. The others would compute for a gang that can't finish.
+/// The host of one member crashes while all entries are frozen, so that none of them can stop the
+/// other members. Guards against members that run on for a gang that can't finish.
 #[test]
 fn entries_frozen() {
     let mut longest = 0;
@@ -190,8 +190,8 @@
     println!("longest partial window: {longest} ms");
 }
 
-/// The planner alone can't reach the only member of a gang, which the other entries go on renewing.
-/// Another attempt next to it would pay an owner twice.
+/// Only the planner can't reach the sole member of a gang, while the other entries renew its lease.
+/// Guards against a second attempt beside the running one, which would pay an owner twice.
 #[test]
 fn planner_cut_off() {
     for seed in 0..10 {
@@ -203,12 +203,17 @@
         world.run_to_end(200_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
-        assert_eq!(attempts(&world), 2, "it was fenced and went on elsewhere");
+        assert_eq!(
+            attempts(&world),
+            2,
+            "the first attempt was fenced and the job restarted elsewhere"
+        );
     }
 }
 
-/// A gang's only member and one entry are cut off from everybody else and from the log. They go on
-/// together, and the rest must leave the job alone, also when it has removed that entry.
+/// A gang's only member and one entry are cut off from all other processes and from the log, and
+/// the entry keeps renewing the gang. Guards against another attempt meanwhile, also after the
+/// planner has removed the entry.
 #[test]
 fn isolated_entry() {
     for seed in 0..10 {
@@ -230,8 +235,9 @@
     }
 }
 
-/// Workers of which one fails all it starts, and programs that fail wherever they run: the good
-/// jobs finish, the bad ones are ended after a bounded number of attempts.
+/// One worker fails all tasks that it starts, and some programs fail on every worker. Guards
+/// against failing a working job for the worker's fault, and against restarting a failing program
+/// forever.
 #[test]
 fn failing_programs() {
     let mut world = World::new(1, ENTRIES, AGENTS);
--- a/dragonflyrun/tests/gang_protocol.rs
+++ b/dragonflyrun/tests/gang_protocol.rs
@@ -1,5 +1,5 @@
-//! The gang protocol step by step: orders that are late, doubled or out of order, and each kind of
-//! failure of one member at each step of its life.
+//! The gang protocol step by step: late, duplicated and reordered messages, and each kind of
+//! failure of one member at each step from reservation to run.
 
 mod gang_world;
 
@@ -87,7 +87,7 @@
     })
 }
 
-/// An agent that has read its worker, which holds nothing.
+/// Returns an agent that has read from its worker that it has no leases.
 fn agent() -> Members {
     let mut members = Members::new(at(0));
     members.calls(at(0));
@@ -99,7 +99,7 @@
     members.reports().iter().map(|r| r.state).collect()
 }
 
-/// Answers the calls that are due with the lease in `state`, and returns them.
+/// Answers the due calls with the lease in `state` and returns their operations.
 fn answer_calls(members: &mut Members, now: u64, state: LeaseState) -> Vec<WorkerOp> {
     let mut ops = Vec::new();
     for call in members.calls(at(now)) {
@@ -118,8 +118,8 @@
     allowed: true,
 };
 
-/// A link breaks and comes back, and the order to stop overtakes the one to reserve. Were the
-/// later one followed, the accelerators would be held for a gang that nobody starts.
+/// After a reconnect the stop of a gang overtakes its reservation. Guards against an agent that
+/// follows the late reservation and holds accelerators for a gang that nobody starts.
 #[test]
 fn stop_overtakes_reserve() {
     let mut members = agent();
@@ -132,7 +132,8 @@
     assert!(answer_calls(&mut members, 30, LeaseState::Held).is_empty());
 }
 
-/// A planner that was frozen goes on after its successor has taken over.
+/// A planner resumes from a freeze after its successor has taken over. Guards against agents that
+/// follow orders of the older term.
 #[test]
 fn superseded_planner() {
     let mut members = agent();
@@ -151,7 +152,8 @@
     assert_eq!(states(&members), [MemberState::Reserved]);
 }
 
-/// The planner dies after the members have reserved. The accelerators must not stay held.
+/// The planner dies after the members have reserved. Guards against accelerators that stay
+/// reserved.
 #[test]
 fn reservation_lapses() {
     let mut members = agent();
@@ -166,8 +168,9 @@
     assert!(!members.is_active());
 }
 
-/// The order to start arrives before the agent has read the record that allows it, at an agent
-/// that does not know the latest state of the log, or after the domain was taken out.
+/// The order to start arrives before the agent has read the start record, at an agent that doesn't
+/// know the latest state of the log, or after the failure domain was taken out of service. Guards
+/// against a start in each of these cases.
 #[test]
 fn start_checked() {
     let cases = [
@@ -215,14 +218,14 @@
             },
         ] = &calls[..]
         else {
-            panic!("a start was to be due, not {calls:?}");
+            panic!("a start should be due, not {calls:?}");
         };
         assert_eq!(members.may_start(at(31), *number, conditions), expected);
     }
 }
 
-/// No entry renews the gang: its members stop by themselves, with a checkpoint, and the worker
-/// lease is never prolonged past the gang's.
+/// No entry renews the gang. Guards against members that run past the gang lease or stop without a
+/// checkpoint, and against worker leases that outlast the gang lease.
 #[test]
 fn gang_lease_ends() {
     let mut members = agent();
@@ -257,7 +260,8 @@
     assert!(at(now) < end);
 }
 
-/// A renewal that waited in a buffer says that the gang was whole long ago.
+/// A renewal was held up in a buffer and only proves that the gang was complete long ago. Guards
+/// against a lease that is extended by it.
 #[test]
 fn stale_renewal() {
     let mut members = agent();
@@ -277,7 +281,7 @@
     assert_eq!(states(&restarted), [MemberState::Stopping]);
 }
 
-/// Two agents whose members run, both alive for certain at 1 s.
+/// Returns two agents with running members, whose last heartbeats prove them alive at 1 s.
 fn two_members() -> (Renewals, [Name; 2]) {
     let mut renewals = Renewals::default();
     let agents: [Name; 2] = ["worker-0".into(), "worker-1".into()];
@@ -294,8 +298,8 @@
     (renewals, agents)
 }
 
-/// One member is silent from some moment on. No renewal of the other may reach further than the
-/// gang lease from that moment, however often the other is heard.
+/// One member falls silent while the other keeps sending heartbeats. Guards against renewals of the
+/// other that reach further than the gang lease counted from the last heartbeat of the silent one.
 #[test]
 fn silent_member() {
     let (mut renewals, agents) = two_members();
@@ -314,7 +318,8 @@
     );
 }
 
-/// The planner has put on the log that an attempt is not renewed any more, and counts on it.
+/// The planner has recorded a fence, so that no entry renews the attempt any more, and relies on
+/// it. Guards against a renewal after the fence.
 #[test]
 fn fenced_gang() {
     let (mut renewals, agents) = two_members();
@@ -331,8 +336,8 @@
     );
 }
 
-/// An entry resumes after it was frozen, and hears one member before it has looked at the others.
-/// It must not renew that one's lease on what it knew of the others before.
+/// An entry resumes from a freeze and gets a heartbeat of one member before it has checked the
+/// others. Guards against a renewal that relies on the state from before the freeze.
 #[test]
 fn entry_resumes() {
     let (mut renewals, agents) = two_members();
@@ -344,8 +349,8 @@
     assert_eq!(renewal(&mut renewals, 11_000), None);
 }
 
-/// An agent is replaced and its worker does not answer. It must not say that a gang has stopped
-/// before the leases of its predecessor have lapsed.
+/// An agent is replaced while its worker doesn't answer. Guards against reporting a gang as stopped
+/// before the leases of the previous agent have lapsed.
 #[test]
 fn stop_before_lapse() {
     let mut members = Members::new(at(0));
@@ -359,8 +364,8 @@
     ));
 }
 
-/// A member's agent is replaced at once. Its tasks run on under the worker's lease and need not
-/// be stopped.
+/// A member's agent restarts at once, and its tasks run on under the worker's lease. Guards against
+/// stopping the gang for it.
 #[test]
 fn quick_restart() {
     let mut world = World::new(3, ENTRIES, AGENTS);
@@ -373,8 +378,8 @@
     assert!(world.run_records().iter().all(|r| r.attempt == 1));
 }
 
-/// The members of a gang end one after the other, here 0.5, 5.5, 10.5 and 15.5 s after its start, and
-/// the host of one that has ended is lost. Those that still have work must not be stopped for it.
+/// The members of a gang end 0.5, 5.5, 10.5 and 15.5 s after its start, and the host of the first
+/// one crashes after its end. Guards against stopping the members that still have work.
 #[test]
 fn staggered_ends() {
     for seed in 0..10 {
@@ -404,8 +409,8 @@
     }
 }
 
-/// Each kind of failure of one member, of its worker or of its links, at each step from the
-/// reservation to the run, for a short and for a long time.
+/// One member, its worker or its links fail in each possible way, for a short or a long time, at
+/// each step from reservation to run. Guards against jobs that don't finish after such a failure.
 #[test]
 fn member_fails() {
     let job: Name = "job-0".into();
--- a/dragonflyrun/tests/gang_world/checks.rs
+++ b/dragonflyrun/tests/gang_world/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold of the workers' records, whatever has failed.
+//! Invariants of the workers' run records that hold whatever has failed.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,7 +6,7 @@
 
 use super::worker::RunRecord;
 
-/// When a failure domain was taken out and returned, by the log.
+/// The time for which a failure domain was out of service, according to the log.
 #[derive(Clone, Debug)]
 pub struct Outage {
     pub domain: usize,
@@ -24,8 +24,8 @@
     gangs
 }
 
-/// Returns the longest time for which some member of one attempt ran and another neither ran nor
-/// had finished.
+/// Returns the longest time in milliseconds for which one member of an attempt ran while another
+/// neither ran nor had finished.
 pub fn longest_partial(run_records: &[RunRecord], now: u64) -> u64 {
     gangs(run_records)
         .values()
@@ -62,7 +62,7 @@
     longest
 }
 
-/// Panics where two attempts of one job ran at the same time.
+/// Panics if two attempts of a job ran at the same time.
 pub fn assert_one_attempt(run_records: &[RunRecord], now: u64) {
     let mut jobs: HashMap<&Name, BTreeMap<u32, (u64, u64)>> = HashMap::new();
     for r in run_records {
@@ -83,7 +83,8 @@
     }
 }
 
-/// Panics where tasks started in a failure domain that had been out for longer than the bound.
+/// Panics if tasks started in a failure domain that had been out of service for longer than
+/// [`START_BOUND`].
 pub fn assert_no_late_start(run_records: &[RunRecord], outages: &[Outage]) {
     let bound = START_BOUND.as_millis() as u64;
     for r in run_records.iter().filter(|r| r.fresh_start) {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Returns whether some attempt of `job` had all members finish.
+/// Returns whether all members finished in some attempt of `job`.
 pub fn has_finished(run_records: &[RunRecord], job: &Name) -> bool {
     gangs(run_records)
         .iter()
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -1,7 +1,7 @@
-//! A small event loop that runs the product's tables of entries and agents against a fake log,
-//! fake workers and a network that delays, drops, doubles and holds messages.
+//! A discrete-event simulation of a cluster: it runs the real state of entries and agents against a
+//! fake log, fake workers and a network that delays, drops, duplicates and holds back messages.
 //!
-//! Each test file uses a part of it, and none is a library.
+//! Each test file compiles this module for itself and uses only a part of it, hence the `allow`.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod checks;
@@ -36,35 +36,38 @@
 use worker::{Checkpoints, FakeWorker, RunRecord};
 
 const DOMAINS: usize = 2;
+/// Time after which an agent gives up a call to its worker.
 const WORKER_TIMEOUT_MS: u64 = 1_000;
 
-/// Silence after which the planner removes an entry; far sooner than the product does.
+/// Silence in milliseconds after which the planner removes an entry, much shorter than in the
+/// product.
 const ENTRY_REMOVAL_SILENCE_MS: u64 = 6_000;
 
-/// What fails, and comes back at the end of its time.
+/// A failure that lasts for a given time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// A process is killed; its successor starts at the end.
+    /// A process is killed and restarted at the end.
     Kill(usize),
-    /// A process is frozen and goes on at the end.
+    /// A process is frozen and resumes at the end.
     Freeze(usize),
-    /// A worker's host is lost with its agent.
+    /// A worker's host crashes, and its agent with it.
     KillHost(usize),
-    /// A worker's host is frozen with its agent.
+    /// A worker's host freezes, and its agent with it.
     FreezeHost(usize),
-    /// Only the worker is frozen.
+    /// Only the worker freezes; its agent runs on.
     FreezeWorker(usize),
-    /// A worker fails all it starts.
+    /// All tasks that a worker starts fail.
     BreakWorker(usize),
-    /// Messages between two processes are lost, or held until the end.
+    /// Two processes are disconnected. The flag says whether messages between them are held back
+    /// until the end instead of lost.
     Cut(usize, usize, bool),
     /// A process can't reach the log.
     CutLog(usize),
-    /// The log refuses everything.
+    /// The log refuses all reads and appends.
     LogDown,
-    /// The log's answers are lost, and appends take effect late or not at all.
+    /// The log's answers to appends are lost; the appends take effect at once, late or never.
     LogAnswersLost,
-    /// A failure domain is taken out and returned at the end.
+    /// A failure domain is taken out of service and returned at the end.
     Drain(usize),
 }
 
@@ -74,14 +77,16 @@
     Heartbeat(usize, u64),
     ReadLog(usize, u64),
     Deliver(usize, u64, Name, Box<Message>),
-    /// An agent's thread takes up a call.
+    /// A thread of an agent prepares a call to its worker.
     PrepareCall(usize, u64, WorkerCall),
-    /// It sends the call, with the time to live that it has reckoned.
+    /// The thread sends the call, with the time to live computed when it was prepared.
     SendCall(usize, u64, u64, Timestamp, WorkerCall, u64),
     CallArrives(usize, u64, u64, u64, Timestamp, WorkerCall, u64),
     CallAnswered(usize, u64, u64, Timestamp, WorkerCall, Box<Reply>),
     Append(usize, u64, Vec<(Name, String)>),
+    /// Records reach the log although the append was not answered.
     LateAppend(Vec<(Name, String)>),
+    /// The process gives up an append that was not answered.
     AppendTimeout(usize, u64, Name),
     Link(usize, usize),
     Fault(Fault),
@@ -123,7 +128,7 @@
     pub outages: Vec<Outage>,
     pub submitted: BTreeMap<Name, JobSpec>,
     pub trace: bool,
-    /// Whether some calls and messages are slow, and some answers of workers are lost.
+    /// Whether some calls and messages are slow and some answers of workers are lost.
     pub noise: bool,
 }
 
@@ -182,7 +187,7 @@
         world
     }
 
-    /// Runs until `until`.
+    /// Runs all events up to the time `until`.
     pub fn run(&mut self, until: u64) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied()
             && at <= until
@@ -220,7 +225,7 @@
             .collect()
     }
 
-    /// How a job ended, as the first live entry has it.
+    /// Returns how a job ended according to the first live entry.
     pub fn end(&self, job: &Name) -> Option<JobEnd> {
         let entry = self.nodes[..self.entries].iter().find(|n| n.alive)?;
         entry.ledger.jobs.ended(job)
@@ -230,14 +235,14 @@
         self.submitted.keys().all(|job| self.end(job).is_some())
     }
 
-    /// Runs until all submitted jobs have ended, or until `limit_ms`.
+    /// Runs until all submitted jobs have ended, but at most until the time `limit_ms`.
     pub fn run_to_end(&mut self, limit_ms: u64) {
         while self.now < limit_ms && !self.all_ended() {
             self.run(self.now + 100);
         }
     }
 
-    /// What must hold of the records whatever has failed.
+    /// Checks the invariants that hold for the run records whatever has failed.
     pub fn check_records(&self) {
         let run_records = self.run_records();
         checks::assert_one_attempt(&run_records, self.now);
@@ -249,7 +254,7 @@
         );
     }
 
-    /// The entries that hold a term, in their own eyes.
+    /// Returns the entries that consider themselves the planner.
     pub fn planners(&self) -> Vec<usize> {
         let holds = |n: &Node| match &n.table {
             RoleTable::Entry(table) => n.alive && table.term().is_some(),
@@ -299,7 +304,8 @@
         self.at(self.now + delay, event);
     }
 
-    /// The process that an event needs running; events of a frozen one wait until it goes on.
+    /// Returns the process and incarnation that handle an event. Events of a frozen process wait
+    /// until it resumes.
     fn owner(event: &Event) -> Option<(usize, u64)> {
         match event {
             Event::Tick(i, n) | Event::Heartbeat(i, n) | Event::ReadLog(i, n) => Some((*i, *n)),
@@ -433,7 +439,7 @@
         }
     }
 
-    /// Joins the list of entries where this one is not on it, and removes silent ones as planner.
+    /// Adds this entry to the membership if it is missing, and as planner removes silent entries.
     fn maintain_entries(&mut self, i: usize, fresh: bool) {
         let now = self.nodes[i].clock(self.now);
         let node = &self.nodes[i];
@@ -502,7 +508,7 @@
                 self.nodes[i].freshness.append_pending(now, true);
                 self.after(8_000, Event::AppendTimeout(i, incarnation, id.clone()));
             }
-            // It takes effect at once, late, or never.
+            // The append takes effect at once, late or never.
             match self.rng.random_range(0..3) {
                 0 => self.after(1, Event::LateAppend(records)),
                 1 => {
@@ -543,7 +549,7 @@
         self.push(data);
     }
 
-    /// Writes the document with the failure domains that are out now.
+    /// Writes the configuration with the failure domains that are out of service now.
     fn edit(&mut self) {
         let section = Section {
             owners: vec!["ops".into()],
@@ -570,7 +576,7 @@
             base: self.section_version,
             content: Some(RawSection::from(&section)),
         };
-        // A version is the offset after its edit.
+        // The version of a section is the offset after its last edit.
         self.section_version = self.log.len() as u64 + 1;
         self.append_as("ops", &RecordBody::Edit(edit));
     }
@@ -598,7 +604,7 @@
             );
         }
         let message = Message::Gang(outgoing.message);
-        // A link may break and come back, with the planner's next copy on it overtaking.
+        // After a reconnect a message may arrive twice and overtake an earlier one.
         if self.rng.random_ratio(1, 20) {
             self.send(from, to, message.clone(), false);
         }
@@ -679,7 +685,7 @@
         }
         self.next_call += 1;
         let id = self.next_call;
-        // The thread may lose its processor between the decision and the call.
+        // The thread may be preempted between the decision and the call.
         let delay = self.rng.random_range(0..40);
         self.after(delay, Event::SendCall(i, n, id, called_at, call, ttl));
     }
@@ -751,7 +757,7 @@
         self.nodes[b].link_up(self.now, peer_a);
     }
 
-    /// Whether each of the two is linked to the process that the other now is.
+    /// Returns whether both processes are linked to the current incarnation of the other.
     fn are_linked(&self, a: usize, b: usize) -> bool {
         let knows = |a: usize, b: usize| {
             let peer = self.nodes[a].roster.peer(&self.nodes[b].name);
@@ -843,7 +849,7 @@
                 *self.domains_out.entry(d).or_default() -= 1;
                 if self.domains_out[&d] == 0 {
                     let open = self.outages.iter_mut().rfind(|o| o.domain == d);
-                    open.expect("it was taken out").to = self.now;
+                    open.expect("the domain is out of service").to = self.now;
                     self.edit();
                 }
             }
@@ -855,7 +861,7 @@
             return;
         }
         for peer in 0..self.nodes.len() {
-            // A host that is lost closes no connection.
+            // A crashed host closes no connection.
             if closes_connections && peer != i && self.nodes[peer].alive {
                 self.unlink(i, peer);
             }
@@ -907,7 +913,7 @@
     }
 }
 
-/// A job of the only workspace that sleeps.
+/// Returns a job of the only workspace whose tasks sleep for `ms` milliseconds.
 pub fn sleep_job(tasks: u32, accelerators: u32, ms: u64) -> JobSpec {
     JobSpec {
         workspace: "murtal".into(),
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -1,4 +1,4 @@
-//! A process of the system without its threads and sockets: the product's own tables.
+//! An entry or agent of the product without its threads and sockets.
 
 use std::collections::HashMap;
 
@@ -32,15 +32,15 @@
     pub alive: bool,
     pub frozen: bool,
     pub log_cut: bool,
-    /// The node's clock is the world's plus this.
+    /// Offset of the node's clock from the simulated time, in milliseconds.
     offset: u64,
     pub ledger: Ledger,
     pub roster: Roster,
     pub freshness: Freshness,
     pub table: RoleTable,
-    /// Records of this process that are under way, and whether an answer was lost.
+    /// Appends of this process that are not yet on the log, and whether their answer was lost.
     pub pending: HashMap<Name, bool>,
-    /// What each peer has of the report: the change and the time of the last heartbeat.
+    /// The report last sent to each peer, and the time of the last heartbeat to it.
     sent: HashMap<Name, (Option<Report>, u64)>,
     change: u64,
 }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The same decision as `Context::is_fresh`.
+    /// Makes the same decision as `Context::is_fresh`.
     pub fn is_fresh(&self, now: u64) -> bool {
         if !self.ledger.is_whole() {
             return false;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the heartbeat for `peer`, where one is due.
+    /// Returns the heartbeat to `peer` if one is due.
     pub fn heartbeat(&mut self, now: u64, peer: &Name) -> Option<Heartbeat> {
         let at = self.clock(now);
         let report = self.report(at);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Folds records of the log and follows them, as the shells do.
+    /// Folds new records of the log and applies them, as the processes of the product do.
     pub fn read_log(&mut self, now: u64, records: &[LogRecord], outage: bool) {
         let reached = !outage && !self.log_cut;
         self.freshness.reached(reached);
--- a/dragonflyrun/tests/gang_world/worker.rs
+++ b/dragonflyrun/tests/gang_world/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: leases and timers on the world's clock, and a record of what ran when.
+//! A fake worker with leases and timers in simulated time that records what ran when.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
@@ -8,10 +8,10 @@
     utils::Name,
 };
 
-/// Progress saved by tasks, by job and member.
+/// Saved progress of tasks in milliseconds, by job and member.
 pub type Checkpoints = Rc<RefCell<HashMap<(Name, u32), u64>>>;
 
-/// A time in which the tasks of one member ran.
+/// A period in which the tasks of one member ran without interruption.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     pub job: Name,
@@ -19,7 +19,7 @@
     pub member: u32,
     pub members: u32,
     pub domain: usize,
-    /// When the start took effect; none where the tasks went on after the worker was frozen.
+    /// Whether the period began with a start, not with the end of a freeze of the worker.
     pub fresh_start: bool,
     pub start: u64,
     pub end: Option<u64>,
@@ -38,7 +38,7 @@
     tasks: StartTasks,
     started_at: u64,
     restored_ms: u64,
-    /// How much work it is, and whether it ends well.
+    /// The milliseconds of work, and whether the tasks succeed at its end.
     work: (u64, bool),
     record: usize,
 }
@@ -49,7 +49,7 @@
     pub accelerators: u32,
     pub alive: bool,
     pub frozen: bool,
-    /// Whether all tasks fail as soon as they are started.
+    /// Whether all tasks fail as soon as they start.
     pub broken: bool,
     pub epoch: u64,
     frozen_at: u64,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Lets leases lapse and tasks end up to `now`, each at its own time.
+    /// Lapses the leases and ends the tasks that are due up to `now`, each at its own time.
     pub fn advance(&mut self, now: u64) {
         if self.frozen || !self.alive {
             return;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Goes on; what has lapsed in between does not.
+    /// Resumes the tasks whose leases have not lapsed during the freeze.
     pub fn thaw(&mut self, now: u64) {
         self.frozen = false;
         let gap = now - self.frozen_at;
@@ -241,7 +241,7 @@
             job: tasks.job.clone(),
             attempt: tasks.attempt,
             member: tasks.member,
-            members: LeaseName::parse(name).expect("a lease of ours").members,
+            members: LeaseName::parse(name).expect("a valid lease name").members,
             domain,
             fresh_start: true,
             start: now,
@@ -314,16 +314,16 @@
     }
 }
 
-/// Returns how much work the tasks are, and whether they end well.
+/// Returns the milliseconds of work of the tasks, and whether they succeed.
 fn work(tasks: &StartTasks) -> (u64, bool) {
     let (verb, ms) = tasks
         .program
         .split_once(':')
-        .expect("a program with a time");
+        .expect("a program of the form verb:milliseconds");
     let ms: u64 = ms.parse().expect("milliseconds");
     match verb {
         "sleep" => (ms, true),
-        // Each member has more to do than the one before it.
+        // Each member has more work than the one before it.
         "stagger" => (ms * u64::from(1 + 10 * tasks.member), true),
         _ => (ms, false),
     }
--- a/dragonflyrun/tests/guarantee_reclaim.rs
+++ b/dragonflyrun/tests/guarantee_reclaim.rs
@@ -1,4 +1,4 @@
-//! Every guaranteed shape can be reclaimed at every step, while others are using it.
+//! At each step every guaranteed shape can be reclaimed while other workspaces use it.
 
 #[path = "common/exhaustive.rs"]
 mod exhaustive;
@@ -14,22 +14,22 @@
 };
 use exhaustive::{FreeWorker, all_fit, is_adjacent};
 
-/// By then a member that does not answer has lost its lease for certain.
+/// Time after which a member that doesn't answer has certainly lost its lease.
 const STOP_BOUND: Duration = Duration::from_secs(6);
 
-/// The planner asks for decisions so often.
+/// Interval at which the planner asks the scheduler for decisions.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Within this time an owner has its shape: a stop that was under way has lapsed, one that it
-/// caused has lapsed, and the scheduler was asked once after each.
+/// Time within which an owner gets its shape: a stop already in progress lapses, then a stop that
+/// the owner caused, and the scheduler is asked once after each.
 const RECLAIM_BOUND: Duration = Duration::from_secs(14);
 
-/// The clock while an owner waits moves on by this.
+/// Step of the clock while an owner waits.
 const RECLAIM_TICK: Duration = Duration::from_secs(1);
 
 const DEFAULT_SEEDS: u64 = 200;
 
-/// The least input of one run; each event takes a few bytes.
+/// Smallest input of one run in bytes; each event takes a few of them.
 const MIN_INPUT_BYTES: u64 = 96;
 
 const ADJACENCIES: [Adjacency; 4] = [
@@ -39,7 +39,7 @@
     Adjacency::Worker,
 ];
 
-/// A planner that carries out decisions, with workers that may not answer.
+/// A model of a planner that carries out decisions and of workers that may not answer.
 #[derive(Clone)]
 struct Cluster {
     now: Timestamp,
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 struct Job {
     live: LiveJob,
-    /// When its stop is certain, where it is being stopped.
+    /// Time at which its stop is certain, while it is being stopped.
     stopped: Option<Timestamp>,
     evicted: bool,
 }
@@ -99,7 +99,7 @@
         self.scheduler.configure(&version);
     }
 
-    /// Lets anything happen that may happen.
+    /// Applies a random event to the cluster.
     fn random_event(&mut self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         match u.int_in_range(0..=9)? {
             0 => self.drain_or_return(u)?,
@@ -148,7 +148,7 @@
             return Ok(());
         }
         self.scheduler.worker_down(self.now, &worker.name);
-        // The planner stops the rest of each gang that has lost a member.
+        // The planner stops the remaining members of each gang that lost one.
         for job in self.jobs.values_mut() {
             if job.live.placements.iter().any(|p| p.worker == worker.name) {
                 job.stopped.get_or_insert(self.now + STOP_BOUND);
@@ -180,7 +180,7 @@
         job
     }
 
-    /// Confirms the stops that are due and carries out decisions; returns the evicted jobs.
+    /// Confirms due stops, carries out the decisions of the scheduler and returns the evicted jobs.
     fn step(&mut self) -> Vec<JobId> {
         for job in self.jobs.values_mut() {
             if job.stopped.is_some_and(|at| at <= self.now) {
@@ -199,7 +199,7 @@
                     let evictee = self.jobs.get_mut(&job).expect("the job is known");
                     assert!(!evictee.evicted, "{job} was evicted twice");
                     evictee.evicted = true;
-                    // It may be stopping already, because it has lost a member.
+                    // The job may already be stopping because it lost a member.
                     evictee.stopped.get_or_insert(self.now + STOP_BOUND);
                     if for_job.is_some() {
                         self.check_borrower(&before, &job);
@@ -215,8 +215,8 @@
         evicted
     }
 
-    /// A job inside its workspace's guarantees makes way for nobody. A protected one lies outside;
-    /// it makes way when an edit adds a guarantee.
+    /// Checks that no job inside its workspace's guarantees is evicted for another job. A protected
+    /// job lies outside them and may be evicted when an edit adds a guarantee.
     fn check_borrower(&self, before: &Scheduler, job: &JobId) {
         let unmet_before = !before.unmet().is_empty() || !self.scheduler.unmet().is_empty();
         assert!(
@@ -277,8 +277,9 @@
         }
     }
 
-    /// Each guarantee is free, held by its owner, or to be had by evicting borrowers alone; or
-    /// the hardware does not permit all of them, which every way of placing them confirms.
+    /// Checks that each guarantee is free, used by its owner, or can be vacated by evicting
+    /// borrowers only. If some guarantee is unmet, an exhaustive search has to confirm that the
+    /// hardware can't meet all of them.
     fn check(&self) {
         let allotments = self.scheduler.allotments();
         for worker in &self.workers {
@@ -308,7 +309,7 @@
                 );
                 *left -= held;
             }
-            assert!(taken <= worker.accelerators, "{worker:?} is promised twice");
+            assert!(taken <= worker.accelerators, "{worker:?} is allotted twice");
         }
         for a in allotments
             .iter()
@@ -356,14 +357,14 @@
         );
     }
 
-    /// The owner of a guarantee that is not in use asks for its shape, and no borrower's worker
-    /// answers.
+    /// Checks that the owner of an unused guarantee gets its shape in time although no borrower's
+    /// worker answers.
     fn check_reclaim(&self, u: &mut Unstructured<'_>) -> arbitrary::Result<()> {
         let allotments = self.scheduler.allotments().into_iter();
         let unused: Vec<_> = allotments
             .filter(|a| !a.held && !a.placements.is_empty())
             .collect();
-        // Where the hardware does not permit all guarantees, owners take turns.
+        // If the hardware can't meet all guarantees, owners take turns.
         if unused.is_empty() || !self.scheduler.unmet().is_empty() {
             return Ok(());
         }
@@ -382,7 +383,7 @@
             }
             cluster.now = cluster.now + RECLAIM_TICK;
         }
-        // Another job of the workspace may have taken it first.
+        // Another job of the workspace may have used the guarantee first.
         let unused = |c: &Self| {
             let allotments = c.scheduler.allotments().into_iter();
             let same = allotments.filter(|a| {
@@ -392,7 +393,7 @@
         };
         assert!(
             unused(&cluster) < unused(self),
-            "{guarantee:?} was not given back in time"
+            "{guarantee:?} was not reclaimed in time"
         );
         Ok(())
     }
@@ -442,10 +443,9 @@
     })
 }
 
-/// Jobs of all workspaces come and go on all accelerators, operators edit guarantees and take
-/// failure domains out, workers are lost and return. An owner who then asks for its shape finds
-/// it taken for good where the scheduler has let two promises rest on the same accelerators, or
-/// a job that can't be evicted rest on them.
+/// Jobs come and go, operators edit guarantees and drain failure domains, and workers are lost and
+/// return. Guards against two guarantees on the same accelerators, or a job there that can't be
+/// evicted: an owner who asks for its shape would not get it.
 #[test]
 fn always_reclaimable() {
     for seed in 0..seeds() {
@@ -466,7 +466,8 @@
     }
 }
 
-/// `DRAGONFLYRUN_SEEDS=10000 cargo test --release --test guarantee_reclaim` runs many more.
+/// Returns the number of seeds, which an environment variable can raise:
+/// `DRAGONFLYRUN_SEEDS=10000 cargo test --release --test guarantee_reclaim`.
 fn seeds() -> u64 {
     let seeds = env::var("DRAGONFLYRUN_SEEDS").ok();
     seeds.map_or(DEFAULT_SEEDS, |s| s.parse().expect("a count"))
--- a/dragonflyrun/tests/impossible_jobs.rs
+++ b/dragonflyrun/tests/impossible_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that no set of workers can ever hold.
+//! Refusal of jobs that no set of workers can hold.
 
 mod gang_world;
 
@@ -6,11 +6,11 @@
 
 use gang_world::{World, node::RoleTable, sleep_job};
 
-/// Time after which the entries know all workers.
+/// Simulated time in milliseconds by which all entries know all workers.
 const WORKERS_KNOWN_MS: u64 = 12_000;
 
-/// A user submits a job that no set of workers holds, at an entry that is not planner. Were it
-/// accepted there, the user would wait for a job that never runs.
+/// An impossible job is submitted at an entry that isn't the planner. Guards against accepting it
+/// there, so that the user waits for a job that never runs.
 #[test]
 fn refused_everywhere() {
     let mut world = World::new(1, 3, 4);
--- a/dragonflyrun/tests/job_policy.rs
+++ b/dragonflyrun/tests/job_policy.rs
@@ -1,4 +1,4 @@
-//! What the scheduler does in one situation at a time.
+//! Decisions of the scheduler, one situation per test.
 
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Two workers, one in each failure domain.
+/// Returns a scheduler that knows two workers, one in each failure domain.
 fn scheduler() -> Scheduler {
     let mut scheduler = Scheduler::new();
     scheduler.configure(&version(&[]));
@@ -76,8 +76,8 @@
     starts.collect()
 }
 
-/// A worker's driver hangs, and whatever starts there fails at once. The worker is always free, so
-/// every job is sent there and fails; users see jobs that never get on.
+/// A worker's driver hangs and every start there fails at once, so that the worker is always free.
+/// Guards against placing one job after the other there, none of which makes progress.
 #[test]
 fn failing_worker() {
     let mut scheduler = scheduler();
@@ -98,19 +98,21 @@
         1,
         "only the other worker is used"
     );
-    // After the quarantine it is given a start as a probe; one failure sets it aside again.
+    // After the quarantine the worker gets one start as a probe, and a failure quarantines it
+    // again.
     assert_eq!(started(&scheduler.decide(at(74))).len(), 1);
     scheduler.start_failed(at(75), &failing);
     scheduler.job_waits(at(75), &job(2, Urgency::Normal, 1, 8));
     assert!(scheduler.decide(at(75)).is_empty());
     assert!(
         scheduler.decide(at(140)).is_empty(),
-        "the second wait is longer"
+        "the second quarantine is longer"
     );
     assert_eq!(started(&scheduler.decide(at(196))).len(), 1);
 }
 
-/// Patient, normal and urgent jobs wait for the same accelerators, and later ones are urgent.
+/// Patient, normal and urgent jobs wait for the same accelerators, the urgent one being the last.
+/// Guards against starts in the order of arrival alone.
 #[test]
 fn urgent_first() {
     let mut scheduler = scheduler();
@@ -123,7 +125,8 @@
     assert_eq!(order, expected);
 }
 
-/// A workspace asks for more at once than its quota.
+/// Jobs of a workspace together need more than its quota. Guards against starts beyond the quota,
+/// and against accepting a job that exceeds it alone.
 #[test]
 fn quota_limit() {
     let mut scheduler = scheduler();
@@ -145,8 +148,8 @@
     );
 }
 
-/// Operators take a failure domain out while a gang runs across both. The gang is evicted whole,
-/// and nothing starts in the failure domain until it returns.
+/// Operators take a failure domain out of service while a gang runs across both. Guards against a
+/// gang that isn't evicted as a whole, and against starts in the domain before it returns.
 #[test]
 fn drained_domain() {
     let mut scheduler = scheduler();
@@ -172,12 +175,14 @@
     assert_eq!(
         started(&scheduler.decide(at(30))).len(),
         1,
-        "the gang goes on"
+        "the gang starts again"
     );
 }
 
-/// A job asks for a shape that no worker could ever hold. An entry that has just started knows too
-/// few workers to say so; then it refuses at once, and ends such jobs that were let in.
+/// A job asks for a shape that the workers can't hold. An entry that has just started knows too few
+/// workers to tell and accepts it; later it refuses such jobs at once and ends those it accepted.
+/// Guards against jobs that wait forever, and against ending a job because a worker isn't known
+/// yet.
 #[test]
 fn impossible_shapes() {
     let mut scheduler = Scheduler::new();
@@ -196,15 +201,15 @@
         scheduler.check_possible(&job(2, Urgency::Normal, 1, 9).spec),
         Err(ImpossibleReason::TaskTooLarge)
     );
-    // A worker that is down, or out of service, counts: it may return.
+    // Workers that are down or out of service count as well, since they may return.
     scheduler.worker_up(at(11), worker("l", "leoben"));
     scheduler.worker_down(at(12), &"l".into());
     scheduler.decide(at(20));
     assert_eq!(scheduler.check_possible(&gang.spec), Ok(()));
 }
 
-/// A planner is lost and another takes over. It reads from the log where gangs run before it has
-/// heard their workers; if it took the accelerators for free it would give them away twice.
+/// A new planner reads from the log where gangs run before their workers have reported. Guards
+/// against placing another job on the accelerators that these gangs hold.
 #[test]
 fn planner_takes_over() {
     let mut scheduler = Scheduler::new();
@@ -223,8 +228,8 @@
     assert_eq!(started(&scheduler.decide(at(2))).len(), 1);
 }
 
-/// Small jobs fill each hole as it appears, and a gang that needs whole workers would wait for as
-/// long as they come. Once it has waited it gets room: younger small jobs make way.
+/// Small jobs take all accelerators that become free while a gang waits for whole workers. Guards
+/// against starving the gang: after a while younger small jobs are evicted for it.
 #[test]
 fn large_gang_ages() {
     let mut scheduler = scheduler();
--- a/dragonflyrun/tests/job_table.rs
+++ b/dragonflyrun/tests/job_table.rs
@@ -1,4 +1,4 @@
-//! The fold of the records on jobs: records that are late, doubled or about something else.
+//! The fold of job records that are late, duplicated or about another attempt.
 
 use dragonflyrun::{
     connection::{Carried, JobEnd, Placement, RecordBody},
@@ -72,8 +72,9 @@
     table.live(&job()).expect("the job is live")
 }
 
-/// The start of an attempt that its planner had given up reaches the log after that of a later
-/// one. Were it folded, the agents of the later attempt would refuse to start or to go on.
+/// The start record of an attempt that its planner has given up reaches the log after that of a
+/// later attempt. Guards against folding it, after which the agents of the later attempt would
+/// refuse to start or continue.
 #[test]
 fn late_start() {
     let table = table(&[accepted(), started(2, "worker-1"), started(1, "worker-0")]);
@@ -88,14 +89,15 @@
     assert!(!live(&table).may_start(&gang(2), &"worker-0".into()));
 }
 
-/// A second start would place the job twice while the first attempt still runs.
+/// A second start is recorded while the first attempt is placed. Guards against two attempts that
+/// run at the same time.
 #[test]
 fn placed_once() {
     let table = table(&[accepted(), started(1, "worker-0"), started(2, "worker-1")]);
     assert_eq!(live(&table).attempt, 1);
 }
 
-/// A stop that is read a second time must not end the next attempt, nor count as a second failure.
+/// A stop is read twice. Guards against ending the next attempt by it, or counting two failures.
 #[test]
 fn stop_counts_once() {
     let table = table(&[
@@ -111,7 +113,7 @@
     assert!(live(&table).checkpointed);
 }
 
-/// Nothing may start under an attempt whose leases are no longer renewed.
+/// An attempt is fenced, so that its leases are no longer renewed. Guards against a start under it.
 #[test]
 fn fenced_attempt() {
     let fenced = RecordBody::JobFenced {
@@ -128,8 +130,8 @@
     assert!(live(&table).may_start(&gang, &"worker-0".into()));
 }
 
-/// A submitter whose answer was lost asks again after its job has ended: it must not run twice.
-/// The name becomes free after so many records that every process agrees on it.
+/// A submitter whose answer was lost submits again after the job has ended. Guards against a second
+/// run. The name can be reused after a number of records, so that all processes agree on it.
 #[test]
 fn ended_job() {
     let mut table = table(&[accepted(), ended(), accepted()]);
@@ -139,7 +141,8 @@
     assert!(table.live(&job()).is_some());
 }
 
-/// A repeated state was read before a cancellation and written after it.
+/// A repeated job state was read before a cancellation and written after it. Guards against folding
+/// it over the newer state.
 #[test]
 fn stale_repeat() {
     let mut table = table(&[accepted()]);
@@ -153,7 +156,7 @@
     table.fold(2, &RecordBody::JobCancelled { job: job() });
     table.fold(3, &repeated(&before));
     assert!(live(&table).cancelled);
-    // A process that begins here takes the older one, and then the newer one that follows.
+    // A process that starts reading here takes the old state, and then the newer one that follows.
     let mut late = JobTable::default();
     late.fold(3, &repeated(&before));
     assert!(!live(&late).cancelled);
--- a/dragonflyrun/tests/measure_bounds.rs
+++ b/dragonflyrun/tests/measure_bounds.rs
@@ -1,7 +1,7 @@
-//! The seeded figures of the policy stay within bounds.
+//! The measures of the policy stay within bounds for fixed seeds.
 //!
-//! The bounds and the run that they come from stand in `benches/data/bounds.json`. A change that
-//! breaks one is either a fault, or an improvement elsewhere that its commit has to weigh.
+//! `benches/data/bounds.json` holds the bounds and names the run that they were derived from. A
+//! change that breaks a bound is either a regression or a trade-off that its commit has to justify.
 
 #[path = "../benches/measures/simulation/mod.rs"]
 mod simulation;
@@ -15,33 +15,33 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Bounds {
-    /// The run that the bounds come from.
+    /// The run that the bounds were derived from.
     run: String,
     deployments: Vec<DeploymentBounds>,
 }
 
-/// Bounds on the figures of one seed.
+/// Bounds on the measures of one workload and seed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DeploymentBounds {
     workload: String,
     seed: u64,
-    /// The large jobs' 99th percentile over that of the naive policy.
+    /// Upper bound on the 99th percentile of large jobs, relative to the naive policy.
     large_p99_over_naive: f64,
-    /// The fragmentation over that of the naive policy.
+    /// Upper bound on fragmentation, relative to the naive policy.
     fragmentation_over_naive: f64,
-    /// The urgent jobs' 99th percentile over that of the naive policy.
+    /// Upper bound on the 99th percentile of urgent jobs, relative to the naive policy.
     urgent_p99_over_naive: f64,
-    /// The share of the work that the remaining capacity allowed during a drain.
+    /// Lower bound on the share of the work that the remaining capacity allowed during a drain.
     drain_share: f64,
-    /// Owners that waited longer than the bound on a reclaim.
+    /// Upper bound on the owners that waited longer than the reclaim bound.
     violations: u32,
     evictions: u32,
 }
 
 fn check_bounds(name: &str) {
     let data = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("benches/data");
-    let read = |file: &str| fs::read_to_string(data.join(file)).expect("the file is there");
+    let read = |file: &str| fs::read_to_string(data.join(file)).expect("the file can be read");
     let bounds: Bounds = serde_json::from_str(&read("bounds.json")).expect("bounds are valid");
     let bound = bounds.deployments.iter().find(|b| b.workload == name);
     let bound = bound.expect("the workload has bounds");
@@ -65,15 +65,16 @@
     assert!(figures.evictions <= bound.evictions);
 }
 
-/// Small jobs and large ones come in bursts, a failure domain leaves and returns, workers fail and
-/// the log is out twice. Where the policy gets worse, large reconstructions starve behind small
-/// jobs, checks wait, or an owner does not get its shape back.
+/// Small and large jobs arrive in bursts, a failure domain is out for a while, workers fail and the
+/// log has two outages. Guards against a policy that starves large reconstructions behind small
+/// jobs, delays checks, or doesn't return a guaranteed shape to its owner in time.
 #[test]
 fn murtal_figures() {
     check_bounds("murtal");
 }
 
-/// The same at the other deployment, where bursts are shorter and a failure domain is out longer.
+/// The same for the other deployment, with shorter bursts and a longer outage of the failure
+/// domain.
 #[test]
 fn prairie_pour_figures() {
     check_bounds("prairie-pour");
--- a/dragonflyrun/tests/owner_ring.rs
+++ b/dragonflyrun/tests/owner_ring.rs
@@ -1,4 +1,4 @@
-//! Which agents own keys, as the planner puts it on the log.
+//! The ring of agents that own keys, which the planner records on the log.
 
 mod gang_world;
 
@@ -6,16 +6,16 @@
 
 const AGENTS: usize = 4;
 
-/// Time after which the first owners are on the log.
+/// Simulated time in milliseconds by which the first ring is on the log.
 const RING_READY_MS: u64 = 12_000;
 
 fn owners(world: &World) -> usize {
     world.nodes[0].ledger.membership.ring().len()
 }
 
-/// A worker does not answer for a minute, while the agent beside it is well. Were the agent taken
-/// off the owners of keys for that, callers who repeat a booking would be told for ten minutes that its
-/// outcome is unknown; and a deployment without workers would have no owners at all.
+/// A worker doesn't answer for a minute while its agent is healthy. Guards against removing the
+/// agent from the ring: callers who repeat a booking would get an unknown outcome for ten minutes,
+/// and a deployment without workers would have no owners at all.
 #[test]
 fn worker_silent() {
     let mut world = World::new(1, 3, AGENTS);
@@ -28,8 +28,8 @@
     }
 }
 
-/// An agent's host is lost. Its keys go to the others after some seconds, or bookings with those
-/// keys could not be made any more.
+/// An agent is killed. Guards against keys that stay with it: bookings with these keys would fail
+/// until other agents own them, which takes some seconds.
 #[test]
 fn host_lost() {
     let mut world = World::new(2, 3, AGENTS);
--- a/dragonflyrun/tests/peer_roster.rs
+++ b/dragonflyrun/tests/peer_roster.rs
@@ -1,4 +1,4 @@
-//! What a process knows of its peers, and which of them get work.
+//! What a process knows of its peers, and which agents get work.
 
 use std::time::Duration;
 
@@ -83,8 +83,8 @@
     roster.is_live(now, &Name::from("worker-1"))
 }
 
-/// An agent is frozen: its link stays up, since the kernel still answers, and nothing is heard.
-/// Requests sent to it would wait until their deadline.
+/// An agent is frozen: it sends no heartbeats, but its link stays up because the kernel still
+/// answers. Guards against sending it requests, which would wait until their deadline.
 #[test]
 fn silent_peer() {
     let roster = roster_with(Some(full_report(false)));
@@ -98,8 +98,8 @@
     assert!(!live(&roster_with(Some(full_report(true))), at(100)));
 }
 
-/// An agent dies and its successor links before the old link has ended. The late end of the old
-/// link must not take the successor out of work.
+/// An agent dies and its successor connects before the old link has closed. Guards against a late
+/// close of the old link that takes the successor out of work.
 #[test]
 fn successor_stays() {
     let mut roster = roster_with(Some(full_report(false)));
@@ -110,8 +110,8 @@
     assert!(!live(&roster, at(300)));
 }
 
-/// This process was frozen for ten seconds and reads a heartbeat that waited in its buffer. The
-/// peer may be dead by now; only the echo tells how old the sign of life is.
+/// This process was frozen for ten seconds and reads a heartbeat from its receive buffer. The peer
+/// may be dead by now. Guards against treating the heartbeat as new; only its echo tells its age.
 #[test]
 fn buffered_heartbeat() {
     let mut roster = roster_with(None);
@@ -120,7 +120,7 @@
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(50)));
     roster.heard(at(10_200), &name, heartbeat(Some(10_150), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
-    // Heartbeats that were overtaken, or echo a clock that is not ours, prove nothing new.
+    // A heartbeat that was overtaken or echoes another clock doesn't change the confirmed time.
     roster.heard(at(10_300), &name, heartbeat(Some(60), None));
     roster.heard(at(10_300), &name, heartbeat(Some(99_999), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
@@ -136,7 +136,7 @@
     let (_, report) = roster.agents(at(300)).next().unwrap();
     assert_eq!(report.backends, [backend(3)]);
     assert_eq!(report.members.len(), 1);
-    // A part without the whole before it says too little to give the agent work.
+    // A partial report without a full one before it isn't enough to give the agent work.
     let only_part = roster_with(Some(part));
     assert_eq!(only_part.agents(at(200)).count(), 0);
 }
--- a/dragonflyrun/tests/placement_naive.rs
+++ b/dragonflyrun/tests/placement_naive.rs
@@ -1,4 +1,4 @@
-//! Best fit by the index finds room wherever a look at every worker finds it.
+//! The indexed best-fit placement finds free accelerators whenever a scan of all workers does.
 
 mod seeds;
 
@@ -68,7 +68,7 @@
     fn submit_or_end(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if u.ratio(2, 5)? && !self.jobs.is_empty() {
             let at = u.choose_index(self.jobs.len())?;
-            let job = self.jobs.keys().nth(at).cloned().expect("it is there");
+            let job = self.jobs.keys().nth(at).cloned().expect("the job is known");
             self.jobs.remove(&job);
             self.scheduler.job_gone(self.now, &job);
             return Ok(());
@@ -116,7 +116,7 @@
             spec.tasks,
             "{placements:?} for {spec:?}"
         );
-        self.jobs.get_mut(job).expect("it is there").placements = placements;
+        self.jobs.get_mut(job).expect("the job is known").placements = placements;
     }
 
     fn free(&self) -> Vec<(&WorkerInfo, u32)> {
@@ -134,7 +134,8 @@
     }
 }
 
-/// Returns the most tasks of `spec` that fit near enough to each other, by a look at all workers.
+/// Returns the maximum number of tasks of `spec` that fit within its adjacency, by a scan of all
+/// workers.
 fn max_tasks(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> u32 {
     let adjacent = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
         Adjacency::Any => true,
@@ -149,8 +150,8 @@
     free.iter().map(|(a, _)| around(a)).max().unwrap_or(0)
 }
 
-/// Jobs come and go without guarantees among them. Where the index were wrong after some change,
-/// a job would wait although there is room for it, or be started where there is none.
+/// Jobs without guarantees come and go. Guards against an index that is wrong after a change, so
+/// that a job waits although it fits, or starts on accelerators that aren't free.
 #[test]
 fn free_slots_found() {
     seeds::each_seed(200, 512, |u| {
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -1,5 +1,5 @@
-//! The log drops old records: a process that begins in the middle knows all the same what one that
-//! has read everything knows.
+//! The log drops old records, and a process that starts reading in the middle still learns the same
+//! state as one that has read all records.
 
 use arbtest::{
     arbitrary::{Result, Unstructured},
@@ -23,16 +23,16 @@
 
 const SEEDS: u64 = 8;
 
-/// Records that the log keeps, at the least.
+/// Minimum number of records that the log keeps.
 const KEPT_RECORDS: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
 
-/// A planner's entry with a log in memory.
+/// The entry that is planner, with a log in memory.
 struct Planner {
     now: u64,
     log: Vec<Record>,
     ledger: Ledger,
     table: GangTable,
-    /// Records on their way to the log: others may overtake them.
+    /// Records that are being appended; others may reach the log before them.
     queued: Vec<Record>,
     number: u64,
 }
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Something that happens to a job or the membership.
+    /// Appends a random record on a job, the membership or the configuration.
     fn random_event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let term = self.ledger.membership.term();
         let known = live_jobs(&self.ledger);
@@ -157,7 +157,7 @@
                 self.edit();
                 return Ok(());
             }
-            // Others write to the log too.
+            // An unrelated record of another author.
             _ => RecordBody::EntryLeft {
                 entry: "nobody".into(),
             },
@@ -229,7 +229,7 @@
             planner.random_event(u)?;
         }
     }
-    // What was read before the last change is repeated at once.
+    // A repeat that was read before the last change of its item is repeated again at once.
     for _ in 0..5 {
         planner.tick(&mut Unstructured::new(&[0xff; 64]))?;
     }
@@ -241,7 +241,7 @@
         fold(&mut late, &planner.log, offset);
     }
     late.reached_head();
-    assert!(late.is_whole(), "nothing told who is planner");
+    assert!(late.is_whole(), "no record named the planner");
     assert_eq!(
         late.membership.carried(),
         planner.ledger.membership.carried()
@@ -255,8 +255,8 @@
     Ok(())
 }
 
-/// The log has dropped what an entry that starts today would need to know of a job that was
-/// accepted last week. A user would notice a job that is never run, or one that runs again.
+/// The log has dropped the records of a job that was accepted long before an entry starts. Guards
+/// against an entry that doesn't know the job, so that it never runs or runs again.
 #[test]
 fn late_reader() {
     for seed in 1..=SEEDS {
@@ -264,8 +264,8 @@
     }
 }
 
-/// The log has been used for something else before the system is installed, so its first record
-/// is long gone. A user would notice that the system never takes a job.
+/// The log was used before the system was installed, and its first records are dropped. Guards
+/// against a system that waits for them and never accepts a job.
 #[test]
 fn new_deployment() {
     let mut ledger = Ledger::default();
@@ -275,8 +275,8 @@
     assert!(ledger.is_whole());
 }
 
-/// A process was frozen for longer than the log keeps its records. It holds a job that has ended in
-/// between, and would run it again.
+/// A process was frozen for longer than the log keeps records, and a job that it knows has ended
+/// meanwhile. Guards against running this job again.
 #[test]
 fn gap_clears_jobs() {
     let mut planner = Planner::new();
--- a/dragonflyrun/tests/seeds/mod.rs
+++ b/dragonflyrun/tests/seeds/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a property over the same cases in each run, so that its verdict does not change.
+//! Runs a property on the same inputs each time, so that its result is reproducible.
 
 use arbtest::{
     arbitrary::{Result, Unstructured},
