--- a/dragonflyrun/benches/costs.rs
+++ b/dragonflyrun/benches/costs.rs
@@ -1,9 +1,9 @@
-//! Measures what one decision of the scheduler costs at several sizes of the cluster:
+//! Measures the time of one scheduler decision at several cluster sizes:
 //! `cargo bench --bench costs`.
 //!
-//! Workers have 8 accelerators and stand three to a rack, in 3 failure domains up to 110 workers
-//! and 20 beyond. Half of them are in use by jobs that borrow, and 160 workspaces hold
-//! guarantees on a third.
+//! Workers have 8 accelerators each. A rack has three workers; clusters of up to 110 workers have 3
+//! failure domains, larger ones 20. Borrowing jobs run on half of the workers, and 160 workspaces
+//! have guarantees on a third of them.
 
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
 const ACCELERATORS: u32 = 8;
 const WORKSPACES: u32 = 160;
 
-/// Long after the workers have come up.
+/// A time long after the workers have reported for the first time.
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 fn main() {
     divan::main();
 }
 
-/// A gang of 8 tasks with one accelerator each that starts in one rack, and ends.
+/// Starts and ends a gang of 8 tasks with one accelerator each in one rack.
 #[divan::bench(args = SIZES)]
 fn place_gang_of_8(bencher: Bencher<'_, '_>, workers: u32) {
     let mut cluster = Cluster::new(workers);
@@ -33,7 +33,7 @@
     bencher.bench_local(|| cluster.start_and_end(&spec));
 }
 
-/// A gang of 256 tasks with one accelerator each that starts anywhere, and ends.
+/// Starts and ends a gang of 256 tasks with one accelerator each on any workers.
 #[divan::bench(args = &SIZES[1..])]
 fn place_gang_of_256(bencher: Bencher<'_, '_>, workers: u32) {
     let mut cluster = Cluster::new(workers);
@@ -41,7 +41,7 @@
     bencher.bench_local(|| cluster.start_and_end(&spec));
 }
 
-/// A gang of two whole workers that finds no room and may evict nobody.
+/// Fails to place a gang of two whole workers that may evict no job.
 #[divan::bench(args = SIZES)]
 fn fail_to_place(bencher: Bencher<'_, '_>, workers: u32) {
     let mut cluster = Cluster::new(workers);
@@ -55,8 +55,8 @@
     });
 }
 
-/// An owner's guaranteed 2 whole workers in a rack, all of them in use by borrowers: what is
-/// evicted stops, the owner starts and ends, and the borrowers start again.
+/// Reclaims a guarantee of two whole workers in a rack that borrowers use: the evicted jobs stop,
+/// the owner's job starts and ends, and the borrowers start again.
 #[divan::bench(args = SIZES)]
 fn reclaim_guarantee(bencher: Bencher<'_, '_>, workers: u32) {
     let mut cluster = Cluster::new(workers);
@@ -68,7 +68,7 @@
     bencher.bench_local(|| cluster.reclaim(&spec));
 }
 
-/// One worker is lost and returns; the allotments on it move.
+/// Loses a worker, so that the allotments on it move, and adds it again.
 #[divan::bench(args = SIZES)]
 fn lose_worker(bencher: Bencher<'_, '_>, workers: u32) {
     let mut cluster = Cluster::new(workers);
@@ -109,7 +109,7 @@
         cluster
     }
 
-    /// Lets borrowers use all that is free.
+    /// Fills all free accelerators with borrowing jobs.
     fn fill(&mut self) {
         for accelerators in [8, 4, 2, 1] {
             while self.run(&spec(1, accelerators, Adjacency::Worker)) {}
@@ -127,7 +127,7 @@
         self.scheduler.job_gone(NOW, &self.last_job.job);
     }
 
-    /// Starts a job that goes on; returns whether it has started.
+    /// Submits a job that keeps running, and returns whether it has started.
     fn run(&mut self, spec: &JobSpec) -> bool {
         self.submit(spec);
         let started = self.scheduler.decide(NOW).len() == 1;
@@ -139,7 +139,7 @@
 
     fn start_and_end(&mut self, spec: &JobSpec) {
         self.submit(spec);
-        assert_eq!(self.scheduler.decide(NOW).len(), 1, "it has started");
+        assert_eq!(self.scheduler.decide(NOW).len(), 1, "the job should start");
         self.end();
     }
 
@@ -154,7 +154,8 @@
         assert!(!evicted.is_empty());
         for job in evicted {
             let stopped = self.running.iter().find(|j| j.job == job);
-            self.scheduler.job_waits(NOW, stopped.expect("it runs"));
+            self.scheduler
+                .job_waits(NOW, stopped.expect("the job is running"));
         }
         let started = self.scheduler.decide(NOW);
         assert!(matches!(&started[0], Decision::Start { job, .. } if *job == self.last_job.job));
@@ -166,7 +167,7 @@
 fn evicted(decision: Decision) -> JobId {
     match decision {
         Decision::Evict { job, .. } => job,
-        other => panic!("{other:?} is no eviction"),
+        other => panic!("expected an eviction, not {other:?}"),
     }
 }
 
@@ -210,7 +211,7 @@
         region: None,
         in_service: true,
     };
-    // Each guarantee is two workers; together they are a third of all.
+    // Each guarantee covers two workers; together they cover a third of all workers.
     let promised = (workers / 6).max(1);
     let workspace = |number: u32| {
         let guarantee = Guarantee {
--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -1,8 +1,8 @@
-//! Measures what gangs cost an entry and an agent, by workers and by the size of the gangs, for
-//! `docs/CAPACITY.md`.
+//! Measures the time that gangs take in an entry and an agent, by number of workers and gang size,
+//! for `docs/CAPACITY.md`.
 //!
-//! Run with `cargo bench --bench gang_costs`. Times are the least of several runs, since anything
-//! else on the machine can only add to them.
+//! Run with `cargo bench --bench gang_costs`. Each time is the minimum of several runs, since other
+//! load on the machine can only add to it.
 
 use std::{
     hint::black_box,
@@ -33,13 +33,13 @@
 
 const WORKERS: [u32; 4] = [11, 110, 1_100, 5_500];
 
-/// Members on one worker at the size of two years on: 160,000 tasks on 5,500 workers.
+/// Gang members on one worker at the size expected in two years: 160,000 tasks on 5,500 workers.
 const MEMBERS_PER_WORKER: u32 = 29;
 
 const GANGS: [u32; 2] = [8, 256];
 const RUNS: u32 = 5;
 
-/// The time between two heartbeats of one agent.
+/// Time between two heartbeats of an agent.
 const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 fn main() {
@@ -60,7 +60,7 @@
     println!("{what:<46} {workers:>8} {gang:>6} {time:>12}");
 }
 
-/// Returns the time of one call, as the least mean of several runs of `calls` calls.
+/// Returns the time of one call: the minimum over several runs of the mean of `calls` calls.
 fn time_of(calls: u32, mut call: impl FnMut(u32)) -> Duration {
     let times = (0..RUNS).map(|_| {
         let start = Instant::now();
@@ -137,10 +137,10 @@
         entry
     }
 
-    /// Takes a heartbeat; `first` is the state of the agent's first member, where the heartbeat
-    /// carries a report. Returns whether it was answered with a renewal.
+    /// Handles a heartbeat and returns whether it was answered with a renewal. `first` is the state
+    /// of the agent's first member if the heartbeat has a report.
     fn take_heartbeat(&mut self, worker: u32, first: Option<MemberState>) -> bool {
-        // All agents send within the time of one heartbeat.
+        // All agents send once within each heartbeat interval.
         self.now += u64::from(worker == 0) * HEARTBEAT_INTERVAL_MS;
         let now = Timestamp::from_millis(self.now);
         let heartbeat = Heartbeat {
@@ -185,7 +185,7 @@
         })
     }
 
-    /// How many of the workers share the gangs of `worker`.
+    /// Returns the number of workers that share the gangs of `worker`.
     fn members_of(&self, worker: u32) -> u32 {
         let first = worker / self.gang * self.gang;
         self.gang.min(self.workers - first)
--- a/dragonflyrun/benches/measures/main.rs
+++ b/dragonflyrun/benches/measures/main.rs
@@ -1,8 +1,8 @@
-//! Measures the scheduling policy on a fake clock: `cargo bench --bench measures`.
+//! Measures the scheduling policy in simulated time: `cargo bench --bench measures`.
 //!
-//! Each workload under `benches/data` runs under each policy with the same jobs. `--seeds N` sets
-//! how many seeds, `--json FILE` writes the figures, `--record` keeps those of the current policy
-//! as the previous best for later runs.
+//! Each workload in `benches/data` runs under each policy with the same jobs. `--seeds N` sets the
+//! number of seeds, `--json FILE` writes the measures, and `--record` stores those of the current
+//! policy as the previous ones that later runs compare with.
 
 mod report;
 mod simulation;
@@ -31,11 +31,12 @@
     let recorded = data.join("previous.json");
     let previous = fs::read_to_string(&recorded).map_or_else(
         |_| Report::default(),
-        |text| serde_json::from_str(&text).expect("the previous figures are valid"),
+        |text| serde_json::from_str(&text).expect("the previous measures are valid"),
     );
     let mut report = Report::default();
     for name in WORKLOADS {
-        let text = fs::read_to_string(data.join(format!("{name}.json"))).expect("a workload");
+        let text = fs::read_to_string(data.join(format!("{name}.json")))
+            .expect("the workload can be read");
         let workload = Workload::parse(&text);
         println!("{name}: {}", workload.deployment);
         for seed in 1..=seeds {
--- a/dragonflyrun/benches/measures/report.rs
+++ b/dragonflyrun/benches/measures/report.rs
@@ -1,4 +1,4 @@
-//! The figures of all runs as a table and as JSON.
+//! The measures of all runs as a table and as JSON.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 
 use crate::simulation::Figures;
 
-/// The figures of all runs.
+/// The measures of all runs.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct Report {
     pub(crate) rows: Vec<Row>,
 }
 
-/// The figures of one run.
+/// The measures of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Row {
     deployment: String,
@@ -78,7 +78,7 @@
         rows.find(|r| r.deployment == deployment && r.policy == policy && r.seed == seed)
     }
 
-    /// Returns the rows of one policy.
+    /// Returns a report with only the rows of `policy`.
     pub(crate) fn only(&self, policy: &str) -> Self {
         let rows = self.rows.iter().filter(|r| r.policy == policy);
         Self {
@@ -87,7 +87,7 @@
     }
 
     pub(crate) fn json(&self) -> String {
-        let text = serde_json::to_string_pretty(self).expect("figures are plain data");
+        let text = serde_json::to_string_pretty(self).expect("measures can be serialized");
         text + "\n"
     }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns the figures over all seeds, for each deployment and policy.
+    /// Returns the measures over all seeds, for each deployment and policy.
     pub(crate) fn summaries(&self) -> Vec<Summary> {
         let key = |r: &Row| (r.deployment.clone(), r.policy.clone());
         let mut keys: Vec<_> = self.rows.iter().map(key).collect();
@@ -156,7 +156,7 @@
     }
 }
 
-/// The figures of one policy over all seeds.
+/// The measures of one deployment and policy over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Summary {
     pub(crate) deployment: String,
--- a/dragonflyrun/benches/measures/simulation/figures.rs
+++ b/dragonflyrun/benches/measures/simulation/figures.rs
@@ -1,21 +1,22 @@
-//! The figures of one run.
+//! The measures of one run.
 
 use dragonflyrun::version::Urgency;
 use serde::{Deserialize, Serialize};
 
 use super::world::{Job, LARGE_JOB_ACCELERATORS};
 
-/// Completion times of a kind of jobs, from submission to end, in seconds.
+/// Completion times of one kind of jobs, from submission to end, in seconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct CompletionTimes {
     pub(crate) jobs: usize,
     pub(crate) median_s: f64,
     pub(crate) p99_s: f64,
-    /// The 99th percentile over that of the run times alone, which no policy can go below.
+    /// The 99th percentile relative to that of the run times alone, which is a lower bound for
+    /// every policy.
     pub(crate) p99_over_bound: f64,
 }
 
-/// What one run gave.
+/// The measures of one run.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Figures {
     pub(crate) urgent: CompletionTimes,
@@ -24,15 +25,17 @@
     pub(crate) large: CompletionTimes,
     /// The longest wait of a large job for its first start, in seconds.
     pub(crate) large_longest_wait_s: f64,
-    /// The time until the last end over the larger of work over capacity and the longest job.
+    /// The time until the last job ends, relative to a lower bound: the larger of the total work
+    /// divided by the capacity and the earliest possible end of any single job.
     pub(crate) makespan_over_bound: f64,
-    /// The share of idle accelerators that could not serve the largest waiting shape, by time.
+    /// The share of idle accelerator time at which the largest waiting job did not fit.
     pub(crate) fragmentation: f64,
-    /// The same accelerators as a share of all that could work.
+    /// The same accelerator time as a share of that of all usable accelerators.
     pub(crate) fragmentation_of_all: f64,
-    /// Useful work while a failure domain was out, as a share of what was left allowed.
+    /// Work while a failure domain was out of service, as a share of what the remaining capacity
+    /// and the demand allowed.
     pub(crate) drain_share: f64,
-    /// Accelerator-seconds lost to evictions without checkpoint.
+    /// Accelerator-seconds lost in evictions without a checkpoint.
     pub(crate) lost_to_evictions_s: f64,
     /// Accelerator-seconds lost to failures and cancellations.
     pub(crate) lost_to_failures_s: f64,
@@ -128,7 +131,7 @@
     jobs.iter().filter(which).count() as u32
 }
 
-/// Returns the value below which `percent` of `sorted` lie.
+/// Returns the percentile `percent` of the sorted values.
 fn percentile(sorted: &[u64], percent: usize) -> u64 {
     let at = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
     sorted.get(at).copied().unwrap_or(0)
--- a/dragonflyrun/benches/measures/simulation/mod.rs
+++ b/dragonflyrun/benches/measures/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A small event loop over the decision tables on a fake clock: jobs arrive, workers run them,
-//! things fail. It models no host and no network.
+//! A discrete-event simulation of the scheduler with arriving jobs, workers and failures. It models
+//! neither hosts nor the network.
 
 mod figures;
 mod naive;
--- a/dragonflyrun/benches/measures/simulation/naive.rs
+++ b/dragonflyrun/benches/measures/simulation/naive.rs
@@ -1,7 +1,8 @@
-//! The naive policy: first come first served, first fit, nothing learned and nothing reserved.
+//! The naive policy: first come, first served with first fit, without estimates or reservations.
 //!
-//! Each pass starts every waiting job that fits, in the order of arrival. It knows no guarantee,
-//! so an owner whose shape is in use waits. A failure domain out of service is emptied.
+//! Each pass starts every waiting job that fits, in the order of arrival. The policy ignores
+//! guarantees, so an owner whose shape is in use waits. It evicts all jobs from a failure domain
+//! out of service.
 
 use std::{
     collections::BTreeMap,
@@ -18,7 +19,7 @@
 
 use super::Policy;
 
-/// First come first served with first fit.
+/// First come, first served with first fit.
 #[derive(Default)]
 pub(crate) struct Naive {
     version: Option<Arc<Version>>,
@@ -50,7 +51,7 @@
             .collect()
     }
 
-    /// Returns the waiting jobs that fit, the oldest first, with where they do.
+    /// Returns the waiting jobs that fit, the oldest first, with their placements.
     fn startable_jobs(&self) -> Vec<(LiveJob, Vec<Placement>)> {
         let mut free = self.free();
         let mut fit = Vec::new();
@@ -73,7 +74,8 @@
         version.is_some_and(|v| v.in_service(&info.failure_domain))
     }
 
-    /// Returns the first workers, in their order, that hold the job with its adjacency.
+    /// Returns a placement on the first workers, in their order, that hold the job within its
+    /// adjacency.
     pub(crate) fn first_fit(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> Option<Vec<Placement>> {
         let adjacent = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
             Adjacency::Any => true,
--- a/dragonflyrun/benches/measures/simulation/policy.rs
+++ b/dragonflyrun/benches/measures/simulation/policy.rs
@@ -1,4 +1,4 @@
-//! What the event loop asks of a policy.
+//! The interface between the simulation and a scheduling policy.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     version::Version,
 };
 
-/// The calls of [`Scheduler`], so that another policy can take its place.
+/// The methods of [`Scheduler`] that the simulation uses, so that another policy can replace it.
 pub(crate) trait Policy {
     fn configure(&mut self, version: &Arc<Version>);
     fn worker_up(&mut self, now: Timestamp, info: WorkerInfo);
--- a/dragonflyrun/benches/measures/simulation/workload.rs
+++ b/dragonflyrun/benches/measures/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! The workloads as their data files describe them, and the jobs that a seed makes of them.
+//! The workloads as described in their data files, and the jobs generated from them for a seed.
 
 use std::{
     f64::consts::TAU,
@@ -17,20 +17,20 @@
 };
 use serde::Deserialize;
 
-/// One deployment's workers, document, jobs and failures.
+/// The workers, configuration, jobs and failures of one deployment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Workload {
-    /// Its name.
+    /// Name of the deployment.
     pub(crate) deployment: String,
-    /// Accelerators of each worker.
+    /// Number of accelerators of each worker.
     accelerators: u32,
     racks: Vec<Rack>,
     document: Document,
-    /// Seconds in which jobs arrive.
+    /// Time in seconds during which jobs arrive.
     pub(crate) horizon_s: u64,
     streams: Vec<Stream>,
-    /// What fails, and when.
+    /// Planned failures.
     pub(crate) events: Events,
 }
 
@@ -42,20 +42,20 @@
     workers: u32,
 }
 
-/// Jobs of one kind that arrive in bursts.
+/// Jobs of one kind, which arrive in bursts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Stream {
     workspace: Name,
     urgency: Urgency,
     bursts_an_hour: f64,
-    /// Jobs of a burst, on average.
+    /// Mean number of jobs in a burst.
     burst_jobs: u32,
-    /// The median.
+    /// Median run time.
     run_time_s: f64,
-    /// The standard deviation of the logarithm.
+    /// Standard deviation of the logarithm of the run time.
     run_time_spread: f64,
-    /// Declared over real run time, median.
+    /// Median ratio of declared to actual run time.
     declared_factor: f64,
     declared_spread: f64,
     #[serde(default)]
@@ -63,15 +63,15 @@
     shapes: Vec<Shape>,
 }
 
-/// What fails, and when.
+/// Drains, outages, failures and cancellations, with their times.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Events {
     pub(crate) drain: Drain,
     pub(crate) log_outages: Vec<Span>,
-    /// Workers that fail whatever is started on them.
+    /// Workers on which every start fails.
     pub(crate) failing_workers: Vec<WorkerSpan>,
-    /// Workers that are lost without a word, and come back empty.
+    /// Workers that die without notice and return without any jobs.
     pub(crate) lost_workers: Vec<WorkerSpan>,
     pub(crate) cancellations: Vec<Cancellation>,
     pub(crate) usage_lag_s: u64,
@@ -100,7 +100,7 @@
     pub(crate) to_s: u64,
 }
 
-/// A share of the live jobs is cancelled at once.
+/// A cancellation of a share of the live jobs at one time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Cancellation {
@@ -108,21 +108,21 @@
     pub(crate) share: f64,
 }
 
-/// A job of the workload with what the policy is not told.
+/// A job of the workload, including properties that the policy doesn't know.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedJob {
     pub(crate) spec: JobSpec,
     pub(crate) arrives_ms: u64,
-    /// The real run time.
+    /// The actual run time.
     pub(crate) run_ms: u64,
     pub(crate) impossible: bool,
-    /// Draws that decide what befalls the job, the same under each policy.
+    /// Random draws that decide on cancellation and silent stops, the same under each policy.
     pub(crate) cancel_draw: f64,
     pub(crate) stop_draw: f64,
 }
 
 impl Workload {
-    /// Reads a data file.
+    /// Parses a data file.
     pub(crate) fn parse(text: &str) -> Self {
         serde_json::from_str(text).expect("the workload is valid")
     }
@@ -141,7 +141,7 @@
         workers.collect()
     }
 
-    /// Returns the document, with one failure domain out of service where `drained` names it.
+    /// Returns the configuration, with the failure domain `drained` out of service.
     pub(crate) fn version(&self, offset: u64, drained: Option<&Name>) -> Arc<Version> {
         let mut document = self.document.clone();
         for section in document.sections.values_mut() {
@@ -152,7 +152,7 @@
         Arc::new(Version::new(offset, document))
     }
 
-    /// Returns the jobs that `seed` makes, in the order of their arrival.
+    /// Returns the jobs generated for `seed`, in the order of their arrival.
     pub(crate) fn jobs(&self, seed: u64) -> Vec<PlannedJob> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut jobs = Vec::new();
--- a/dragonflyrun/benches/measures/simulation/world.rs
+++ b/dragonflyrun/benches/measures/simulation/world.rs
@@ -1,5 +1,5 @@
-//! The event loop: a fake clock, fake workers, and a planner that carries out what the policy
-//! decides.
+//! The event loop: a simulated clock, simulated workers and a planner that carries out the
+//! decisions of the policy.
 
 use std::{
     cmp::Reverse,
@@ -19,34 +19,35 @@
     workload::{PlannedJob, WorkerSpan},
 };
 
-/// From a decision to tasks that run: reservation, record on the log, go.
+/// Time from a decision to running tasks: reservation, start record and start order.
 const START_MS: u64 = 400;
 
-/// A stop with a checkpoint.
+/// Time of a stop with a checkpoint.
 const STOP_MS: u64 = 1_500;
 
-/// A stop of a member that doesn't answer: its lease has lapsed for certain.
+/// Time of a stop in which a member doesn't answer: its lease has certainly lapsed by then.
 const LEASE_LAPSE_MS: u64 = 6_000;
 
-/// The share of stops in which a member doesn't answer, and no checkpoint is saved.
+/// Share of stops in which a member doesn't answer and no checkpoint is saved.
 const SILENT_STOP_SHARE: f64 = 0.03;
 
-/// The start from a checkpoint, during which no work is done.
+/// Time to restore a checkpoint at a start, during which no work is done.
 const RESTORE_MS: u64 = 5_000;
 
-/// Silence after which a worker counts as lost.
+/// Time after which a dead worker is reported as down to the policy.
 const WORKER_SILENCE_MS: u64 = 2_000;
 
-/// How long an owner may wait for a guaranteed shape: a stop that lapses, a start, and a tick.
+/// Maximum time that an owner may wait for a guaranteed shape: a stop that lapses, a start and two
+/// ticks.
 pub(crate) const RECLAIM_BOUND_MS: u64 = LEASE_LAPSE_MS + START_MS + 2 * TICK_MS;
 
-/// How often the policy is asked while nothing happens.
+/// Interval at which the policy is asked for decisions while nothing else happens.
 const TICK_MS: u64 = 1_000;
 
-/// When the first job may arrive; the workers have been up for a while then.
+/// Time of the earliest job; the policy has known the workers for a while by then.
 pub(crate) const CLOCK_START_MS: u64 = 10_000;
 
-/// Jobs of at least so many accelerators count as large: two whole workers.
+/// Minimum number of accelerators of a large job: two whole workers.
 pub(crate) const LARGE_JOB_ACCELERATORS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -67,15 +68,15 @@
     Tick,
 }
 
-/// Where a job is.
+/// The stage of a job in its life cycle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
     NotArrived,
     Waiting,
     Starting,
-    /// It has run since then, or is being restored until then.
+    /// Time since which the job works; in the future while a checkpoint is restored.
     Running(u64),
-    /// It is being stopped, with or without a member that does not answer.
+    /// The job is being stopped; a member may not answer.
     Stopping,
     Ended,
 }
@@ -85,7 +86,7 @@
     pub(super) plan: PlannedJob,
     pub(super) live: LiveJob,
     pub(super) stage: Stage,
-    /// Work that was done and saved.
+    /// Work saved in checkpoints, in milliseconds.
     saved_ms: u64,
     pub(super) first_start: Option<u64>,
     pub(super) finished: Option<u64>,
@@ -128,7 +129,7 @@
 }
 
 impl<'a> World<'a> {
-    /// Runs `workload` with the jobs of `seed` under `policy` until all jobs are over.
+    /// Runs `workload` with the jobs of `seed` under `policy` until all jobs have ended.
     pub(crate) fn run(workload: &'a Workload, seed: u64, policy: &'a mut dyn Policy) -> Figures {
         let workers = workload.workers();
         let jobs: Vec<Job> = workload.jobs(seed).into_iter().zip(0..).map(job).collect();
@@ -231,7 +232,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        // What needs a record on the log waits until the log is back.
+        // Events that need a record on the log wait until the outage ends.
         if let Some(until) = self.outage_until
             && let Event::Arrive(_) | Event::Stopped(..) | Event::Started(..) = event
         {
@@ -339,7 +340,7 @@
     }
 
     fn ended(&mut self, at: usize) {
-        // An end that an eviction has overtaken is no end: the checkpoint was taken before.
+        // If an eviction has begun before the end, the job resumes from the checkpoint instead.
         if !matches!(self.jobs[at].stage, Stage::Running(_)) || self.has_dead_member(at) {
             return;
         }
@@ -384,7 +385,7 @@
         }
     }
 
-    /// Begins to stop a job; work since the last checkpoint is kept if all members answer.
+    /// Begins to stop a job. Its work since the start is saved if all members answer.
     fn stop(&mut self, at: usize, evicted: bool) {
         let job = &mut self.jobs[at];
         let since = match job.stage {
@@ -420,7 +421,7 @@
         self.policy.configure(&self.version);
     }
 
-    /// A worker counts as lost: gangs with a member there are broken.
+    /// Reports a worker as down and stops the gangs that have a member on it.
     fn worker_lost(&mut self, worker: usize) {
         let name = self.workers[worker].name.clone();
         let now = self.now();
@@ -448,7 +449,7 @@
     }
 
     fn decide(&mut self) {
-        // Without the log the planner starts no gang and records no stop.
+        // Without the log the planner can neither start gangs nor record stops.
         if self.outage_until.is_some() {
             return;
         }
@@ -475,7 +476,7 @@
         }
     }
 
-    /// Carries out a start after checking what no policy may get wrong.
+    /// Carries out a start after checking that the placement is valid.
     fn start(&mut self, at: usize, placements: Vec<Placement>) {
         let spec = self.jobs[at].plan.spec.clone();
         assert_eq!(
@@ -489,11 +490,14 @@
         });
         let used: Vec<(&WorkerInfo, u32)> = used.collect();
         let whole = Naive::first_fit(&used, &spec);
-        assert!(whole.is_some(), "the placement is not near enough");
+        assert!(whole.is_some(), "the placement violates the adjacency");
         for (worker, accelerators) in used {
             let held = &mut self.held[self.by_name[&worker.name]];
             *held += accelerators;
-            assert!(*held <= worker.accelerators, "a worker was given too much");
+            assert!(
+                *held <= worker.accelerators,
+                "a worker was given more tasks than it has accelerators for"
+            );
             assert!(self.version.in_service(&worker.failure_domain));
         }
         let job = &mut self.jobs[at];
@@ -504,7 +508,7 @@
         self.push(self.now_ms + START_MS, Event::Started(at, attempt));
     }
 
-    /// Adds up what happens until `to`.
+    /// Adds the time until `to` to the measures.
     fn record_until(&mut self, to: u64) {
         let ms = to - self.now_ms;
         if ms == 0 {
@@ -568,8 +572,8 @@
             .collect()
     }
 
-    /// Counts owners that have waited too long for a shape that they are guaranteed. A waiting
-    /// job is entitled if its shape is that of a guarantee which no job of its workspace holds.
+    /// Counts the jobs that have waited too long for a guaranteed shape. A waiting job is entitled
+    /// if its shape equals that of a guarantee which no job of its workspace uses.
     fn count_violations(&mut self) {
         let mut entitled = HashSet::default();
         if self.outage_until.is_none() {
@@ -616,7 +620,7 @@
                 .min_by_key(|g| g.tasks * g.accelerators);
             if let Some(g) = smallest.copied() {
                 let at = left.iter().position(|l| *l == g);
-                left.swap_remove(at.expect("it was found"));
+                left.swap_remove(at.expect("the guarantee is in the list"));
             }
         }
         for at in jobs {
