--- a/dragonflyrun/src/job/allotment.rs
+++ b/dragonflyrun/src/job/allotment.rs
@@ -141,7 +141,8 @@
     }
 
     /// Removes allotments on a worker that isn't usable or has fewer accelerators than are
-    /// allotted. If a job is in an allotment, the shares on other workers stay where they are.
+    /// allotted. If a job is in an allotment, only its unused share on this worker is removed, and
+    /// the shares on other workers stay where they are.
     fn withdraw_from(&mut self, inventory: &mut Inventory, worker: WorkerId) {
         let usable = inventory.worker(worker).usable();
         if usable && !inventory.is_over_allotted(worker) {
@@ -261,7 +262,9 @@
     (tasks <= shape.tasks).then_some(wanted)
 }
 
-/// Returns the workers that may take the rest of `shape` given its adjacency to `at`.
+/// Returns the workers that may take the rest of `shape` given its adjacency to `at`. Within a
+/// failure domain, or for any adjacency, these are the workers with the most allottable
+/// accelerators, at most one for each task.
 fn neighbours(inventory: &mut Inventory, at: &Candidate, shape: &Shape) -> Vec<Candidate> {
     let max_workers = shape.tasks as usize;
     match shape.adjacency {
--- a/dragonflyrun/src/job/decision.rs
+++ b/dragonflyrun/src/job/decision.rs
@@ -36,8 +36,7 @@
     },
 }
 
-/// A worker's report of the run time of a job, which arrives with a delay, possibly after the end
-/// of the job.
+/// A report of the run time of a job, which may arrive after the end of the job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
     /// The job.
--- a/dragonflyrun/src/job/election.rs
+++ b/dragonflyrun/src/job/election.rs
@@ -4,7 +4,8 @@
 
 use crate::utils::{Name, Timestamp};
 
-/// Time without a heartbeat of the planner after which another entry claims the next term.
+/// Time for which the planner has not been heard, or has been leaving, after which another entry
+/// claims the next term. It counts from when [`ElectionView::planner_alive`] turned false.
 pub const PLANNER_SILENCE: Duration = Duration::from_millis(3_000);
 
 /// Additional delay of each further entry, in the order of their names, so that usually one entry
@@ -22,7 +23,7 @@
     pub term: u64,
     /// The entry that holds that term.
     pub planner: Option<Name>,
-    /// Whether that entry sends heartbeats and is not shutting down.
+    /// Whether this entry hears that entry, and that entry is not leaving.
     pub planner_alive: bool,
     /// Whether this entry knows the latest state of the log.
     pub fresh: bool,
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -36,7 +36,7 @@
 /// Number of racks compared for an eviction; those with the most available slots come first.
 const MAX_COMPARED_RACKS: usize = 16;
 
-/// Number of workers compared for an eviction in addition to one for each task.
+/// Number of workers of a scope compared for an eviction, in addition to one for each task.
 const EXTRA_COMPARED_WORKERS: usize = 64;
 
 /// Why a job may evict others.
@@ -95,8 +95,8 @@
         true
     }
 
-    /// Evicts jobs so that `job` can start, if `reason` justifies the cost, and pledges their
-    /// accelerators to `job`; returns whether it did.
+    /// Evicts the jobs that keep `job` from starting, if `reason` justifies the cost, and pledges
+    /// the room to `job`, vacant accelerators included; returns whether it did.
     pub(super) fn make_room(
         &mut self,
         now: Timestamp,
@@ -213,7 +213,8 @@
         let holding = self.holding.entry(entry.spec.workspace.clone());
         holding.or_default().insert(aged.clone());
         self.pledged.insert(aged);
-        // The job can start at once if undoing starts of this pass was enough.
+        // The job can start at once if no job had to be stopped, or only starts of this pass were
+        // undone.
         self.needs_pass = true;
     }
 
--- a/dragonflyrun/src/job/gang.rs
+++ b/dragonflyrun/src/job/gang.rs
@@ -237,7 +237,7 @@
             reason:? = reason;
             "gang_stopping"
         );
-        // The previous planner may already have fenced the attempt.
+        // An earlier planner may already have fenced the attempt.
         let fence = match (self.job.fenced, self.start_offset) {
             (true, Some(offset)) => Fence::Recorded {
                 offset,
--- a/dragonflyrun/src/job/inventory.rs
+++ b/dragonflyrun/src/job/inventory.rs
@@ -9,8 +9,8 @@
     utils::{HashMap, Name},
 };
 
-/// Maximum number of accelerators that a worker can report. The number comes from another process
-/// and determines the length of tables.
+/// Maximum number of accelerators assumed of a worker; a higher report is reduced to it. The number
+/// comes from another process and determines the length of tables.
 const MAX_ACCELERATORS_PER_WORKER: u32 = 1_024;
 
 /// The workers and the accelerators held, pledged, reserved and allotted on each.
--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -392,7 +392,8 @@
         if matches!(self.phase, Phase::Ended(_)) {
             return;
         }
-        // A refused order never held anything that could be stopped, so it is reported as refused.
+        // A refused order holds nothing any more that could be stopped, so it is reported as
+        // refused.
         let state = match (self.phase, state) {
             (Phase::Stopping(MemberState::Refused), MemberState::Stopped { .. }) => {
                 MemberState::Refused
--- a/dragonflyrun/src/job/renewal.rs
+++ b/dragonflyrun/src/job/renewal.rs
@@ -18,8 +18,8 @@
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
-/// Time since an agent was last known to be alive after which it counts as late. The gangs of an
-/// agent that is not late are renewed without checking each member.
+/// Time since an agent was last known to be alive after which it counts as late. A gang
+/// without late agents is renewed without checking each member.
 pub const LATE_AFTER: Duration = Duration::from_millis(750);
 
 /// A message to an agent.
--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -19,7 +19,7 @@
     utils::{HashMap, HashSet, Timestamp},
 };
 
-/// Number of usable workers per reservation beyond the first one. In a small cluster a single
+/// Number of known workers per reservation beyond the first one. In a small cluster a single
 /// reservation already keeps a whole failure domain idle, so there is no second one.
 const WORKERS_PER_RESERVATION: usize = 8;
 
@@ -48,7 +48,8 @@
     }
 
     /// Reserves room for `job`, which can't start yet. The previous reservation is kept as long as
-    /// its expected start is still ahead and its workers are usable.
+    /// its expected start is still ahead and its workers are usable; otherwise room is reserved
+    /// where the job is expected to start first.
     pub(super) fn reserve(&mut self, now: Timestamp, job: &JobId, previous: Option<Reservation>) {
         let workers = self.inventory.ids().len();
         let large = self.inventory.largest_worker();
--- a/dragonflyrun/src/job/retention.rs
+++ b/dragonflyrun/src/job/retention.rs
@@ -112,9 +112,9 @@
             at: now,
             repeat_now: true,
         };
-        let queue_of = self.queue_of(&item);
-        queue_of.items.insert(item.clone(), written);
-        queue_of.queue.push_front((item, written));
+        let queue = self.queue_of(&item);
+        queue.items.insert(item.clone(), written);
+        queue.queue.push_front((item, written));
     }
 
     /// Stops tracking `item`, which has ended.
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -244,11 +244,11 @@
                     tasks: *tasks,
                 }),
                 None => {
-                    let unknown_worker_members = self
+                    let members = self
                         .unknown_worker_members
                         .entry(worker.clone())
                         .or_default();
-                    unknown_worker_members.push((job.job.clone(), *tasks));
+                    members.push((job.job.clone(), *tasks));
                 }
             }
         }
@@ -295,7 +295,7 @@
     }
 
     /// Updates the run-time estimates from a usage report, which may arrive after the end of the
-    /// job because workers report with a delay.
+    /// job.
     pub fn usage(&mut self, _now: Timestamp, report: &UsageReport) {
         let live = self.jobs.get(&report.job).map(|e| &e.spec);
         let Some(spec) = live.or_else(|| self.ended.get(&report.job)) else {
@@ -349,8 +349,8 @@
             .collect()
     }
 
-    /// Returns whether a running job borrows: no guarantee of its workspace covers it, so it may be
-    /// evicted for another workspace's guarantee.
+    /// Returns whether a running job borrows: it lies outside its workspace's guarantees and isn't
+    /// protected, so it may be evicted for another workspace's guarantee.
     pub fn borrows(&self, job: &JobId) -> bool {
         let entry = self.jobs.get(job);
         entry.is_some_and(|e| matches!(e.stage, Stage::Holding(_)) && e.cover.is_none())
--- a/dragonflyrun/src/job/stopping.rs
+++ b/dragonflyrun/src/job/stopping.rs
@@ -41,6 +41,8 @@
     Requested,
     Recorded {
         offset: u64,
+        /// When this planner folded the fence, or when the stop began if the fence was already
+        /// recorded by then, for example by an earlier planner.
         folded_at: Timestamp,
         /// When all entries were known to have folded the fence.
         folded_by_all_at: Option<Timestamp>,
