--- a/dragonflyrun/benches/costs.rs
+++ b/dragonflyrun/benches/costs.rs
@@ -104,7 +104,7 @@
         };
         for number in 0..workers / 2 {
             let accelerators = 1 + number % 4;
-            cluster.run(&spec(1, accelerators, Adjacency::Worker));
+            cluster.start(&spec(1, accelerators, Adjacency::Worker));
         }
         cluster
     }
@@ -112,7 +112,7 @@
     /// Fills all free accelerators with borrowing jobs.
     fn fill(&mut self) {
         for accelerators in [8, 4, 2, 1] {
-            while self.run(&spec(1, accelerators, Adjacency::Worker)) {}
+            while self.start(&spec(1, accelerators, Adjacency::Worker)) {}
             self.end();
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// Submits a job that keeps running, and returns whether it has started.
-    fn run(&mut self, spec: &JobSpec) -> bool {
+    fn start(&mut self, spec: &JobSpec) -> bool {
         self.submit(spec);
         let started = self.scheduler.decide(NOW).len() == 1;
         if started {
@@ -149,7 +149,7 @@
             .scheduler
             .decide(NOW)
             .into_iter()
-            .map(evicted)
+            .map(evicted_job)
             .collect();
         assert!(!evicted.is_empty());
         for job in evicted {
@@ -164,7 +164,7 @@
     }
 }
 
-fn evicted(decision: Decision) -> JobId {
+fn evicted_job(decision: Decision) -> JobId {
     match decision {
         Decision::Evict { job, .. } => job,
         other => panic!("expected an eviction, not {other:?}"),
--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -49,13 +49,13 @@
     );
     for gang in GANGS {
         for workers in WORKERS {
-            entry(workers, gang.min(workers));
+            measure_entry(workers, gang.min(workers));
         }
     }
-    agent();
+    measure_agent();
 }
 
-fn row(what: &str, workers: u32, gang: u32, time: Duration) {
+fn print_row(what: &str, workers: u32, gang: u32, time: Duration) {
     let time = format!("{:.2} us", time.as_secs_f64() * 1e6);
     println!("{what:<46} {workers:>8} {gang:>6} {time:>12}");
 }
@@ -79,7 +79,7 @@
     workers: u32,
 }
 
-fn entry(workers: u32, gang: u32) {
+fn measure_entry(workers: u32, gang: u32) {
     let mut entry = Entry::new(workers, gang);
     entry.tick();
     let answered = (0..workers)
@@ -93,7 +93,7 @@
     let beat = time_of(calls, |i| {
         entry.take_heartbeat(i % workers, None);
     });
-    row(
+    print_row(
         "entry: unchanged heartbeat, 29 members",
         workers,
         gang,
@@ -103,14 +103,14 @@
         let state = [MemberState::Reserved, MemberState::Running][i as usize % 2];
         entry.take_heartbeat(i % workers, Some(state));
     });
-    row(
+    print_row(
         "entry: heartbeat in which one has changed",
         workers,
         gang,
         changed,
     );
     let tick = time_of(20, |_| entry.tick());
-    row("entry: tick", workers, gang, tick);
+    print_row("entry: tick", workers, gang, tick);
 }
 
 impl Entry {
@@ -192,7 +192,7 @@
     }
 }
 
-fn agent() {
+fn measure_agent() {
     let mut members = Members::new(Timestamp::from_millis(0));
     members.calls(Timestamp::from_millis(0));
     let leases = (0..MEMBERS_PER_WORKER).map(|member| WorkerLease {
@@ -217,13 +217,13 @@
     let reports = time_of(2_000, |_| {
         black_box(members.reports());
     });
-    row("agent: report of 29 members", 1, 8, reports);
+    print_row("agent: report of 29 members", 1, 8, reports);
     let read_leases = time_of(2_000, |i| {
         let now = Timestamp::from_millis(2 + u64::from(i) / 100);
         members.on_leases(now, now, &view);
         black_box(members.calls(now));
     });
-    row(
+    print_row(
         "agent: look at 29 leases, and the calls due",
         1,
         8,
--- a/dragonflyrun/benches/measures/simulation/naive.rs
+++ b/dragonflyrun/benches/measures/simulation/naive.rs
@@ -85,19 +85,19 @@
         };
         let scopes = free.chunk_by(|(a, _), (b, _)| adjacent(a, b));
         let slots = |left: &u32| left / spec.accelerators;
-        let mut whole = scopes.filter(|scope| {
+        let mut fitting_scopes = scopes.filter(|scope| {
             let slots: u32 = scope.iter().map(|(_, left)| slots(left)).sum();
             slots >= spec.tasks
         });
         let mut tasks = spec.tasks;
         let mut placements = Vec::new();
-        for (info, left) in whole.next()? {
-            let here = tasks.min(slots(left));
-            if here > 0 {
-                tasks -= here;
+        for (info, left) in fitting_scopes.next()? {
+            let placed_tasks = tasks.min(slots(left));
+            if placed_tasks > 0 {
+                tasks -= placed_tasks;
                 placements.push(Placement {
                     worker: info.name.clone(),
-                    tasks: here,
+                    tasks: placed_tasks,
                 });
             }
         }
--- a/dragonflyrun/benches/measures/simulation/world.rs
+++ b/dragonflyrun/benches/measures/simulation/world.rs
@@ -186,10 +186,10 @@
         }
         self.policy.decide(Timestamp::from_millis(CLOCK_START_MS));
         self.now_ms = CLOCK_START_MS;
-        for at in 0..self.jobs.len() {
+        for index in 0..self.jobs.len() {
             self.push(
-                CLOCK_START_MS + self.jobs[at].plan.arrives_ms,
-                Event::Arrive(at),
+                CLOCK_START_MS + self.jobs[index].plan.arrives_ms,
+                Event::Arrive(index),
             );
         }
         let events = self.workload.events.clone();
@@ -212,8 +212,8 @@
             );
             self.push(to_s * 1_000, Event::WorkerReturns(worker));
         }
-        for (cancellation, at) in events.cancellations.iter().zip(0..) {
-            self.push(cancellation.at_s * 1_000, Event::Cancel(at));
+        for (cancellation, index) in events.cancellations.iter().zip(0..) {
+            self.push(cancellation.at_s * 1_000, Event::Cancel(index));
         }
         self.push(self.now_ms, Event::Tick);
     }
@@ -240,15 +240,19 @@
             return;
         }
         match event {
-            Event::Arrive(at) => self.arrive(at),
-            Event::Started(at, attempt) if self.is_current(at, attempt) => self.started(at),
-            Event::Ended(at, attempt) if self.is_current(at, attempt) => self.ended(at),
-            Event::Stopped(at, attempt) if self.is_current(at, attempt) => self.stopped(at),
+            Event::Arrive(index) => self.arrive(index),
+            Event::Started(index, attempt) if self.is_current(index, attempt) => {
+                self.started(index)
+            }
+            Event::Ended(index, attempt) if self.is_current(index, attempt) => self.ended(index),
+            Event::Stopped(index, attempt) if self.is_current(index, attempt) => {
+                self.stopped(index)
+            }
             Event::Started(..) | Event::Ended(..) | Event::Stopped(..) => {}
-            Event::Usage(at) => {
+            Event::Usage(index) => {
                 let report = UsageReport {
-                    job: self.jobs[at].live.job.clone(),
-                    ran_ms: self.jobs[at].plan.run_ms,
+                    job: self.jobs[index].live.job.clone(),
+                    ran_ms: self.jobs[index].plan.run_ms,
                     finished: true,
                 };
                 self.policy.usage(self.now(), &report);
@@ -268,38 +272,41 @@
                 let info = self.workers[worker].clone();
                 self.policy.worker_up(self.now(), info);
             }
-            Event::Cancel(at) => self.cancel(self.workload.events.cancellations[at].share),
+            Event::Cancel(index) => self.cancel(self.workload.events.cancellations[index].share),
             Event::Tick => {}
         }
     }
 
-    fn is_current(&self, at: usize, attempt: u32) -> bool {
-        self.jobs[at].live.attempt == attempt && self.jobs[at].stage != Stage::Ended
+    fn is_current(&self, index: usize, attempt: u32) -> bool {
+        self.jobs[index].live.attempt == attempt && self.jobs[index].stage != Stage::Ended
     }
 
-    fn arrive(&mut self, at: usize) {
-        if !self.policy.is_possible(&self.jobs[at].plan.spec) {
-            assert!(self.jobs[at].plan.impossible, "a possible job was refused");
-            self.jobs[at].refused = true;
-            self.jobs[at].stage = Stage::Ended;
+    fn arrive(&mut self, index: usize) {
+        if !self.policy.is_possible(&self.jobs[index].plan.spec) {
+            assert!(
+                self.jobs[index].plan.impossible,
+                "a possible job was refused"
+            );
+            self.jobs[index].refused = true;
+            self.jobs[index].stage = Stage::Ended;
             return;
         }
-        self.live.insert(at, ());
-        self.enqueue(at);
+        self.live.insert(index, ());
+        self.enqueue(index);
     }
 
-    fn enqueue(&mut self, at: usize) {
-        self.jobs[at].stage = Stage::Waiting;
-        self.jobs[at].live.placements.clear();
+    fn enqueue(&mut self, index: usize) {
+        self.jobs[index].stage = Stage::Waiting;
+        self.jobs[index].live.placements.clear();
         let now = self.now();
-        self.policy.job_waits(now, &self.jobs[at].live);
+        self.policy.job_waits(now, &self.jobs[index].live);
     }
 
-    fn started(&mut self, at: usize) {
-        if self.jobs[at].stage != Stage::Starting {
+    fn started(&mut self, index: usize) {
+        if self.jobs[index].stage != Stage::Starting {
             return;
         }
-        let placements = self.jobs[at].live.placements.clone();
+        let placements = self.jobs[index].live.placements.clone();
         let now = self.now();
         let mut failed = false;
         for p in &placements {
@@ -315,11 +322,11 @@
         }
         if failed {
             self.figures.failed_starts += 1;
-            self.release(at);
-            self.enqueue(at);
+            self.release(index);
+            self.enqueue(index);
             return;
         }
-        let job = &mut self.jobs[at];
+        let job = &mut self.jobs[index];
         job.first_start.get_or_insert(self.now_ms);
         let restored = match job.saved_ms {
             0 => self.now_ms,
@@ -328,7 +335,7 @@
         job.stage = Stage::Running(restored);
         let ends = restored + job.plan.run_ms - job.saved_ms;
         let attempt = job.live.attempt;
-        self.push(ends, Event::Ended(at, attempt));
+        self.push(ends, Event::Ended(index, attempt));
     }
 
     fn is_failing(&self, worker: usize) -> bool {
@@ -339,55 +346,55 @@
             .any(|s| s.worker == worker && (s.from_s..s.to_s).contains(&now_s))
     }
 
-    fn ended(&mut self, at: usize) {
+    fn ended(&mut self, index: usize) {
         // If an eviction has begun before the end, the job resumes from the checkpoint instead.
-        if !matches!(self.jobs[at].stage, Stage::Running(_)) || self.has_dead_member(at) {
+        if !matches!(self.jobs[index].stage, Stage::Running(_)) || self.has_dead_member(index) {
             return;
         }
-        self.jobs[at].finished = Some(self.now_ms);
-        self.end_job(at);
+        self.jobs[index].finished = Some(self.now_ms);
+        self.end_job(index);
         let lag_ms = self.workload.events.usage_lag_s * 1_000;
-        self.push(self.now_ms + lag_ms, Event::Usage(at));
+        self.push(self.now_ms + lag_ms, Event::Usage(index));
     }
 
     /// Returns whether a member of the job is on a dead worker.
-    fn has_dead_member(&self, at: usize) -> bool {
-        let placements = &self.jobs[at].live.placements;
+    fn has_dead_member(&self, index: usize) -> bool {
+        let placements = &self.jobs[index].live.placements;
         placements
             .iter()
             .any(|p| self.dead[self.by_name[&p.worker]])
     }
 
-    fn end_job(&mut self, at: usize) {
-        self.release(at);
-        self.jobs[at].stage = Stage::Ended;
-        self.live.remove(&at);
+    fn end_job(&mut self, index: usize) {
+        self.release(index);
+        self.jobs[index].stage = Stage::Ended;
+        self.live.remove(&index);
         let now = self.now();
-        self.policy.job_gone(now, &self.jobs[at].live.job);
+        self.policy.job_gone(now, &self.jobs[index].live.job);
     }
 
-    fn stopped(&mut self, at: usize) {
-        self.release(at);
-        if self.jobs[at].live.cancelled {
-            self.end_job(at);
+    fn stopped(&mut self, index: usize) {
+        self.release(index);
+        if self.jobs[index].live.cancelled {
+            self.end_job(index);
         } else {
-            self.enqueue(at);
+            self.enqueue(index);
         }
     }
 
-    fn release(&mut self, at: usize) {
-        if !self.jobs[at].holds_accelerators() {
+    fn release(&mut self, index: usize) {
+        if !self.jobs[index].holds_accelerators() {
             return;
         }
-        let size = self.jobs[at].plan.spec.accelerators;
-        for p in std::mem::take(&mut self.jobs[at].live.placements) {
+        let size = self.jobs[index].plan.spec.accelerators;
+        for p in std::mem::take(&mut self.jobs[index].live.placements) {
             self.held[self.by_name[&p.worker]] -= p.tasks * size;
         }
     }
 
     /// Begins to stop a job. Its work since the start is saved if all members answer.
-    fn stop(&mut self, at: usize, evicted: bool) {
-        let job = &mut self.jobs[at];
+    fn stop(&mut self, index: usize, evicted: bool) {
+        let job = &mut self.jobs[index];
         let since = match job.stage {
             Stage::Running(since) => since,
             Stage::Starting => self.now_ms,
@@ -395,8 +402,8 @@
         };
         let draw = (job.plan.stop_draw + f64::from(job.live.attempt) * 0.618) % 1.0;
         let worked = self.now_ms.saturating_sub(since);
-        let silent = draw < SILENT_STOP_SHARE || self.has_dead_member(at);
-        let job = &mut self.jobs[at];
+        let silent = draw < SILENT_STOP_SHARE || self.has_dead_member(index);
+        let job = &mut self.jobs[index];
         if silent {
             let lost = worked * u64::from(job.accelerators());
             match evicted {
@@ -409,8 +416,8 @@
         }
         job.stage = Stage::Stopping;
         let attempt = job.live.attempt;
-        let takes = if silent { LEASE_LAPSE_MS } else { STOP_MS };
-        self.push(self.now_ms + takes, Event::Stopped(at, attempt));
+        let stop_ms = if silent { LEASE_LAPSE_MS } else { STOP_MS };
+        self.push(self.now_ms + stop_ms, Event::Stopped(index, attempt));
     }
 
     fn configure(&mut self, drained: bool) {
@@ -426,24 +433,24 @@
         let name = self.workers[worker].name.clone();
         let now = self.now();
         self.policy.worker_down(now, &name);
-        for at in self.live.keys().copied().collect::<Vec<_>>() {
-            let job = &self.jobs[at];
+        for index in self.live.keys().copied().collect::<Vec<_>>() {
+            let job = &self.jobs[index];
             if job.live.placements.iter().any(|p| p.worker == name) {
-                self.stop(at, false);
+                self.stop(index, false);
             }
         }
     }
 
     fn cancel(&mut self, share: f64) {
-        for at in self.live.keys().copied().collect::<Vec<_>>() {
-            let job = &mut self.jobs[at];
+        for index in self.live.keys().copied().collect::<Vec<_>>() {
+            let job = &mut self.jobs[index];
             if job.plan.cancel_draw >= share || job.live.cancelled {
                 continue;
             }
             job.live.cancelled = true;
             match job.stage {
-                Stage::Waiting => self.end_job(at),
-                _ => self.stop(at, false),
+                Stage::Waiting => self.end_job(index),
+                _ => self.stop(index, false),
             }
         }
     }
@@ -457,30 +464,30 @@
             match decision {
                 Decision::Start { job, placements } => self.start(self.by_id[&job], placements),
                 Decision::Evict { job, for_job } => {
-                    let at = self.by_id[&job];
+                    let index = self.by_id[&job];
                     self.figures.evictions += 1;
                     if let Some(for_job) = for_job
                         && self.reclaimed_for.insert(for_job)
                     {
                         self.figures.reclaims += 1;
                     }
-                    self.stop(at, true);
+                    self.stop(index, true);
                 }
                 Decision::Impossible { job, .. } => {
-                    let at = self.by_id[&job];
-                    assert!(self.jobs[at].plan.impossible, "a possible job was ended");
-                    self.jobs[at].refused = true;
-                    self.end_job(at);
+                    let index = self.by_id[&job];
+                    assert!(self.jobs[index].plan.impossible, "a possible job was ended");
+                    self.jobs[index].refused = true;
+                    self.end_job(index);
                 }
             }
         }
     }
 
     /// Carries out a start after checking that the placement is valid.
-    fn start(&mut self, at: usize, placements: Vec<Placement>) {
-        let spec = self.jobs[at].plan.spec.clone();
+    fn start(&mut self, index: usize, placements: Vec<Placement>) {
+        let spec = self.jobs[index].plan.spec.clone();
         assert_eq!(
-            self.jobs[at].stage,
+            self.jobs[index].stage,
             Stage::Waiting,
             "a job was started twice"
         );
@@ -489,8 +496,8 @@
             (worker, p.tasks * spec.accelerators)
         });
         let used: Vec<(&WorkerInfo, u32)> = used.collect();
-        let whole = Naive::first_fit(&used, &spec);
-        assert!(whole.is_some(), "the placement violates the adjacency");
+        let fit = Naive::first_fit(&used, &spec);
+        assert!(fit.is_some(), "the placement violates the adjacency");
         for (worker, accelerators) in used {
             let held = &mut self.held[self.by_name[&worker.name]];
             *held += accelerators;
@@ -500,12 +507,12 @@
             );
             assert!(self.version.in_service(&worker.failure_domain));
         }
-        let job = &mut self.jobs[at];
+        let job = &mut self.jobs[index];
         job.live.placements = placements;
         job.live.attempt += 1;
         job.stage = Stage::Starting;
         let attempt = job.live.attempt;
-        self.push(self.now_ms + START_MS, Event::Started(at, attempt));
+        self.push(self.now_ms + START_MS, Event::Started(index, attempt));
     }
 
     /// Adds the time until `to` to the measures.
@@ -520,7 +527,7 @@
             .filter(|w| self.is_usable(*w))
             .map(|w| self.workers[w].accelerators)
             .sum();
-        let waiting = self.live.keys().map(|at| &self.jobs[*at]);
+        let waiting = self.live.keys().map(|index| &self.jobs[*index]);
         let waiting = waiting.filter(|j| j.stage == Stage::Waiting && !j.plan.impossible);
         let largest = waiting.max_by_key(|j| j.accelerators());
         let wasted = largest.is_some_and(|j| Naive::first_fit(&idle, &j.plan.spec).is_none());
@@ -541,8 +548,8 @@
             .map(|w| (&self.workers[w], self.workers[w].accelerators))
             .collect();
         let (mut demand, mut work) = (0, 0);
-        for at in self.live.keys() {
-            let job = &self.jobs[*at];
+        for index in self.live.keys() {
+            let job = &self.jobs[*index];
             if let Stage::Running(since) = job.stage {
                 let worked = to.saturating_sub(since.max(self.now_ms));
                 work += worked * u64::from(job.accelerators());
@@ -581,9 +588,9 @@
                 self.entitled(&workspace.name, &workspace.guarantees, &mut entitled);
             }
         }
-        for at in self.live.keys() {
-            let job = &mut self.jobs[*at];
-            if !entitled.contains(at) {
+        for index in self.live.keys() {
+            let job = &mut self.jobs[*index];
+            if !entitled.contains(index) {
                 job.entitled_since = None;
                 continue;
             }
@@ -600,10 +607,10 @@
         let jobs = self
             .live
             .keys()
-            .filter(|at| self.jobs[**at].plan.spec.workspace == *name);
+            .filter(|index| self.jobs[**index].plan.spec.workspace == *name);
         let mut holding: Vec<&Job> = jobs
             .clone()
-            .map(|at| &self.jobs[*at])
+            .map(|index| &self.jobs[*index])
             .filter(|j| j.holds_accelerators())
             .collect();
         holding.sort_by_key(|j| Reverse(j.accelerators()));
@@ -619,13 +626,13 @@
                 .filter(fits)
                 .min_by_key(|g| g.tasks * g.accelerators);
             if let Some(g) = smallest.copied() {
-                let at = left.iter().position(|l| *l == g);
-                left.swap_remove(at.expect("the guarantee is in the list"));
+                let index = left.iter().position(|l| *l == g);
+                left.swap_remove(index.expect("the guarantee is in the list"));
             }
         }
-        for at in jobs {
-            let spec = &self.jobs[*at].plan.spec;
-            if self.jobs[*at].stage != Stage::Waiting {
+        for index in jobs {
+            let spec = &self.jobs[*index].plan.spec;
+            if self.jobs[*index].stage != Stage::Waiting {
                 continue;
             }
             let same = left.iter().position(|g| {
@@ -635,7 +642,7 @@
             });
             if let Some(i) = same {
                 left.swap_remove(i);
-                into.insert(*at);
+                into.insert(*index);
             }
         }
     }
--- a/dragonflyrun/tests/common/exhaustive.rs
+++ b/dragonflyrun/tests/common/exhaustive.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct FreeWorker {
     pub(crate) worker: WorkerInfo,
-    pub(crate) left: u32,
+    pub(crate) free: u32,
 }
 
 /// Returns whether all of `shapes` fit on `free_workers` together, or `None` if the search exceeds
@@ -52,12 +52,12 @@
         }
         let adjacent = first
             .is_none_or(|f| is_adjacent(&free_workers[f].worker, &free_workers[i].worker, shape));
-        if !adjacent || free_workers[i].left < shape.accelerators {
+        if !adjacent || free_workers[i].free < shape.accelerators {
             continue;
         }
-        free_workers[i].left -= shape.accelerators;
+        free_workers[i].free -= shape.accelerators;
         let fits = place(free_workers, shapes, tasks - 1, first.or(Some(i)), tried);
-        free_workers[i].left += shape.accelerators;
+        free_workers[i].free += shape.accelerators;
         if fits != Some(false) {
             return fits;
         }
--- a/dragonflyrun/tests/drain_starts.rs
+++ b/dragonflyrun/tests/drain_starts.rs
@@ -72,8 +72,8 @@
 fn frozen_before_start() {
     let mut starts = 0;
     for step in 0..60 {
-        let host = |w| Fault::Freeze(ENTRIES + w);
-        let freeze = DRAINED_AGENTS.map(|w| (10 * step, 9_000, host(w)));
+        let freeze_agent = |w| Fault::Freeze(ENTRIES + w);
+        let freeze = DRAINED_AGENTS.map(|w| (10 * step, 9_000, freeze_agent(w)));
         starts += late_starts(&drain_at(step + 1, &freeze)).len();
     }
     // Only calls that were sent before the freeze may still start tasks.
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -368,11 +368,11 @@
             Event::CallArrives(i, n, epoch, id, called_at, call, ttl) => {
                 let w = i - self.entries;
                 if self.workers[w].frozen && self.workers[w].epoch == epoch {
-                    let again = Event::CallArrives(i, n, epoch, id, called_at, call, ttl);
+                    let postponed = Event::CallArrives(i, n, epoch, id, called_at, call, ttl);
                     self.frozen_events
                         .entry(usize::MAX - w)
                         .or_default()
-                        .push(again);
+                        .push(postponed);
                     return;
                 }
                 let reply = self.call(w, epoch, &call, ttl);
@@ -453,12 +453,12 @@
                 address: "127.0.0.1:1".into(),
             }
         } else if node.ledger.membership.planner() == Some(&node.name) {
-            let is_gone = |name: &&Name| {
+            let should_remove = |name: &&Name| {
                 let peer = node.roster.peer(name);
                 let silent = |at| now.since(at) > Duration::from_millis(ENTRY_REMOVAL_SILENCE_MS);
                 **name != node.name && peer.is_some_and(|p| silent(p.heard))
             };
-            let Some(entry) = entries.keys().find(is_gone).cloned() else {
+            let Some(entry) = entries.keys().find(should_remove).cloned() else {
                 return;
             };
             RecordBody::EntryLeft { entry }
@@ -759,11 +759,11 @@
 
     /// Returns whether both processes are linked to the current incarnation of the other.
     fn are_linked(&self, a: usize, b: usize) -> bool {
-        let knows = |a: usize, b: usize| {
+        let is_linked_to = |a: usize, b: usize| {
             let peer = self.nodes[a].roster.peer(&self.nodes[b].name);
             peer.is_some_and(|p| p.linked && p.peer == self.nodes[b].peer())
         };
-        knows(a, b) && knows(b, a)
+        is_linked_to(a, b) && is_linked_to(b, a)
     }
 
     fn unlink(&mut self, a: usize, b: usize) {
@@ -848,8 +848,8 @@
             Fault::Drain(d) => {
                 *self.domains_out.entry(d).or_default() -= 1;
                 if self.domains_out[&d] == 0 {
-                    let open = self.outages.iter_mut().rfind(|o| o.domain == d);
-                    open.expect("the domain is out of service").to = self.now;
+                    let outage = self.outages.iter_mut().rfind(|o| o.domain == d);
+                    outage.expect("the domain is out of service").to = self.now;
                     self.edit();
                 }
             }
--- a/dragonflyrun/tests/gang_world/worker.rs
+++ b/dragonflyrun/tests/gang_world/worker.rs
@@ -132,14 +132,14 @@
             }
             if let (LeaseState::Running, Some(run)) = (lease.state, &mut lease.run) {
                 run.started_at += gap;
-                let again = RunRecord {
+                let resumed = RunRecord {
                     fresh_start: false,
                     start: now,
                     end: None,
                     ..self.run_records[run.record].clone()
                 };
                 run.record = self.run_records.len();
-                self.run_records.push(again);
+                self.run_records.push(resumed);
             }
         }
     }
@@ -228,7 +228,11 @@
                 Err(WorkerError::NotFree)
             };
         }
-        let work = if broken { (0, false) } else { work(tasks) };
+        let work = if broken {
+            (0, false)
+        } else {
+            planned_work(tasks)
+        };
         lease.state = LeaseState::Running;
         lease.run = Some(Run {
             tasks: tasks.clone(),
@@ -315,7 +319,7 @@
 }
 
 /// Returns the milliseconds of work of the tasks, and whether they succeed.
-fn work(tasks: &StartTasks) -> (u64, bool) {
+fn planned_work(tasks: &StartTasks) -> (u64, bool) {
     let (verb, ms) = tasks
         .program
         .split_once(':')
--- a/dragonflyrun/tests/guarantee_reclaim.rs
+++ b/dragonflyrun/tests/guarantee_reclaim.rs
@@ -328,7 +328,7 @@
         let mut free_workers: Vec<FreeWorker> = usable
             .map(|worker| FreeWorker {
                 worker: worker.clone(),
-                left: worker.accelerators,
+                free: worker.accelerators,
             })
             .collect();
         for a in allotments.iter().filter(|a| a.held) {
@@ -337,7 +337,7 @@
                     .iter_mut()
                     .filter(|r| r.worker.name == p.worker)
                 {
-                    free_worker.left -= p.tasks * a.shape.accelerators;
+                    free_worker.free -= p.tasks * a.shape.accelerators;
                 }
             }
             let tasks: u32 = a.placements.iter().map(|p| p.tasks).sum();
--- a/dragonflyrun/tests/job_table.rs
+++ b/dragonflyrun/tests/job_table.rs
@@ -157,11 +157,11 @@
     table.fold(3, &repeated(&before));
     assert!(live(&table).cancelled);
     // A process that starts reading here takes the old state, and then the newer one that follows.
-    let mut late = JobTable::default();
-    late.fold(3, &repeated(&before));
-    assert!(!live(&late).cancelled);
-    late.fold(4, &repeated(live(&table)));
-    assert_eq!(live(&late), live(&table));
+    let mut late_table = JobTable::default();
+    late_table.fold(3, &repeated(&before));
+    assert!(!live(&late_table).cancelled);
+    late_table.fold(4, &repeated(live(&table)));
+    assert_eq!(live(&late_table), live(&table));
     table.fold(5, &ended());
     table.fold(6, &repeated(&before));
     assert!(table.live(&job()).is_none());
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -235,22 +235,25 @@
     }
     let head = planner.log.len() as u64;
     let first = u.int_in_range(1..=head - KEPT_RECORDS)?;
-    let mut late = Ledger::default();
-    late.skip_to(first);
+    let mut late_ledger = Ledger::default();
+    late_ledger.skip_to(first);
     for offset in first..head {
-        fold(&mut late, &planner.log, offset);
+        fold(&mut late_ledger, &planner.log, offset);
     }
-    late.reached_head();
-    assert!(late.is_whole(), "no record named the planner");
+    late_ledger.reached_head();
+    assert!(late_ledger.is_whole(), "no record named the planner");
     assert_eq!(
-        late.membership.carried(),
+        late_ledger.membership.carried(),
         planner.ledger.membership.carried()
     );
-    let (known, expected) = (late.history.current(), planner.ledger.history.current());
+    let (known, expected) = (
+        late_ledger.history.current(),
+        planner.ledger.history.current(),
+    );
     assert_eq!(known.offset, expected.offset);
     assert_eq!(known.document, expected.document);
-    assert_eq!(live_jobs(&late), live_jobs(&planner.ledger));
-    let names: HashSet<Name> = live_jobs(&late).into_iter().map(|l| l.job).collect();
+    assert_eq!(live_jobs(&late_ledger), live_jobs(&planner.ledger));
+    let names: HashSet<Name> = live_jobs(&late_ledger).into_iter().map(|l| l.job).collect();
     assert!(!names.is_empty(), "the test has no live job");
     Ok(())
 }
