--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -1,8 +1,8 @@
-//! Measures what gangs cost an entry and an agent, by workers and by the size of the gangs, for
-//! `docs/CAPACITY.md`.
+//! Measures the time that gangs take in an entry and an agent, by number of workers and gang size,
+//! for `docs/CAPACITY.md`.
 //!
-//! Run with `cargo bench --bench gang_costs`. Times are the least of several runs, since anything
-//! else on the machine can only add to them.
+//! Run with `cargo bench --bench gang_costs`. Each time is the minimum of several runs, since other
+//! load on the machine can only add to it.
 
 use std::{
     hint::black_box,
@@ -33,14 +33,14 @@
 
 const WORKERS: [u32; 4] = [11, 110, 1_100, 5_500];
 
-/// Members on one worker at the size of two years on: 160,000 tasks on 5,500 workers.
-const MEMBERS: u32 = 29;
+/// Gang members on one worker at the size expected in two years: 160,000 tasks on 5,500 workers.
+const MEMBERS_PER_WORKER: u32 = 29;
 
 const GANGS: [u32; 2] = [8, 256];
 const RUNS: u32 = 5;
 
-/// The time between two heartbeats of one agent.
-const BEAT_MS: u64 = 250;
+/// Time between two heartbeats of an agent.
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 fn main() {
     println!(
@@ -49,18 +49,18 @@
     );
     for gang in GANGS {
         for workers in WORKERS {
-            entry(workers, gang.min(workers));
+            measure_entry(workers, gang.min(workers));
         }
     }
-    agent();
+    measure_agent();
 }
 
-fn row(what: &str, workers: u32, gang: u32, time: Duration) {
+fn print_row(what: &str, workers: u32, gang: u32, time: Duration) {
     let time = format!("{:.2} us", time.as_secs_f64() * 1e6);
     println!("{what:<46} {workers:>8} {gang:>6} {time:>12}");
 }
 
-/// Returns the time of one call, as the least mean of several runs of `calls` calls.
+/// Returns the time of one call: the minimum over several runs of the mean of `calls` calls.
 fn time_of(calls: u32, mut call: impl FnMut(u32)) -> Duration {
     let times = (0..RUNS).map(|_| {
         let start = Instant::now();
@@ -79,19 +79,21 @@
     workers: u32,
 }
 
-fn entry(workers: u32, gang: u32) {
+fn measure_entry(workers: u32, gang: u32) {
     let mut entry = Entry::new(workers, gang);
     entry.tick();
-    let answered = (0..workers).filter(|w| entry.beat(*w, None)).count();
+    let answered = (0..workers)
+        .filter(|w| entry.take_heartbeat(*w, None))
+        .count();
     assert_eq!(
         answered, workers as usize,
         "every agent's gangs are renewed"
     );
     let calls = workers * 4;
     let beat = time_of(calls, |i| {
-        entry.beat(i % workers, None);
+        entry.take_heartbeat(i % workers, None);
     });
-    row(
+    print_row(
         "entry: unchanged heartbeat, 29 members",
         workers,
         gang,
@@ -99,16 +101,16 @@
     );
     let changed = time_of(workers.min(1_000), |i| {
         let state = [MemberState::Reserved, MemberState::Running][i as usize % 2];
-        entry.beat(i % workers, Some(state));
+        entry.take_heartbeat(i % workers, Some(state));
     });
-    row(
+    print_row(
         "entry: heartbeat in which one has changed",
         workers,
         gang,
         changed,
     );
     let tick = time_of(20, |_| entry.tick());
-    row("entry: tick", workers, gang, tick);
+    print_row("entry: tick", workers, gang, tick);
 }
 
 impl Entry {
@@ -130,16 +132,16 @@
                 incarnation: 1,
             };
             entry.roster.up(Timestamp::from_millis(0), peer);
-            entry.beat(worker, Some(MemberState::Running));
+            entry.take_heartbeat(worker, Some(MemberState::Running));
         }
         entry
     }
 
-    /// Takes a heartbeat; `first` is the state of the agent's first member, where the heartbeat
-    /// carries a report. Returns whether it was answered with a renewal.
-    fn beat(&mut self, worker: u32, first: Option<MemberState>) -> bool {
-        // All agents send within the time of one heartbeat.
-        self.now += u64::from(worker == 0) * BEAT_MS;
+    /// Handles a heartbeat and returns whether it was answered with a renewal. `first` is the state
+    /// of the agent's first member if the heartbeat has a report.
+    fn take_heartbeat(&mut self, worker: u32, first: Option<MemberState>) -> bool {
+        // All agents send once within each heartbeat interval.
+        self.now += u64::from(worker == 0) * HEARTBEAT_INTERVAL_MS;
         let now = Timestamp::from_millis(self.now);
         let heartbeat = Heartbeat {
             sent_ms: self.now,
@@ -150,9 +152,9 @@
         };
         self.roster.heard(now, &name(worker), heartbeat);
         let peer = self.roster.peer(&name(worker)).expect("it is linked");
-        let notices = self.table.on_heartbeat(now, peer);
+        let messages = self.table.on_heartbeat(now, peer);
         let is_renewal = |m: &GangMessage| matches!(m, GangMessage::Renewal { .. });
-        black_box(notices.iter().any(|n| is_renewal(&n.message)))
+        black_box(messages.iter().any(|n| is_renewal(&n.message)))
     }
 
     fn tick(&mut self) {
@@ -163,7 +165,7 @@
     }
 
     fn report(&self, worker: u32, first: MemberState) -> Report {
-        let members = (0..MEMBERS).map(|member| MemberReport {
+        let members = (0..MEMBERS_PER_WORKER).map(|member| MemberReport {
             number: u64::from(member) + 1,
             gang: gang_id(member, worker / self.gang),
             members: self.members_of(worker),
@@ -183,17 +185,17 @@
         })
     }
 
-    /// How many of the workers share the gangs of `worker`.
+    /// Returns the number of workers that share the gangs of `worker`.
     fn members_of(&self, worker: u32) -> u32 {
         let first = worker / self.gang * self.gang;
         self.gang.min(self.workers - first)
     }
 }
 
-fn agent() {
+fn measure_agent() {
     let mut members = Members::new(Timestamp::from_millis(0));
     members.calls(Timestamp::from_millis(0));
-    let leases = (0..MEMBERS).map(|member| WorkerLease {
+    let leases = (0..MEMBERS_PER_WORKER).map(|member| WorkerLease {
         lease: LeaseName {
             gang: gang_id(member, 0),
             member: 0,
@@ -215,17 +217,22 @@
     let reports = time_of(2_000, |_| {
         black_box(members.reports());
     });
-    row("agent: report of 29 members", 1, 8, reports);
-    let look = time_of(2_000, |i| {
+    print_row("agent: report of 29 members", 1, 8, reports);
+    let read_leases = time_of(2_000, |i| {
         let now = Timestamp::from_millis(2 + u64::from(i) / 100);
         members.on_leases(now, now, &view);
         black_box(members.calls(now));
     });
-    row("agent: look at 29 leases, and the calls due", 1, 8, look);
+    print_row(
+        "agent: look at 29 leases, and the calls due",
+        1,
+        8,
+        read_leases,
+    );
     let renewal = GangMessage::Renewal {
         echo_ms: 10_000_000,
         age_ms: 750,
-        members: (1..=u64::from(MEMBERS)).collect(),
+        members: (1..=u64::from(MEMBERS_PER_WORKER)).collect(),
     };
     let bytes = codec::encode(&Message::Gang(renewal)).len();
     println!("renewal of 29 members: {bytes} bytes");
--- a/dragonflyrun/benches/measures/simulation/figures.rs
+++ b/dragonflyrun/benches/measures/simulation/figures.rs
@@ -1,38 +1,41 @@
-//! The figures of one run.
+//! The measures of one run.
 
 use dragonflyrun::version::Urgency;
 use serde::{Deserialize, Serialize};
 
-use super::world::{Job, LARGE};
+use super::world::{Job, LARGE_JOB_ACCELERATORS};
 
-/// Completion times of a kind of jobs, from submission to end, in seconds.
+/// Completion times of one kind of jobs, from submission to end, in seconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub(crate) struct Spread {
+pub(crate) struct CompletionTimes {
     pub(crate) jobs: usize,
     pub(crate) median_s: f64,
     pub(crate) p99_s: f64,
-    /// The 99th percentile over that of the run times alone, which no policy can go below.
+    /// The 99th percentile relative to that of the run times alone, which is a lower bound for
+    /// every policy.
     pub(crate) p99_over_bound: f64,
 }
 
-/// What one run gave.
+/// The measures of one run.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Figures {
-    pub(crate) urgent: Spread,
-    pub(crate) normal: Spread,
-    pub(crate) patient: Spread,
-    pub(crate) large: Spread,
+    pub(crate) urgent: CompletionTimes,
+    pub(crate) normal: CompletionTimes,
+    pub(crate) patient: CompletionTimes,
+    pub(crate) large: CompletionTimes,
     /// The longest wait of a large job for its first start, in seconds.
     pub(crate) large_longest_wait_s: f64,
-    /// The time until the last end over the larger of work over capacity and the longest job.
+    /// The time until the last job ends, relative to a lower bound: the larger of the total work
+    /// divided by the capacity and the earliest possible end of any single job.
     pub(crate) makespan_over_bound: f64,
-    /// The share of idle accelerators that could not serve the largest waiting shape, by time.
+    /// The share of idle accelerator time at which the largest waiting job did not fit.
     pub(crate) fragmentation: f64,
-    /// The same accelerators as a share of all that could work.
+    /// The same accelerator time as a share of that of all usable accelerators.
     pub(crate) fragmentation_of_all: f64,
-    /// Useful work while a failure domain was out, as a share of what was left allowed.
+    /// Work while a failure domain was out of service, as a share of what the remaining capacity
+    /// and the demand allowed.
     pub(crate) drain_share: f64,
-    /// Accelerator-seconds lost to evictions without checkpoint.
+    /// Accelerator-seconds lost in evictions without a checkpoint.
     pub(crate) lost_to_evictions_s: f64,
     /// Accelerator-seconds lost to failures and cancellations.
     pub(crate) lost_to_failures_s: f64,
@@ -47,7 +50,7 @@
     #[serde(skip)]
     pub(super) idle_ms: u64,
     #[serde(skip)]
-    pub(super) able_ms: u64,
+    pub(super) usable_ms: u64,
     #[serde(skip)]
     pub(super) fragmented_ms: u64,
     #[serde(skip)]
@@ -63,18 +66,21 @@
 impl Figures {
     pub(super) fn finish(&mut self, jobs: &[Job], accelerators: u32) {
         let urgency = |u: Urgency| jobs.iter().filter(move |j| j.plan.spec.urgency == u);
-        self.urgent = Spread::of(urgency(Urgency::Urgent));
-        self.normal = Spread::of(urgency(Urgency::Normal));
-        self.patient = Spread::of(urgency(Urgency::Patient));
-        let large = || jobs.iter().filter(|j| j.accelerators() >= LARGE);
-        self.large = Spread::of(large());
+        self.urgent = CompletionTimes::of(urgency(Urgency::Urgent));
+        self.normal = CompletionTimes::of(urgency(Urgency::Normal));
+        self.patient = CompletionTimes::of(urgency(Urgency::Patient));
+        let large = || {
+            jobs.iter()
+                .filter(|j| j.accelerators() >= LARGE_JOB_ACCELERATORS)
+        };
+        self.large = CompletionTimes::of(large());
         let times = large().filter_map(|j| Some(seconds(j.finished? - j.live_since())));
         self.large_times_s = times.collect();
         let waits = large().filter_map(|j| Some(j.first_start? - j.live_since()));
         self.large_longest_wait_s = seconds(waits.max().unwrap_or(0));
         self.makespan_over_bound = makespan_over_bound(jobs, accelerators);
         self.fragmentation = share(self.fragmented_ms, self.idle_ms);
-        self.fragmentation_of_all = share(self.fragmented_ms, self.able_ms);
+        self.fragmentation_of_all = share(self.fragmented_ms, self.usable_ms);
         self.drain_share = share(self.drain_work_ms, self.drain_allowed_ms);
         self.lost_to_evictions_s = seconds(self.lost_to_evictions_ms);
         self.lost_to_failures_s = seconds(self.lost_to_failures_ms);
@@ -91,7 +97,7 @@
     }
 }
 
-impl Spread {
+impl CompletionTimes {
     fn of<'a>(jobs: impl Iterator<Item = &'a Job>) -> Self {
         let finished = jobs.filter_map(|j| Some((j.finished? - j.live_since(), j.plan.run_ms)));
         let (mut times, mut bounds): (Vec<u64>, Vec<u64>) = finished.unzip();
@@ -125,7 +131,7 @@
     jobs.iter().filter(which).count() as u32
 }
 
-/// Returns the value below which `percent` of `sorted` lie.
+/// Returns the percentile `percent` of the sorted values.
 fn percentile(sorted: &[u64], percent: usize) -> u64 {
     let at = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
     sorted.get(at).copied().unwrap_or(0)
--- a/dragonflyrun/benches/measures/simulation/naive.rs
+++ b/dragonflyrun/benches/measures/simulation/naive.rs
@@ -1,7 +1,8 @@
-//! The naive policy: first come first served, first fit, nothing learned and nothing reserved.
+//! The naive policy: first come, first served with first fit, without estimates or reservations.
 //!
-//! Each pass starts every waiting job that fits, in the order of arrival. It knows no guarantee,
-//! so an owner whose shape is in use waits. A failure domain out of service is emptied.
+//! Each pass starts every waiting job that fits, in the order of arrival. The policy ignores
+//! guarantees, so an owner whose shape is in use waits. It evicts all jobs from a failure domain
+//! out of service.
 
 use std::{
     collections::BTreeMap,
@@ -18,7 +19,7 @@
 
 use super::Policy;
 
-/// First come first served with first fit.
+/// First come, first served with first fit.
 #[derive(Default)]
 pub(crate) struct Naive {
     version: Option<Arc<Version>>,
@@ -26,7 +27,7 @@
     waiting: BTreeMap<u64, LiveJob>,
     running: HashMap<JobId, (JobSpec, Vec<Placement>)>,
     stopping: HashSet<JobId>,
-    stale: bool,
+    needs_pass: bool,
 }
 
 impl Naive {
@@ -50,8 +51,8 @@
             .collect()
     }
 
-    /// Returns the waiting jobs that fit, the oldest first, with where they do.
-    fn that_fit(&self) -> Vec<(LiveJob, Vec<Placement>)> {
+    /// Returns the waiting jobs that fit, the oldest first, with their placements.
+    fn startable_jobs(&self) -> Vec<(LiveJob, Vec<Placement>)> {
         let mut free = self.free();
         let mut fit = Vec::new();
         for live in self.waiting.values() {
@@ -73,29 +74,30 @@
         version.is_some_and(|v| v.in_service(&info.failure_domain))
     }
 
-    /// Returns the first workers, in their order, that hold the job with its adjacency.
+    /// Returns a placement on the first workers, in their order, that hold the job within its
+    /// adjacency.
     pub(crate) fn first_fit(free: &[(&WorkerInfo, u32)], spec: &JobSpec) -> Option<Vec<Placement>> {
-        let near = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
+        let adjacent = |a: &WorkerInfo, b: &WorkerInfo| match spec.adjacency {
             Adjacency::Any => true,
             Adjacency::FailureDomain => a.failure_domain == b.failure_domain,
             Adjacency::Rack => a.rack == b.rack,
             Adjacency::Worker => a.name == b.name,
         };
-        let scopes = free.chunk_by(|(a, _), (b, _)| near(a, b));
+        let scopes = free.chunk_by(|(a, _), (b, _)| adjacent(a, b));
         let slots = |left: &u32| left / spec.accelerators;
-        let mut whole = scopes.filter(|scope| {
+        let mut fitting_scopes = scopes.filter(|scope| {
             let slots: u32 = scope.iter().map(|(_, left)| slots(left)).sum();
             slots >= spec.tasks
         });
         let mut tasks = spec.tasks;
         let mut placements = Vec::new();
-        for (info, left) in whole.next()? {
-            let here = tasks.min(slots(left));
-            if here > 0 {
-                tasks -= here;
+        for (info, left) in fitting_scopes.next()? {
+            let placed_tasks = tasks.min(slots(left));
+            if placed_tasks > 0 {
+                tasks -= placed_tasks;
                 placements.push(Placement {
                     worker: info.name.clone(),
-                    tasks: here,
+                    tasks: placed_tasks,
                 });
             }
         }
@@ -106,12 +108,12 @@
 impl Policy for Naive {
     fn configure(&mut self, version: &Arc<Version>) {
         self.version = Some(version.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn worker_up(&mut self, _now: Timestamp, info: WorkerInfo) {
         self.workers.insert(info.name.clone(), (info, true));
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn worker_down(&mut self, _now: Timestamp, worker: &Name) {
@@ -124,14 +126,14 @@
         self.running.remove(&job.job);
         self.stopping.remove(&job.job);
         self.waiting.insert(job.accepted, job.clone());
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn job_gone(&mut self, _now: Timestamp, job: &JobId) {
         self.running.remove(job);
         self.stopping.remove(job);
         self.waiting.retain(|_, w| w.job != *job);
-        self.stale = true;
+        self.needs_pass = true;
     }
 
     fn start_failed(&mut self, _now: Timestamp, _worker: &Name) {}
@@ -147,7 +149,7 @@
     }
 
     fn decide(&mut self, _now: Timestamp) -> Vec<Decision> {
-        if !std::mem::take(&mut self.stale) {
+        if !std::mem::take(&mut self.needs_pass) {
             return Vec::new();
         }
         let mut decisions = Vec::new();
@@ -169,7 +171,7 @@
                 self.stopping.insert(job.clone());
             }
         }
-        for (live, placements) in self.that_fit() {
+        for (live, placements) in self.startable_jobs() {
             self.waiting.remove(&live.accepted);
             let held = (live.spec, placements.clone());
             self.running.insert(live.job.clone(), held);
--- a/dragonflyrun/benches/measures/simulation/world.rs
+++ b/dragonflyrun/benches/measures/simulation/world.rs
@@ -1,5 +1,5 @@
-//! The event loop: a fake clock, fake workers, and a planner that carries out what the policy
-//! decides.
+//! The event loop: a simulated clock, simulated workers and a planner that carries out the
+//! decisions of the policy.
 
 use std::{
     cmp::Reverse,
@@ -19,35 +19,36 @@
     workload::{PlannedJob, WorkerSpan},
 };
 
-/// From a decision to tasks that run: reservation, record on the log, go.
+/// Time from a decision to running tasks: reservation, start record and start order.
 const START_MS: u64 = 400;
 
-/// A stop with a checkpoint.
+/// Time of a stop with a checkpoint.
 const STOP_MS: u64 = 1_500;
 
-/// A stop of a member that doesn't answer: its lease has lapsed for certain.
-const LAPSE_MS: u64 = 6_000;
+/// Time of a stop in which a member doesn't answer: its lease has certainly lapsed by then.
+const LEASE_LAPSE_MS: u64 = 6_000;
 
-/// The share of stops in which a member doesn't answer, and no checkpoint is saved.
-const SILENT_STOPS: f64 = 0.03;
+/// Share of stops in which a member doesn't answer and no checkpoint is saved.
+const SILENT_STOP_SHARE: f64 = 0.03;
 
-/// The start from a checkpoint, during which no work is done.
+/// Time to restore a checkpoint at a start, during which no work is done.
 const RESTORE_MS: u64 = 5_000;
 
-/// Silence after which a worker counts as lost.
-const SILENCE_MS: u64 = 2_000;
+/// Time after which a dead worker is reported as down to the policy.
+const WORKER_SILENCE_MS: u64 = 2_000;
 
-/// How long an owner may wait for a guaranteed shape: a stop that lapses, a start, and a tick.
-pub(crate) const RECLAIM_BOUND_MS: u64 = LAPSE_MS + START_MS + 2 * TICK_MS;
+/// Maximum time that an owner may wait for a guaranteed shape: a stop that lapses, a start and two
+/// ticks.
+pub(crate) const RECLAIM_BOUND_MS: u64 = LEASE_LAPSE_MS + START_MS + 2 * TICK_MS;
 
-/// How often the policy is asked while nothing happens.
+/// Interval at which the policy is asked for decisions while nothing else happens.
 const TICK_MS: u64 = 1_000;
 
-/// When the first job may arrive; the workers have been up for a while then.
+/// Time of the earliest job; the policy has known the workers for a while by then.
 pub(crate) const CLOCK_START_MS: u64 = 10_000;
 
-/// Jobs of at least so many accelerators count as large: two whole workers.
-pub(crate) const LARGE: u32 = 16;
+/// Minimum number of accelerators of a large job: two whole workers.
+pub(crate) const LARGE_JOB_ACCELERATORS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
@@ -56,28 +57,28 @@
     Ended(usize, u32),
     Stopped(usize, u32),
     Usage(usize),
-    DrainFrom,
-    DrainTo,
-    OutageFrom,
-    OutageTo,
+    DrainStarts,
+    DrainEnds,
+    OutageStarts,
+    OutageEnds,
     WorkerDies(usize),
     WorkerSilent(usize),
-    WorkerBack(usize),
+    WorkerReturns(usize),
     Cancel(usize),
     Tick,
 }
 
-/// Where a job is.
+/// The stage of a job in its life cycle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    Unborn,
-    Waits,
-    Starts,
-    /// It has run since then, or is being restored until then.
-    Runs(u64),
-    /// It is being stopped, with or without a member that does not answer.
-    Stops,
-    Over,
+    NotArrived,
+    Waiting,
+    Starting,
+    /// Time since which the job works; in the future while a checkpoint is restored.
+    Running(u64),
+    /// The job is being stopped; a member may not answer.
+    Stopping,
+    Ended,
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +86,7 @@
     pub(super) plan: PlannedJob,
     pub(super) live: LiveJob,
     pub(super) stage: Stage,
-    /// Work that was done and saved.
+    /// Work saved in checkpoints, in milliseconds.
     saved_ms: u64,
     pub(super) first_start: Option<u64>,
     pub(super) finished: Option<u64>,
@@ -98,8 +99,11 @@
         self.plan.spec.tasks * self.plan.spec.accelerators
     }
 
-    fn holds(&self) -> bool {
-        matches!(self.stage, Stage::Starts | Stage::Runs(_) | Stage::Stops)
+    fn holds_accelerators(&self) -> bool {
+        matches!(
+            self.stage,
+            Stage::Starting | Stage::Running(_) | Stage::Stopping
+        )
     }
 }
 
@@ -125,7 +129,7 @@
 }
 
 impl<'a> World<'a> {
-    /// Runs `workload` with the jobs of `seed` under `policy` until all jobs are over.
+    /// Runs `workload` with the jobs of `seed` under `policy` until all jobs have ended.
     pub(crate) fn run(workload: &'a Workload, seed: u64, policy: &'a mut dyn Policy) -> Figures {
         let workers = workload.workers();
         let jobs: Vec<Job> = workload.jobs(seed).into_iter().zip(0..).map(job).collect();
@@ -158,12 +162,12 @@
         };
         world.prepare();
         while let Some(Reverse((at, _, event))) = world.events.pop() {
-            world.account(at);
+            world.record_until(at);
             world.now_ms = at;
             world.handle(event);
             world.decide();
             if event == Event::Tick && !world.is_over() {
-                world.watch_guarantees();
+                world.count_violations();
                 world.push(at + TICK_MS, Event::Tick);
             }
         }
@@ -182,18 +186,18 @@
         }
         self.policy.decide(Timestamp::from_millis(CLOCK_START_MS));
         self.now_ms = CLOCK_START_MS;
-        for at in 0..self.jobs.len() {
+        for index in 0..self.jobs.len() {
             self.push(
-                CLOCK_START_MS + self.jobs[at].plan.arrives_ms,
-                Event::Arrive(at),
+                CLOCK_START_MS + self.jobs[index].plan.arrives_ms,
+                Event::Arrive(index),
             );
         }
         let events = self.workload.events.clone();
-        self.push(events.drain.from_s * 1_000, Event::DrainFrom);
-        self.push(events.drain.to_s * 1_000, Event::DrainTo);
+        self.push(events.drain.from_s * 1_000, Event::DrainStarts);
+        self.push(events.drain.to_s * 1_000, Event::DrainEnds);
         for outage in &events.log_outages {
-            self.push(outage.from_s * 1_000, Event::OutageFrom);
-            self.push(outage.to_s * 1_000, Event::OutageTo);
+            self.push(outage.from_s * 1_000, Event::OutageStarts);
+            self.push(outage.to_s * 1_000, Event::OutageEnds);
         }
         for WorkerSpan {
             worker,
@@ -202,11 +206,14 @@
         } in events.lost_workers
         {
             self.push(from_s * 1_000, Event::WorkerDies(worker));
-            self.push(from_s * 1_000 + SILENCE_MS, Event::WorkerSilent(worker));
-            self.push(to_s * 1_000, Event::WorkerBack(worker));
+            self.push(
+                from_s * 1_000 + WORKER_SILENCE_MS,
+                Event::WorkerSilent(worker),
+            );
+            self.push(to_s * 1_000, Event::WorkerReturns(worker));
         }
-        for (cancellation, at) in events.cancellations.iter().zip(0..) {
-            self.push(cancellation.at_s * 1_000, Event::Cancel(at));
+        for (cancellation, index) in events.cancellations.iter().zip(0..) {
+            self.push(cancellation.at_s * 1_000, Event::Cancel(index));
         }
         self.push(self.now_ms, Event::Tick);
     }
@@ -221,11 +228,11 @@
     }
 
     fn is_over(&self) -> bool {
-        self.live.is_empty() && self.jobs.iter().all(|j| j.stage == Stage::Over)
+        self.live.is_empty() && self.jobs.iter().all(|j| j.stage == Stage::Ended)
     }
 
     fn handle(&mut self, event: Event) {
-        // What needs a record on the log waits until the log is back.
+        // Events that need a record on the log wait until the outage ends.
         if let Some(until) = self.outage_until
             && let Event::Arrive(_) | Event::Stopped(..) | Event::Started(..) = event
         {
@@ -233,71 +240,78 @@
             return;
         }
         match event {
-            Event::Arrive(at) => self.arrive(at),
-            Event::Started(at, attempt) if self.is_current(at, attempt) => self.started(at),
-            Event::Ended(at, attempt) if self.is_current(at, attempt) => self.ended(at),
-            Event::Stopped(at, attempt) if self.is_current(at, attempt) => self.stopped(at),
+            Event::Arrive(index) => self.arrive(index),
+            Event::Started(index, attempt) if self.is_current(index, attempt) => {
+                self.started(index)
+            }
+            Event::Ended(index, attempt) if self.is_current(index, attempt) => self.ended(index),
+            Event::Stopped(index, attempt) if self.is_current(index, attempt) => {
+                self.stopped(index)
+            }
             Event::Started(..) | Event::Ended(..) | Event::Stopped(..) => {}
-            Event::Usage(at) => {
+            Event::Usage(index) => {
                 let report = UsageReport {
-                    job: self.jobs[at].live.job.clone(),
-                    ran_ms: self.jobs[at].plan.run_ms,
+                    job: self.jobs[index].live.job.clone(),
+                    ran_ms: self.jobs[index].plan.run_ms,
                     finished: true,
                 };
                 self.policy.usage(self.now(), &report);
             }
-            Event::DrainFrom => self.configure(true),
-            Event::DrainTo => self.configure(false),
-            Event::OutageFrom => {
+            Event::DrainStarts => self.configure(true),
+            Event::DrainEnds => self.configure(false),
+            Event::OutageStarts => {
                 let outages = &self.workload.events.log_outages;
                 let this = outages.iter().find(|o| o.from_s * 1_000 == self.now_ms);
                 self.outage_until = this.map(|o| o.to_s * 1_000);
             }
-            Event::OutageTo => self.outage_until = None,
+            Event::OutageEnds => self.outage_until = None,
             Event::WorkerDies(worker) => self.dead[worker] = true,
-            Event::WorkerSilent(worker) => self.lose(worker),
-            Event::WorkerBack(worker) => {
+            Event::WorkerSilent(worker) => self.worker_lost(worker),
+            Event::WorkerReturns(worker) => {
                 self.dead[worker] = false;
                 let info = self.workers[worker].clone();
                 self.policy.worker_up(self.now(), info);
             }
-            Event::Cancel(at) => self.cancel(self.workload.events.cancellations[at].share),
+            Event::Cancel(index) => self.cancel(self.workload.events.cancellations[index].share),
             Event::Tick => {}
         }
     }
 
-    fn is_current(&self, at: usize, attempt: u32) -> bool {
-        self.jobs[at].live.attempt == attempt && self.jobs[at].stage != Stage::Over
+    fn is_current(&self, index: usize, attempt: u32) -> bool {
+        self.jobs[index].live.attempt == attempt && self.jobs[index].stage != Stage::Ended
     }
 
-    fn arrive(&mut self, at: usize) {
-        if !self.policy.is_possible(&self.jobs[at].plan.spec) {
-            assert!(self.jobs[at].plan.impossible, "a possible job was refused");
-            self.jobs[at].refused = true;
-            self.jobs[at].stage = Stage::Over;
+    fn arrive(&mut self, index: usize) {
+        if !self.policy.is_possible(&self.jobs[index].plan.spec) {
+            assert!(
+                self.jobs[index].plan.impossible,
+                "a possible job was refused"
+            );
+            self.jobs[index].refused = true;
+            self.jobs[index].stage = Stage::Ended;
             return;
         }
-        self.live.insert(at, ());
-        self.wait(at);
+        self.live.insert(index, ());
+        self.enqueue(index);
     }
 
-    fn wait(&mut self, at: usize) {
-        self.jobs[at].stage = Stage::Waits;
-        self.jobs[at].live.placements.clear();
+    fn enqueue(&mut self, index: usize) {
+        self.jobs[index].stage = Stage::Waiting;
+        self.jobs[index].live.placements.clear();
         let now = self.now();
-        self.policy.job_waits(now, &self.jobs[at].live);
+        self.policy.job_waits(now, &self.jobs[index].live);
     }
 
-    fn started(&mut self, at: usize) {
-        if self.jobs[at].stage != Stage::Starts {
+    fn started(&mut self, index: usize) {
+        if self.jobs[index].stage != Stage::Starting {
             return;
         }
-        let placements = self.jobs[at].live.placements.clone();
+        let placements = self.jobs[index].live.placements.clone();
         let now = self.now();
         let mut failed = false;
         for p in &placements {
             let worker = self.by_name[&p.worker];
-            if self.fails(worker) {
+            if self.is_failing(worker) {
                 self.policy.start_failed(now, &p.worker);
                 failed = true;
             } else if !self.dead[worker] {
@@ -308,23 +322,23 @@
         }
         if failed {
             self.figures.failed_starts += 1;
-            self.release(at);
-            self.wait(at);
+            self.release(index);
+            self.enqueue(index);
             return;
         }
-        let job = &mut self.jobs[at];
+        let job = &mut self.jobs[index];
         job.first_start.get_or_insert(self.now_ms);
         let restored = match job.saved_ms {
             0 => self.now_ms,
             _ => self.now_ms + RESTORE_MS,
         };
-        job.stage = Stage::Runs(restored);
+        job.stage = Stage::Running(restored);
         let ends = restored + job.plan.run_ms - job.saved_ms;
         let attempt = job.live.attempt;
-        self.push(ends, Event::Ended(at, attempt));
+        self.push(ends, Event::Ended(index, attempt));
     }
 
-    fn fails(&self, worker: usize) -> bool {
+    fn is_failing(&self, worker: usize) -> bool {
         let spans = &self.workload.events.failing_workers;
         let now_s = self.now_ms / 1_000;
         spans
@@ -332,64 +346,64 @@
             .any(|s| s.worker == worker && (s.from_s..s.to_s).contains(&now_s))
     }
 
-    fn ended(&mut self, at: usize) {
-        // An end that an eviction has overtaken is no end: the checkpoint was taken before.
-        if !matches!(self.jobs[at].stage, Stage::Runs(_)) || self.is_broken(at) {
+    fn ended(&mut self, index: usize) {
+        // If an eviction has begun before the end, the job resumes from the checkpoint instead.
+        if !matches!(self.jobs[index].stage, Stage::Running(_)) || self.has_dead_member(index) {
             return;
         }
-        self.jobs[at].finished = Some(self.now_ms);
-        self.over(at);
+        self.jobs[index].finished = Some(self.now_ms);
+        self.end_job(index);
         let lag_ms = self.workload.events.usage_lag_s * 1_000;
-        self.push(self.now_ms + lag_ms, Event::Usage(at));
+        self.push(self.now_ms + lag_ms, Event::Usage(index));
     }
 
     /// Returns whether a member of the job is on a dead worker.
-    fn is_broken(&self, at: usize) -> bool {
-        let placements = &self.jobs[at].live.placements;
+    fn has_dead_member(&self, index: usize) -> bool {
+        let placements = &self.jobs[index].live.placements;
         placements
             .iter()
             .any(|p| self.dead[self.by_name[&p.worker]])
     }
 
-    fn over(&mut self, at: usize) {
-        self.release(at);
-        self.jobs[at].stage = Stage::Over;
-        self.live.remove(&at);
+    fn end_job(&mut self, index: usize) {
+        self.release(index);
+        self.jobs[index].stage = Stage::Ended;
+        self.live.remove(&index);
         let now = self.now();
-        self.policy.job_gone(now, &self.jobs[at].live.job);
+        self.policy.job_gone(now, &self.jobs[index].live.job);
     }
 
-    fn stopped(&mut self, at: usize) {
-        self.release(at);
-        if self.jobs[at].live.cancelled {
-            self.over(at);
+    fn stopped(&mut self, index: usize) {
+        self.release(index);
+        if self.jobs[index].live.cancelled {
+            self.end_job(index);
         } else {
-            self.wait(at);
+            self.enqueue(index);
         }
     }
 
-    fn release(&mut self, at: usize) {
-        if !self.jobs[at].holds() {
+    fn release(&mut self, index: usize) {
+        if !self.jobs[index].holds_accelerators() {
             return;
         }
-        let size = self.jobs[at].plan.spec.accelerators;
-        for p in std::mem::take(&mut self.jobs[at].live.placements) {
+        let size = self.jobs[index].plan.spec.accelerators;
+        for p in std::mem::take(&mut self.jobs[index].live.placements) {
             self.held[self.by_name[&p.worker]] -= p.tasks * size;
         }
     }
 
-    /// Begins to stop a job; work since the last checkpoint is kept if all members answer.
-    fn stop(&mut self, at: usize, evicted: bool) {
-        let job = &mut self.jobs[at];
+    /// Begins to stop a job. Its work since the start is saved if all members answer.
+    fn stop(&mut self, index: usize, evicted: bool) {
+        let job = &mut self.jobs[index];
         let since = match job.stage {
-            Stage::Runs(since) => since,
-            Stage::Starts => self.now_ms,
+            Stage::Running(since) => since,
+            Stage::Starting => self.now_ms,
             _ => return,
         };
         let draw = (job.plan.stop_draw + f64::from(job.live.attempt) * 0.618) % 1.0;
         let worked = self.now_ms.saturating_sub(since);
-        let silent = draw < SILENT_STOPS || self.is_broken(at);
-        let job = &mut self.jobs[at];
+        let silent = draw < SILENT_STOP_SHARE || self.has_dead_member(index);
+        let job = &mut self.jobs[index];
         if silent {
             let lost = worked * u64::from(job.accelerators());
             match evicted {
@@ -400,10 +414,10 @@
             job.saved_ms += worked;
             job.live.checkpointed = true;
         }
-        job.stage = Stage::Stops;
+        job.stage = Stage::Stopping;
         let attempt = job.live.attempt;
-        let takes = if silent { LAPSE_MS } else { STOP_MS };
-        self.push(self.now_ms + takes, Event::Stopped(at, attempt));
+        let stop_ms = if silent { LEASE_LAPSE_MS } else { STOP_MS };
+        self.push(self.now_ms + stop_ms, Event::Stopped(index, attempt));
     }
 
     fn configure(&mut self, drained: bool) {
@@ -414,35 +428,35 @@
         self.policy.configure(&self.version);
     }
 
-    /// A worker counts as lost: gangs with a member there are broken.
-    fn lose(&mut self, worker: usize) {
+    /// Reports a worker as down and stops the gangs that have a member on it.
+    fn worker_lost(&mut self, worker: usize) {
         let name = self.workers[worker].name.clone();
         let now = self.now();
         self.policy.worker_down(now, &name);
-        for at in self.live.keys().copied().collect::<Vec<_>>() {
-            let job = &self.jobs[at];
+        for index in self.live.keys().copied().collect::<Vec<_>>() {
+            let job = &self.jobs[index];
             if job.live.placements.iter().any(|p| p.worker == name) {
-                self.stop(at, false);
+                self.stop(index, false);
             }
         }
     }
 
     fn cancel(&mut self, share: f64) {
-        for at in self.live.keys().copied().collect::<Vec<_>>() {
-            let job = &mut self.jobs[at];
+        for index in self.live.keys().copied().collect::<Vec<_>>() {
+            let job = &mut self.jobs[index];
             if job.plan.cancel_draw >= share || job.live.cancelled {
                 continue;
             }
             job.live.cancelled = true;
             match job.stage {
-                Stage::Waits => self.over(at),
-                _ => self.stop(at, false),
+                Stage::Waiting => self.end_job(index),
+                _ => self.stop(index, false),
             }
         }
     }
 
     fn decide(&mut self) {
-        // Without the log the planner starts no gang and records no stop.
+        // Without the log the planner can neither start gangs nor record stops.
         if self.outage_until.is_some() {
             return;
         }
@@ -450,86 +464,93 @@
             match decision {
                 Decision::Start { job, placements } => self.start(self.by_id[&job], placements),
                 Decision::Evict { job, for_job } => {
-                    let at = self.by_id[&job];
+                    let index = self.by_id[&job];
                     self.figures.evictions += 1;
                     if let Some(for_job) = for_job
                         && self.reclaimed_for.insert(for_job)
                     {
                         self.figures.reclaims += 1;
                     }
-                    self.stop(at, true);
+                    self.stop(index, true);
                 }
                 Decision::Impossible { job, .. } => {
-                    let at = self.by_id[&job];
-                    assert!(self.jobs[at].plan.impossible, "a possible job was ended");
-                    self.jobs[at].refused = true;
-                    self.over(at);
+                    let index = self.by_id[&job];
+                    assert!(self.jobs[index].plan.impossible, "a possible job was ended");
+                    self.jobs[index].refused = true;
+                    self.end_job(index);
                 }
             }
         }
     }
 
-    /// Carries out a start after checking what no policy may get wrong.
-    fn start(&mut self, at: usize, placements: Vec<Placement>) {
-        let spec = self.jobs[at].plan.spec.clone();
-        assert_eq!(self.jobs[at].stage, Stage::Waits, "a job was started twice");
+    /// Carries out a start after checking that the placement is valid.
+    fn start(&mut self, index: usize, placements: Vec<Placement>) {
+        let spec = self.jobs[index].plan.spec.clone();
+        assert_eq!(
+            self.jobs[index].stage,
+            Stage::Waiting,
+            "a job was started twice"
+        );
         let used = placements.iter().map(|p| {
             let worker = &self.workers[self.by_name[&p.worker]];
             (worker, p.tasks * spec.accelerators)
         });
         let used: Vec<(&WorkerInfo, u32)> = used.collect();
-        let whole = Naive::first_fit(&used, &spec);
-        assert!(whole.is_some(), "the placement is not near enough");
+        let fit = Naive::first_fit(&used, &spec);
+        assert!(fit.is_some(), "the placement violates the adjacency");
         for (worker, accelerators) in used {
             let held = &mut self.held[self.by_name[&worker.name]];
             *held += accelerators;
-            assert!(*held <= worker.accelerators, "a worker was given too much");
+            assert!(
+                *held <= worker.accelerators,
+                "a worker was given more tasks than it has accelerators for"
+            );
             assert!(self.version.in_service(&worker.failure_domain));
         }
-        let job = &mut self.jobs[at];
+        let job = &mut self.jobs[index];
         job.live.placements = placements;
         job.live.attempt += 1;
-        job.stage = Stage::Starts;
+        job.stage = Stage::Starting;
         let attempt = job.live.attempt;
-        self.push(self.now_ms + START_MS, Event::Started(at, attempt));
+        self.push(self.now_ms + START_MS, Event::Started(index, attempt));
     }
 
-    /// Adds up what happens until `to`.
-    fn account(&mut self, to: u64) {
+    /// Adds the time until `to` to the measures.
+    fn record_until(&mut self, to: u64) {
         let ms = to - self.now_ms;
         if ms == 0 {
             return;
         }
         let idle = self.idle();
         let total: u32 = idle.iter().map(|(_, free)| free).sum();
-        let able: u32 = (0..self.workers.len())
-            .filter(|w| self.is_able(*w))
+        let usable: u32 = (0..self.workers.len())
+            .filter(|w| self.is_usable(*w))
             .map(|w| self.workers[w].accelerators)
             .sum();
-        let waiting = self.live.keys().map(|at| &self.jobs[*at]);
-        let waiting = waiting.filter(|j| j.stage == Stage::Waits && !j.plan.impossible);
+        let waiting = self.live.keys().map(|index| &self.jobs[*index]);
+        let waiting = waiting.filter(|j| j.stage == Stage::Waiting && !j.plan.impossible);
         let largest = waiting.max_by_key(|j| j.accelerators());
         let wasted = largest.is_some_and(|j| Naive::first_fit(&idle, &j.plan.spec).is_none());
         let figures = &mut self.figures;
         figures.idle_ms += ms * u64::from(total);
-        figures.able_ms += ms * u64::from(able);
+        figures.usable_ms += ms * u64::from(usable);
         if wasted {
             figures.fragmented_ms += ms * u64::from(total);
         }
         if self.drained {
-            self.account_drain(ms, to, able);
+            self.record_drain(ms, to, usable);
         }
     }
 
-    fn account_drain(&mut self, ms: u64, to: u64, able: u32) {
+    fn record_drain(&mut self, ms: u64, to: u64, usable: u32) {
         let empty: Vec<_> = (0..self.workers.len())
-            .filter(|w| self.is_able(*w))
+            .filter(|w| self.is_usable(*w))
             .map(|w| (&self.workers[w], self.workers[w].accelerators))
             .collect();
         let (mut demand, mut work) = (0, 0);
-        for at in self.live.keys() {
-            let job = &self.jobs[*at];
-            if let Stage::Runs(since) = job.stage {
+        for index in self.live.keys() {
+            let job = &self.jobs[*index];
+            if let Stage::Running(since) = job.stage {
                 let worked = to.saturating_sub(since.max(self.now_ms));
                 work += worked * u64::from(job.accelerators());
             }
@@ -538,37 +559,38 @@
             }
         }
         self.figures.drain_work_ms += work;
-        self.figures.drain_allowed_ms += ms * u64::from(able.min(demand));
+        self.figures.drain_allowed_ms += ms * u64::from(usable.min(demand));
     }
 
-    fn is_able(&self, worker: usize) -> bool {
+    fn is_usable(&self, worker: usize) -> bool {
         let in_service = self
             .version
             .in_service(&self.workers[worker].failure_domain);
-        in_service && !self.dead[worker] && !self.fails(worker)
+        in_service && !self.dead[worker] && !self.is_failing(worker)
     }
 
     fn idle(&self) -> Vec<(&WorkerInfo, u32)> {
-        let able = (0..self.workers.len()).filter(|w| self.is_able(*w));
-        able.map(|w| {
-            let free = self.workers[w].accelerators - self.held[w];
-            (&self.workers[w], free)
-        })
-        .collect()
+        let usable = (0..self.workers.len()).filter(|w| self.is_usable(*w));
+        usable
+            .map(|w| {
+                let free = self.workers[w].accelerators - self.held[w];
+                (&self.workers[w], free)
+            })
+            .collect()
     }
 
-    /// Counts owners that have waited too long for a shape that they are guaranteed. A waiting
-    /// job is entitled if its shape is that of a guarantee which no job of its workspace holds.
-    fn watch_guarantees(&mut self) {
+    /// Counts the jobs that have waited too long for a guaranteed shape. A waiting job is entitled
+    /// if its shape equals that of a guarantee which no job of its workspace uses.
+    fn count_violations(&mut self) {
         let mut entitled = HashSet::default();
         if self.outage_until.is_none() {
             for workspace in self.version.workspaces() {
                 self.entitled(&workspace.name, &workspace.guarantees, &mut entitled);
             }
         }
-        for at in self.live.keys() {
-            let job = &mut self.jobs[*at];
-            if !entitled.contains(at) {
+        for index in self.live.keys() {
+            let job = &mut self.jobs[*index];
+            if !entitled.contains(index) {
                 job.entitled_since = None;
                 continue;
             }
@@ -585,11 +607,11 @@
         let jobs = self
             .live
             .keys()
-            .filter(|at| self.jobs[**at].plan.spec.workspace == *name);
+            .filter(|index| self.jobs[**index].plan.spec.workspace == *name);
         let mut holding: Vec<&Job> = jobs
             .clone()
-            .map(|at| &self.jobs[*at])
-            .filter(|j| j.holds())
+            .map(|index| &self.jobs[*index])
+            .filter(|j| j.holds_accelerators())
             .collect();
         holding.sort_by_key(|j| Reverse(j.accelerators()));
         for job in holding {
@@ -604,13 +626,13 @@
                 .filter(fits)
                 .min_by_key(|g| g.tasks * g.accelerators);
             if let Some(g) = smallest.copied() {
-                let at = left.iter().position(|l| *l == g);
-                left.swap_remove(at.expect("it was found"));
+                let index = left.iter().position(|l| *l == g);
+                left.swap_remove(index.expect("the guarantee is in the list"));
             }
         }
-        for at in jobs {
-            let spec = &self.jobs[*at].plan.spec;
-            if self.jobs[*at].stage != Stage::Waits {
+        for index in jobs {
+            let spec = &self.jobs[*index].plan.spec;
+            if self.jobs[*index].stage != Stage::Waiting {
                 continue;
             }
             let same = left.iter().position(|g| {
@@ -620,7 +642,7 @@
             });
             if let Some(i) = same {
                 left.swap_remove(i);
-                into.insert(*at);
+                into.insert(*index);
             }
         }
     }
@@ -632,7 +654,7 @@
     Job {
         plan,
         live,
-        stage: Stage::Unborn,
+        stage: Stage::NotArrived,
         saved_ms: 0,
         first_start: None,
         finished: None,
--- a/dragonflyrun/tests/gang_protocol.rs
+++ b/dragonflyrun/tests/gang_protocol.rs
@@ -1,5 +1,5 @@
-//! The gang protocol step by step: orders that are late, doubled or out of order, and each kind of
-//! failure of one member at each step of its life.
+//! The gang protocol step by step: late, duplicated and reordered messages, and each kind of
+//! failure of one member at each step from reservation to run.
 
 mod gang_world;
 
@@ -17,11 +17,11 @@
     utils::{Name, Timestamp},
 };
 
-use gang_world::{Fault, World, checks, sleeping};
+use gang_world::{Fault, World, checks, sleep_job};
 
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
-const SUBMIT: u64 = 10_000;
+const SUBMIT_MS: u64 = 10_000;
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_millis(ms)
@@ -87,7 +87,7 @@
     })
 }
 
-/// An agent that has read its worker, which holds nothing.
+/// Returns an agent that has read from its worker that it has no leases.
 fn agent() -> Members {
     let mut members = Members::new(at(0));
     members.calls(at(0));
@@ -99,8 +99,8 @@
     members.reports().iter().map(|r| r.state).collect()
 }
 
-/// Answers the calls that are due with the lease in `state`, and returns them.
-fn serve(members: &mut Members, now: u64, state: LeaseState) -> Vec<WorkerOp> {
+/// Answers the due calls with the lease in `state` and returns their operations.
+fn answer_calls(members: &mut Members, now: u64, state: LeaseState) -> Vec<WorkerOp> {
     let mut ops = Vec::new();
     for call in members.calls(at(now)) {
         if let WorkerCall::Lease { number, op, .. } = call {
@@ -111,15 +111,15 @@
     ops
 }
 
-const OPEN: StartConditions = StartConditions {
+const ALL_MET: StartConditions = StartConditions {
     fresh: true,
     next_offset: 11,
     in_service: true,
     allowed: true,
 };
 
-/// A link breaks and comes back, and the order to stop overtakes the one to reserve. Were the
-/// later one followed, the accelerators would be held for a gang that nobody starts.
+/// After a reconnect the stop of a gang overtakes its reservation. Guards against an agent that
+/// follows the late reservation and holds accelerators for a gang that nobody starts.
 #[test]
 fn stop_overtakes_reserve() {
     let mut members = agent();
@@ -129,12 +129,13 @@
         checkpointed: false,
     };
     assert_eq!(states(&members), [stopped]);
-    assert!(serve(&mut members, 30, LeaseState::Held).is_empty());
+    assert!(answer_calls(&mut members, 30, LeaseState::Held).is_empty());
 }
 
-/// A planner that was frozen goes on after its successor has taken over.
+/// A planner resumes from a freeze after its successor has taken over. Guards against agents that
+/// follow orders of the older term.
 #[test]
-fn older_order() {
+fn superseded_planner() {
     let mut members = agent();
     members.on_record(
         at(5),
@@ -146,65 +147,67 @@
     members.on_message(at(10), reserve(1, 1));
     assert!(members.reports().is_empty());
     members.on_message(at(20), reserve(2, 1));
-    serve(&mut members, 30, LeaseState::Held);
+    answer_calls(&mut members, 30, LeaseState::Held);
     members.on_message(at(40), stop(1, 1));
     assert_eq!(states(&members), [MemberState::Reserved]);
 }
 
-/// The planner dies after the members have reserved. The accelerators must not stay held.
+/// The planner dies after the members have reserved. Guards against accelerators that stay
+/// reserved.
 #[test]
 fn reservation_lapses() {
     let mut members = agent();
     members.on_message(at(10), reserve(1, 1));
-    serve(&mut members, 20, LeaseState::Held);
+    answer_calls(&mut members, 20, LeaseState::Held);
     let end = 10 + RESERVATION_TIMEOUT.as_millis() as u64;
     for now in (600..end).step_by(600) {
-        assert!(!serve(&mut members, now, LeaseState::Held).is_empty());
+        assert!(!answer_calls(&mut members, now, LeaseState::Held).is_empty());
     }
-    let ops = serve(&mut members, end + 600, LeaseState::Stopped);
+    let ops = answer_calls(&mut members, end + 600, LeaseState::Stopped);
     assert_eq!(ops, [WorkerOp::Stop { checkpoint: false }]);
     assert!(!members.is_active());
 }
 
-/// The order to start arrives before the agent has read the record that allows it, at an agent
-/// that does not know the latest state of the log, or after the domain was taken out.
+/// The order to start arrives before the agent has read the start record, at an agent that doesn't
+/// know the latest state of the log, or after the failure domain was taken out of service. Guards
+/// against a start in each of these cases.
 #[test]
-fn start_needs_gate() {
+fn start_checked() {
     let cases = [
-        (OPEN, StartCheck::Start),
+        (ALL_MET, StartCheck::Start),
         (
             StartConditions {
                 next_offset: 10,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Wait,
         ),
         (
             StartConditions {
                 fresh: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Wait,
         ),
         (
             StartConditions {
                 in_service: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Never,
         ),
         (
             StartConditions {
                 allowed: false,
-                ..OPEN
+                ..ALL_MET
             },
             StartCheck::Never,
         ),
     ];
-    for (gate, expected) in cases {
+    for (conditions, expected) in cases {
         let mut members = agent();
         members.on_message(at(10), reserve(1, 1));
-        serve(&mut members, 20, LeaseState::Held);
+        answer_calls(&mut members, 20, LeaseState::Held);
         members.on_message(at(30), go(1, 1));
         let calls = members.calls(at(30));
         let [
@@ -215,23 +218,26 @@
             },
         ] = &calls[..]
         else {
-            panic!("a start was to be due, not {calls:?}");
+            panic!("a start should be due, not {calls:?}");
         };
-        assert_eq!(members.may_start(at(31), *number, gate), expected);
+        assert_eq!(members.may_start(at(31), *number, conditions), expected);
     }
 }
 
-/// No entry renews the gang: its members stop by themselves, with a checkpoint, and the worker
-/// lease is never prolonged past the gang's.
+/// No entry renews the gang. Guards against members that run past the gang lease or stop without a
+/// checkpoint, and against worker leases that outlast the gang lease.
 #[test]
 fn gang_lease_ends() {
     let mut members = agent();
     members.on_message(at(10), reserve(1, 1));
-    serve(&mut members, 20, LeaseState::Held);
+    answer_calls(&mut members, 20, LeaseState::Held);
     members.on_message(at(30), go(1, 1));
     for call in members.calls(at(30)) {
         if let WorkerCall::Lease { number, op, .. } = call {
-            assert_eq!(members.may_start(at(30), number, OPEN), StartCheck::Start);
+            assert_eq!(
+                members.may_start(at(30), number, ALL_MET),
+                StartCheck::Start
+            );
             let running = Ok(lease(LeaseState::Running));
             members.on_answer(at(30), at(30), number, &op, &running);
         }
@@ -240,7 +246,7 @@
     let mut now = 30;
     loop {
         now += 100;
-        match serve(&mut members, now, LeaseState::Running).first() {
+        match answer_calls(&mut members, now, LeaseState::Running).first() {
             Some(WorkerOp::Renew { until }) => {
                 assert!(at(now) + WorkerOp::ttl(*until, at(now)) <= end);
             }
@@ -254,9 +260,10 @@
     assert!(at(now) < end);
 }
 
-/// A renewal that waited in a buffer says that the gang was whole long ago.
+/// A renewal was held up in a buffer and only proves that the gang was complete long ago. Guards
+/// against a lease that is extended by it.
 #[test]
-fn late_renewal() {
+fn stale_renewal() {
     let mut members = agent();
     members.on_leases(at(2), at(1), &view(Vec::new()));
     let mut restarted = Members::new(at(10_000));
@@ -270,11 +277,11 @@
         members: vec![1],
     };
     restarted.on_message(at(11_000), renewal(10_900, 5_000));
-    serve(&mut restarted, 11_600, LeaseState::Running);
+    answer_calls(&mut restarted, 11_600, LeaseState::Running);
     assert_eq!(states(&restarted), [MemberState::Stopping]);
 }
 
-/// Two agents whose members run, both alive for certain at 1 s.
+/// Returns two agents with running members, whose last heartbeats prove them alive at 1 s.
 fn two_members() -> (Renewals, [Name; 2]) {
     let mut renewals = Renewals::default();
     let agents: [Name; 2] = ["worker-0".into(), "worker-1".into()];
@@ -291,8 +298,8 @@
     (renewals, agents)
 }
 
-/// One member is silent from some moment on. No renewal of the other may reach further than the
-/// gang lease from that moment, however often the other is heard.
+/// One member falls silent while the other keeps sending heartbeats. Guards against renewals of the
+/// other that reach further than the gang lease counted from the last heartbeat of the silent one.
 #[test]
 fn silent_member() {
     let (mut renewals, agents) = two_members();
@@ -311,7 +318,8 @@
     );
 }
 
-/// The planner has put on the log that an attempt is not renewed any more, and counts on it.
+/// The planner has recorded a fence, so that no entry renews the attempt any more, and relies on
+/// it. Guards against a renewal after the fence.
 #[test]
 fn fenced_gang() {
     let (mut renewals, agents) = two_members();
@@ -328,8 +336,8 @@
     );
 }
 
-/// An entry resumes after it was frozen, and hears one member before it has looked at the others.
-/// It must not renew that one's lease on what it knew of the others before.
+/// An entry resumes from a freeze and gets a heartbeat of one member before it has checked the
+/// others. Guards against a renewal that relies on the state from before the freeze.
 #[test]
 fn entry_resumes() {
     let (mut renewals, agents) = two_members();
@@ -341,10 +349,10 @@
     assert_eq!(renewal(&mut renewals, 11_000), None);
 }
 
-/// An agent is replaced and its worker does not answer. It must not say that a gang has stopped
-/// before the leases of its predecessor have lapsed.
+/// An agent is replaced while its worker doesn't answer. Guards against reporting a gang as stopped
+/// before the leases of the previous agent have lapsed.
 #[test]
-fn early_stop() {
+fn stop_before_lapse() {
     let mut members = Members::new(at(0));
     members.on_message(at(10), stop(1, 1));
     members.calls(at(20));
@@ -356,22 +364,22 @@
     ));
 }
 
-/// A member's agent is replaced at once. Its tasks run on under the worker's lease and need not
-/// be stopped.
+/// A member's agent restarts at once, and its tasks run on under the worker's lease. Guards against
+/// stopping the gang for it.
 #[test]
 fn quick_restart() {
     let mut world = World::new(3, ENTRIES, AGENTS);
     world.noise = false;
-    world.submit(SUBMIT, "job-0", sleeping(4, 3, 10_000));
-    world.fault(SUBMIT + 3_000, 200, Fault::Kill(ENTRIES + 1));
+    world.submit(SUBMIT_MS, "job-0", sleep_job(4, 3, 10_000));
+    world.inject(SUBMIT_MS + 3_000, 200, Fault::Kill(ENTRIES + 1));
     world.run_to_end(60_000);
     world.check_records();
     assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
-    assert!(world.ran().iter().all(|r| r.attempt == 1));
+    assert!(world.run_records().iter().all(|r| r.attempt == 1));
 }
 
-/// The members of a gang end one after the other, here 0.5, 5.5, 10.5 and 15.5 s after its start, and
-/// the host of one that has ended is lost. Those that still have work must not be stopped for it.
+/// The members of a gang end 0.5, 5.5, 10.5 and 15.5 s after its start, and the host of the first
+/// one crashes after its end. Guards against stopping the members that still have work.
 #[test]
 fn staggered_ends() {
     for seed in 0..10 {
@@ -379,24 +387,30 @@
         world.noise = false;
         let job = JobSpec {
             program: "stagger:500".into(),
-            ..sleeping(4, 3, 500)
+            ..sleep_job(4, 3, 500)
         };
-        world.submit(SUBMIT, "job-0", job);
-        world.run(SUBMIT + 3_000);
-        let first = world.workers.iter().position(|w| w.ran[0].member == 0);
-        world.fault(world.now, 10_000, Fault::KillHost(first.expect("it ran")));
+        world.submit(SUBMIT_MS, "job-0", job);
+        world.run(SUBMIT_MS + 3_000);
+        let first = world
+            .workers
+            .iter()
+            .position(|w| w.run_records[0].member == 0);
+        world.inject(world.now, 10_000, Fault::KillHost(first.expect("it ran")));
         world.run_to_end(60_000);
         world.check_records();
         assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
         assert!(
-            world.ran().iter().all(|r| r.attempt == 1 && r.finished),
+            world
+                .run_records()
+                .iter()
+                .all(|r| r.attempt == 1 && r.finished),
             "seed {seed}"
         );
     }
 }
 
-/// Each kind of failure of one member, of its worker or of its links, at each step from the
-/// reservation to the run, for a short and for a long time.
+/// One member, its worker or its links fail in each possible way, for a short or a long time, at
+/// each step from reservation to run. Guards against jobs that don't finish after such a failure.
 #[test]
 fn member_fails() {
     let job: Name = "job-0".into();
@@ -415,14 +429,14 @@
     for faults in &kinds {
         for step in 0..16 {
             let mut world = World::new(step, ENTRIES, AGENTS);
-            world.submit(SUBMIT, &job, sleeping(6, 2, 3_000));
+            world.submit(SUBMIT_MS, &job, sleep_job(6, 2, 3_000));
             let length = if step % 2 == 0 { 700 } else { 9_000 };
             for fault in faults {
-                world.fault(SUBMIT + 60 * step, length, *fault);
+                world.inject(SUBMIT_MS + 60 * step, length, *fault);
             }
             world.run_to_end(90_000);
             world.check_records();
-            longest = longest.max(checks::longest_partial(&world.ran(), world.now));
+            longest = longest.max(checks::longest_partial(&world.run_records(), world.now));
             let end = world.end(&job);
             assert_eq!(end, Some(JobEnd::Finished), "{faults:?} step {step}");
         }
--- a/dragonflyrun/tests/gang_world/worker.rs
+++ b/dragonflyrun/tests/gang_world/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: leases and timers on the world's clock, and a record of what ran when.
+//! A fake worker with leases and timers in simulated time that records what ran when.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
@@ -8,18 +8,18 @@
     utils::Name,
 };
 
-/// Progress saved by tasks, by job and member.
+/// Saved progress of tasks in milliseconds, by job and member.
 pub type Checkpoints = Rc<RefCell<HashMap<(Name, u32), u64>>>;
 
-/// A time in which the tasks of one member ran.
+/// A period in which the tasks of one member ran without interruption.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RunRecord {
     pub job: Name,
     pub attempt: u32,
     pub member: u32,
     pub members: u32,
     pub domain: usize,
-    /// When the start took effect; none where the tasks went on after the worker was frozen.
+    /// Whether the period began with a start, not with the end of a freeze of the worker.
     pub fresh_start: bool,
     pub start: u64,
     pub end: Option<u64>,
@@ -36,9 +36,9 @@
 
 struct Run {
     tasks: StartTasks,
-    began: u64,
-    done_before: u64,
-    /// How much work it is, and whether it ends well.
+    started_at: u64,
+    restored_ms: u64,
+    /// The milliseconds of work, and whether the tasks succeed at its end.
     work: (u64, bool),
     record: usize,
 }
@@ -49,13 +49,13 @@
     pub accelerators: u32,
     pub alive: bool,
     pub frozen: bool,
-    /// Whether all tasks fail as soon as they are started.
+    /// Whether all tasks fail as soon as they start.
     pub broken: bool,
     pub epoch: u64,
     frozen_at: u64,
     leases: HashMap<Name, Lease>,
     checkpoints: Checkpoints,
-    pub ran: Vec<Ran>,
+    pub run_records: Vec<RunRecord>,
 }
 
 impl FakeWorker {
@@ -71,12 +71,12 @@
             frozen_at: 0,
             leases: HashMap::new(),
             checkpoints,
-            ran: Vec::new(),
+            run_records: Vec::new(),
         }
     }
 
-    /// Lets leases lapse and tasks end up to `now`, each at its own time.
-    pub fn look(&mut self, now: u64) {
+    /// Lapses the leases and ends the tasks that are due up to `now`, each at its own time.
+    pub fn advance(&mut self, now: u64) {
         if self.frozen || !self.alive {
             return;
         }
@@ -88,22 +88,22 @@
                 && at <= now
                 && at < lease.until
             {
-                let well = run.work.1;
-                lease.state = if well {
+                let succeeds = run.work.1;
+                lease.state = if succeeds {
                     LeaseState::Finished
                 } else {
                     LeaseState::Failed
                 };
-                let record = &mut self.ran[run.record];
+                let record = &mut self.run_records[run.record];
                 record.end = Some(at);
-                record.finished = well;
+                record.finished = succeeds;
             }
             let live = matches!(lease.state, LeaseState::Held | LeaseState::Running);
             if live && lease.until <= now {
                 if lease.state == LeaseState::Running
                     && let Some(run) = &lease.run
                 {
-                    self.ran[run.record].end = Some(lease.until);
+                    self.run_records[run.record].end = Some(lease.until);
                 }
                 lease.state = LeaseState::Lapsed;
             }
@@ -111,17 +111,17 @@
     }
 
     pub fn freeze(&mut self, now: u64) {
-        self.look(now);
+        self.advance(now);
         self.frozen = true;
         self.frozen_at = now;
         for lease in self.leases.values_mut() {
             if let (LeaseState::Running, Some(run)) = (lease.state, &lease.run) {
-                self.ran[run.record].end = Some(now);
+                self.run_records[run.record].end = Some(now);
             }
         }
     }
 
-    /// Goes on; what has lapsed in between does not.
+    /// Resumes the tasks whose leases have not lapsed during the freeze.
     pub fn thaw(&mut self, now: u64) {
         self.frozen = false;
         let gap = now - self.frozen_at;
@@ -131,22 +131,22 @@
                 lease.state = LeaseState::Lapsed;
             }
             if let (LeaseState::Running, Some(run)) = (lease.state, &mut lease.run) {
-                run.began += gap;
-                let again = Ran {
+                run.started_at += gap;
+                let resumed = RunRecord {
                     fresh_start: false,
                     start: now,
                     end: None,
-                    ..self.ran[run.record].clone()
+                    ..self.run_records[run.record].clone()
                 };
-                run.record = self.ran.len();
-                self.ran.push(again);
+                run.record = self.run_records.len();
+                self.run_records.push(resumed);
             }
         }
     }
 
     pub fn kill(&mut self, now: u64) {
-        self.look(now);
-        for record in &mut self.ran {
+        self.advance(now);
+        for record in &mut self.run_records {
             record.end = record.end.or(Some(now));
         }
         self.leases.clear();
@@ -156,7 +156,7 @@
     }
 
     pub fn view(&mut self, now: u64) -> WorkerView {
-        self.look(now);
+        self.advance(now);
         let leases = self.leases.keys().cloned().collect::<Vec<_>>();
         WorkerView {
             name: self.name.clone(),
@@ -175,7 +175,7 @@
         accelerators: u32,
         ttl: u64,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         if let Some(lease) = self.leases.get_mut(name) {
             if !matches!(lease.state, LeaseState::Held | LeaseState::Running) {
                 return Err(WorkerError::Over);
@@ -204,7 +204,7 @@
     }
 
     pub fn renew(&mut self, now: u64, name: &Name, ttl: u64) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         self.live(name)?.until = now + ttl;
         self.lease(now, name)
     }
@@ -215,8 +215,8 @@
         name: &Name,
         tasks: &StartTasks,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
-        let (domain, record, broken) = (self.domain, self.ran.len(), self.broken);
+        self.advance(now);
+        let (domain, record, broken) = (self.domain, self.run_records.len(), self.broken);
         let key = (tasks.job.clone(), tasks.member);
         let saved = self.checkpoints.borrow().get(&key).copied();
         let lease = self.live(name)?;
@@ -228,20 +228,24 @@
                 Err(WorkerError::NotFree)
             };
         }
-        let work = if broken { (0, false) } else { work(tasks) };
+        let work = if broken {
+            (0, false)
+        } else {
+            planned_work(tasks)
+        };
         lease.state = LeaseState::Running;
         lease.run = Some(Run {
             tasks: tasks.clone(),
-            began: now,
-            done_before: saved.filter(|_| tasks.resume).unwrap_or(0),
+            started_at: now,
+            restored_ms: saved.filter(|_| tasks.resume).unwrap_or(0),
             work,
             record,
         });
-        self.ran.push(Ran {
+        self.run_records.push(RunRecord {
             job: tasks.job.clone(),
             attempt: tasks.attempt,
             member: tasks.member,
-            members: LeaseName::parse(name).expect("a lease of ours").members,
+            members: LeaseName::parse(name).expect("a valid lease name").members,
             domain,
             fresh_start: true,
             start: now,
@@ -257,14 +261,14 @@
         name: &Name,
         checkpoint: bool,
     ) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         let lease = self.leases.get_mut(name).ok_or(WorkerError::Over)?;
         if matches!(lease.state, LeaseState::Held | LeaseState::Running) {
             if let Some(run) = &lease.run {
-                self.ran[run.record].end = Some(now);
+                self.run_records[run.record].end = Some(now);
                 if checkpoint {
                     let key = (run.tasks.job.clone(), run.tasks.member);
-                    let done = run.done_before + (now - run.began);
+                    let done = run.restored_ms + (now - run.started_at);
                     self.checkpoints.borrow_mut().insert(key, done);
                     lease.checkpointed = true;
                 }
@@ -275,16 +279,16 @@
     }
 
     pub fn inspect(&mut self, now: u64, name: &Name) -> Result<WorkerLease, WorkerError> {
-        self.look(now);
+        self.advance(now);
         self.lease(now, name)
     }
 
     pub fn remove(&mut self, now: u64, name: &Name) {
-        self.look(now);
+        self.advance(now);
         if let Some(lease) = self.leases.remove(name)
             && let (LeaseState::Running, Some(run)) = (lease.state, &lease.run)
         {
-            self.ran[run.record].end = Some(now);
+            self.run_records[run.record].end = Some(now);
         }
     }
 
@@ -310,20 +314,20 @@
 
 impl Run {
     fn ends(&self) -> u64 {
-        self.began + self.work.0.saturating_sub(self.done_before)
+        self.started_at + self.work.0.saturating_sub(self.restored_ms)
     }
 }
 
-/// Returns how much work the tasks are, and whether they end well.
-fn work(tasks: &StartTasks) -> (u64, bool) {
+/// Returns the milliseconds of work of the tasks, and whether they succeed.
+fn planned_work(tasks: &StartTasks) -> (u64, bool) {
     let (verb, ms) = tasks
         .program
         .split_once(':')
-        .expect("a program with a time");
+        .expect("a program of the form verb:milliseconds");
     let ms: u64 = ms.parse().expect("milliseconds");
     match verb {
         "sleep" => (ms, true),
-        // Each member has more to do than the one before it.
+        // Each member has more work than the one before it.
         "stagger" => (ms * u64::from(1 + 10 * tasks.member), true),
         _ => (ms, false),
     }
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -1,5 +1,5 @@
-//! The log drops old records: a process that begins in the middle knows all the same what one that
-//! has read everything knows.
+//! The log drops old records, and a process that starts reading in the middle still learns the same
+//! state as one that has read all records.
 
 use arbtest::{
     arbitrary::{Result, Unstructured},
@@ -23,16 +23,16 @@
 
 const SEEDS: u64 = 8;
 
-/// Records that the log keeps, at the least.
-const KEPT: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
+/// Minimum number of records that the log keeps.
+const KEPT_RECORDS: u64 = STATE_REPEAT.records + MEMBERSHIP_REPEAT.records + 1_000;
 
-/// A planner's entry with a log in memory.
+/// The entry that is planner, with a log in memory.
 struct Planner {
     now: u64,
     log: Vec<Record>,
     ledger: Ledger,
     table: GangTable,
-    /// Records on their way to the log: others may overtake them.
+    /// Records that are being appended; others may reach the log before them.
     queued: Vec<Record>,
     number: u64,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn put(&mut self, author: &str, body: RecordBody) {
+    fn write(&mut self, author: &str, body: RecordBody) {
         let record = self.record(author, body);
         self.append(record);
     }
@@ -116,8 +116,8 @@
         Ok(())
     }
 
-    /// Something that happens to a job or the membership.
-    fn event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    /// Appends a random record on a job, the membership or the configuration.
+    fn random_event(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let term = self.ledger.membership.term();
         let known = live_jobs(&self.ledger);
         let chosen = known.get(u.int_in_range(0..=40)?).cloned();
@@ -157,12 +157,12 @@
                 self.edit();
                 return Ok(());
             }
-            // Others write to the log too.
+            // An unrelated record of another author.
             _ => RecordBody::EntryLeft {
                 entry: "nobody".into(),
             },
         };
-        self.put("entry-0", body);
+        self.write("entry-0", body);
         Ok(())
     }
 
@@ -183,7 +183,7 @@
             section: section_name,
             content: Some(RawSection::from(&section)),
         };
-        self.put("ops", RecordBody::Edit(edit));
+        self.write("ops", RecordBody::Edit(edit));
     }
 }
 
@@ -213,9 +213,9 @@
     jobs
 }
 
-fn late_reader_knows_all(u: &mut Unstructured<'_>) -> Result<()> {
+fn check_late_reader(u: &mut Unstructured<'_>) -> Result<()> {
     let mut planner = Planner::new();
-    planner.put(
+    planner.write(
         "entry-0",
         RecordBody::EntryJoined {
             entry: "entry-0".into(),
@@ -223,49 +223,52 @@
         },
     );
     planner.edit();
-    while planner.log.len() < 3 * KEPT as usize {
+    while planner.log.len() < 3 * KEPT_RECORDS as usize {
         planner.tick(u)?;
         for _ in 0..u.int_in_range(0..=30)? {
-            planner.event(u)?;
+            planner.random_event(u)?;
         }
     }
-    // What was read before the last change is repeated at once.
+    // A repeat that was read before the last change of its item is repeated again at once.
     for _ in 0..5 {
         planner.tick(&mut Unstructured::new(&[0xff; 64]))?;
     }
     let head = planner.log.len() as u64;
-    let first = u.int_in_range(1..=head - KEPT)?;
-    let mut late = Ledger::default();
-    late.skip_to(first);
+    let first = u.int_in_range(1..=head - KEPT_RECORDS)?;
+    let mut late_ledger = Ledger::default();
+    late_ledger.skip_to(first);
     for offset in first..head {
-        fold(&mut late, &planner.log, offset);
+        fold(&mut late_ledger, &planner.log, offset);
     }
-    late.reached_head();
-    assert!(late.is_whole(), "nothing told who is planner");
+    late_ledger.reached_head();
+    assert!(late_ledger.is_whole(), "no record named the planner");
     assert_eq!(
-        late.membership.carried(),
+        late_ledger.membership.carried(),
         planner.ledger.membership.carried()
     );
-    let (known, expected) = (late.history.current(), planner.ledger.history.current());
+    let (known, expected) = (
+        late_ledger.history.current(),
+        planner.ledger.history.current(),
+    );
     assert_eq!(known.offset, expected.offset);
     assert_eq!(known.document, expected.document);
-    assert_eq!(live_jobs(&late), live_jobs(&planner.ledger));
-    let names: HashSet<Name> = live_jobs(&late).into_iter().map(|l| l.job).collect();
+    assert_eq!(live_jobs(&late_ledger), live_jobs(&planner.ledger));
+    let names: HashSet<Name> = live_jobs(&late_ledger).into_iter().map(|l| l.job).collect();
     assert!(!names.is_empty(), "the test has no live job");
     Ok(())
 }
 
-/// The log has dropped what an entry that starts today would need to know of a job that was
-/// accepted last week. A user would notice a job that is never run, or one that runs again.
+/// The log has dropped the records of a job that was accepted long before an entry starts. Guards
+/// against an entry that doesn't know the job, so that it never runs or runs again.
 #[test]
 fn late_reader() {
     for seed in 1..=SEEDS {
-        arbtest(late_reader_knows_all).seed(seed << 32 | 0x4_0000);
+        arbtest(check_late_reader).seed(seed << 32 | 0x4_0000);
     }
 }
 
-/// The log has been used for something else before the system is installed, so its first record
-/// is long gone. A user would notice that the system never takes a job.
+/// The log was used before the system was installed, and its first records are dropped. Guards
+/// against a system that waits for them and never accepts a job.
 #[test]
 fn new_deployment() {
     let mut ledger = Ledger::default();
@@ -275,12 +278,12 @@
     assert!(ledger.is_whole());
 }
 
-/// A process was frozen for longer than the log keeps its records. It holds a job that has ended in
-/// between, and would run it again.
+/// A process was frozen for longer than the log keeps records, and a job that it knows has ended
+/// meanwhile. Guards against running this job again.
 #[test]
-fn gap_forgets_jobs() {
+fn gap_clears_jobs() {
     let mut planner = Planner::new();
-    planner.put(
+    planner.write(
         "entry-0",
         RecordBody::JobAccepted {
             job: "job-0".into(),
