--- a/dragonflyrun/src/job/inventory.rs
+++ b/dragonflyrun/src/job/inventory.rs
@@ -1,4 +1,4 @@
-//! The workers, what is held on each, and by whom.
+//! The workers, and which jobs hold how many accelerators on each.
 
 use crate::{
     job::{
@@ -9,11 +9,11 @@
     utils::{HashMap, Name},
 };
 
-/// Accelerators of one worker that are believed, at the most. The count comes from another
-/// process, and tables are as long as it.
-const MOST_ACCELERATORS: u32 = 1_024;
+/// Maximum number of accelerators that a worker can report. The number comes from another process
+/// and determines the length of tables.
+const MAX_ACCELERATORS_PER_WORKER: u32 = 1_024;
 
-/// The workers and what is held on each.
+/// The workers and the accelerators held, pledged, reserved and allotted on each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inventory {
     ids: HashMap<Name, WorkerId>,
@@ -21,25 +21,27 @@
     racks: HashMap<(Name, Name), usize>,
     domains: HashMap<Name, usize>,
     largest_worker: u32,
-    /// What each worker has, whether it is up or not.
-    whole: SlotIndex,
-    /// What is free for whoever has no pledge.
+    /// The accelerators of each worker, whether it is up or not.
+    capacity: SlotIndex,
+    /// The accelerators that are free for a job without a pledge or reservation.
     pub(super) free: SlotIndex,
-    /// What no guarantee has been allotted and no aged job has reserved.
-    pub(super) open: SlotIndex,
+    /// The accelerators that are neither allotted to a guarantee nor reserved for a job that has
+    /// waited long.
+    pub(super) allottable: SlotIndex,
 }
 
 /// One worker.
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub(super) info: WorkerInfo,
-    /// Whether it answers.
+    /// Whether the worker is reachable and accepts tasks.
     pub(super) up: bool,
     /// Whether its failure domain is in service.
     pub(super) in_service: bool,
-    /// Whether it fails what it starts and is left alone.
-    pub(super) set_aside: bool,
-    /// What each job holds here, jobs that are being stopped included.
+    /// Whether starts on the worker have failed repeatedly, so that nothing is started there for a
+    /// while.
+    pub(super) quarantined: bool,
+    /// The accelerators that each job holds here, including jobs that are being stopped.
     pub(super) jobs: Vec<Holding>,
     held: u32,
     stopping: u32,
@@ -56,9 +58,9 @@
 }
 
 impl Worker {
-    /// Returns whether anything may start here.
+    /// Returns whether tasks may start here.
     pub(super) fn usable(&self) -> bool {
-        self.up && self.in_service && !self.set_aside
+        self.up && self.in_service && !self.quarantined
     }
 
     /// Returns the accelerators that no job holds.
@@ -66,34 +68,36 @@
         self.info.accelerators.saturating_sub(self.held)
     }
 
-    /// Returns what is free for a job that has neither pledge nor reservation.
+    /// Returns the accelerators that are free for a job with neither a pledge nor a reservation.
     fn free(&self) -> u32 {
-        self.unpledged().saturating_sub(self.reserved)
+        self.vacant_after_pledges().saturating_sub(self.reserved)
     }
 
-    /// What jobs that are being stopped will give back goes to the pledges first.
-    fn unpledged(&self) -> u32 {
-        let unmet = self.pledged.saturating_sub(self.stopping);
-        self.vacant().saturating_sub(unmet)
+    /// Returns the vacant accelerators that aren't needed for pledges. Accelerators that stopping
+    /// jobs will release count towards the pledges first.
+    fn vacant_after_pledges(&self) -> u32 {
+        let uncovered_pledges = self.pledged.saturating_sub(self.stopping);
+        self.vacant().saturating_sub(uncovered_pledges)
     }
 
-    /// Returns what guarantees may be allotted. What aged jobs have reserved is left out, so that
-    /// allotments lie elsewhere by the time a large gang could start there.
-    fn open(&self) -> u32 {
-        let taken = self.allotted + self.reserved;
-        self.info.accelerators.saturating_sub(taken)
+    /// Returns the accelerators that can be allotted to guarantees. Those reserved for jobs that
+    /// have waited long are excluded, so that allotments are elsewhere by the time a large gang can
+    /// start there.
+    fn allottable(&self) -> u32 {
+        let used = self.allotted + self.reserved;
+        self.info.accelerators.saturating_sub(used)
     }
 
-    /// Returns the accelerators that aged jobs have reserved.
+    /// Returns the accelerators that are reserved for jobs that have waited long.
     pub(super) fn reserved(&self) -> u32 {
         self.reserved
     }
 }
 
 impl Inventory {
-    /// Adds a worker or changes it; returns its number.
+    /// Adds or updates a worker and marks it as up; returns its index.
     pub(super) fn up(&mut self, mut info: WorkerInfo, in_service: bool) -> WorkerId {
-        info.accelerators = info.accelerators.min(MOST_ACCELERATORS);
+        info.accelerators = info.accelerators.min(MAX_ACCELERATORS_PER_WORKER);
         self.largest_worker = self.largest_worker.max(info.accelerators);
         let known = self.ids.get(&info.name).copied().filter(|id| {
             let old = &self.workers[*id].info;
@@ -101,25 +105,25 @@
         });
         let id = known.unwrap_or_else(|| self.add(&info));
         let worker = &mut self.workers[id];
-        self.whole.set(id, info.accelerators);
+        self.capacity.set(id, info.accelerators);
         worker.info = info;
         worker.up = true;
         worker.in_service = in_service;
-        self.refresh(id);
+        self.update_indexes(id);
         id
     }
 
-    /// Returns the number of the worker called `name`.
+    /// Returns the index of the worker called `name`.
     pub(super) fn id(&self, name: &Name) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
-    /// Returns the worker with number `id`.
+    /// Returns the worker with index `id`.
     pub(super) fn worker(&self, id: WorkerId) -> &Worker {
         &self.workers[id]
     }
 
-    /// Returns the numbers of all workers that were ever known.
+    /// Returns the indexes of all workers that were ever known.
     pub(super) fn ids(&self) -> std::ops::Range<WorkerId> {
         0..self.workers.len()
     }
@@ -127,10 +131,10 @@
     /// Changes whether a worker is usable.
     pub(super) fn change(&mut self, id: WorkerId, change: impl FnOnce(&mut Worker)) {
         change(&mut self.workers[id]);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Takes note that `job` holds `accelerators` of a worker.
+    /// Records that `job` holds `accelerators` of a worker.
     pub(super) fn hold(&mut self, id: WorkerId, job: &JobId, accelerators: u32) {
         let worker = &mut self.workers[id];
         worker.held += accelerators;
@@ -138,64 +142,67 @@
             job: job.clone(),
             accelerators,
         });
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Takes note that `job` holds nothing more of a worker.
+    /// Records that `job` holds no accelerators of a worker any more.
     pub(super) fn release(&mut self, id: WorkerId, job: &JobId) {
         let worker = &mut self.workers[id];
-        let given_back: u32 = worker.of(job);
+        let given_back: u32 = worker.held_by(job);
         worker.held -= given_back;
         worker.jobs.retain(|h| h.job != *job);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that jobs being stopped will give back.
+    /// Changes by `by` the accelerators of a worker that stopping jobs will release.
     pub(super) fn stopping(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.stopping = worker.stopping.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that are kept for jobs which wait for the rest.
+    /// Changes by `by` the accelerators of a worker that are pledged to jobs which wait until all
+    /// their pledged accelerators are vacant.
     pub(super) fn pledge(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.pledged = worker.pledged.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Changes the accelerators of a worker that aged jobs have reserved.
+    /// Changes by `by` the accelerators of a worker that are reserved for jobs that have waited
+    /// long.
     pub(super) fn reserve(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.reserved = worker.reserved.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Returns what is vacant of a worker for a job that may use what is reserved for others.
-    pub(super) fn with_reserved(&self, id: WorkerId) -> u32 {
+    /// Returns the vacant accelerators of a worker for a job that may use those reserved for
+    /// others.
+    pub(super) fn vacant_with_reserved(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
             return 0;
         }
-        worker.unpledged()
+        worker.vacant_after_pledges()
     }
 
-    /// Changes the accelerators of a worker that guarantees have been allotted.
+    /// Changes by `by` the accelerators of a worker that are allotted to guarantees.
     pub(super) fn allot(&mut self, id: WorkerId, by: i64) {
         let worker = &mut self.workers[id];
         worker.allotted = worker.allotted.saturating_add_signed(by as i32);
-        self.refresh(id);
+        self.update_indexes(id);
     }
 
-    /// Returns whether guarantees have been allotted more of a worker than it has.
+    /// Returns whether more accelerators of a worker are allotted to guarantees than it has.
     pub(super) fn is_over_allotted(&self, id: WorkerId) -> bool {
         let worker = &self.workers[id];
         worker.allotted > worker.info.accelerators
     }
 
-    /// Returns what will be free of a worker, pledges taken off, once the jobs that are being
-    /// stopped have stopped.
-    pub(super) fn coming(&self, id: WorkerId) -> u32 {
+    /// Returns the accelerators of a worker that will be free of pledges once the stopping jobs
+    /// have stopped.
+    pub(super) fn free_after_stops(&self, id: WorkerId) -> u32 {
         let worker = &self.workers[id];
         if !worker.usable() {
             return 0;
@@ -203,14 +210,14 @@
         (worker.vacant() + worker.stopping).saturating_sub(worker.pledged)
     }
 
-    /// Returns whether `shape` would fit on the workers known if all were empty and in service.
+    /// Returns whether `shape` would fit if all known workers were empty and in service.
     pub(super) fn could_hold(&self, shape: &Shape) -> bool {
-        self.whole.fits(shape)
+        self.capacity.fits(shape)
     }
 
-    /// Makes [`Self::could_hold`] quick for tasks of `size` accelerators.
-    pub(super) fn expect_tasks_of(&mut self, size: u32) {
-        self.whole.rack_order(size);
+    /// Builds the index that makes [`Self::could_hold`] fast for tasks of `size` accelerators.
+    pub(super) fn index_racks_for(&mut self, size: u32) {
+        self.capacity.rack_order(size);
     }
 
     /// Returns the accelerators of the largest worker that was ever known.
@@ -218,7 +225,7 @@
         self.largest_worker
     }
 
-    /// Returns whether all of `parts` is vacant, with `size` accelerators a task.
+    /// Returns whether all of `parts` is vacant, with `size` accelerators for each task.
     pub(super) fn is_vacant(&self, parts: &[Part], size: u32) -> bool {
         parts.iter().all(|part| {
             let worker = &self.workers[part.worker];
@@ -227,10 +234,11 @@
     }
 
     fn add(&mut self, info: &WorkerInfo) -> WorkerId {
-        // A worker that has moved to another rack is a new one; the old one stays down.
+        // A worker that has moved to another rack or failure domain is added as a new one; the old
+        // one stays down.
         if let Some(old) = self.id(&info.name) {
             self.change(old, |w| w.up = false);
-            self.whole.set(old, 0);
+            self.capacity.set(old, 0);
         }
         let racks = self.racks.len();
         let rack = (info.failure_domain.clone(), info.rack.clone());
@@ -239,14 +247,14 @@
         let domain = info.failure_domain.clone();
         let domain = *self.domains.entry(domain).or_insert(domains);
         self.free.add(rack, domain);
-        self.whole.add(rack, domain);
-        let id = self.open.add(rack, domain);
+        self.capacity.add(rack, domain);
+        let id = self.allottable.add(rack, domain);
         self.ids.insert(info.name.clone(), id);
         self.workers.push(Worker {
             info: info.clone(),
             up: true,
             in_service: false,
-            set_aside: false,
+            quarantined: false,
             jobs: Vec::new(),
             held: 0,
             stopping: 0,
@@ -257,21 +265,21 @@
         id
     }
 
-    fn refresh(&mut self, id: WorkerId) {
+    fn update_indexes(&mut self, id: WorkerId) {
         let worker = &self.workers[id];
-        let (mut free, mut open) = (0, 0);
+        let (mut free, mut allottable) = (0, 0);
         if worker.usable() {
             free = worker.free();
-            open = worker.open();
+            allottable = worker.allottable();
         }
         self.free.set(id, free);
-        self.open.set(id, open);
+        self.allottable.set(id, allottable);
     }
 }
 
 impl Worker {
     /// Returns the accelerators that `job` holds here.
-    pub(super) fn of(&self, job: &JobId) -> u32 {
+    pub(super) fn held_by(&self, job: &JobId) -> u32 {
         let holdings = self.jobs.iter().filter(|h| h.job == *job);
         holdings.map(|h| h.accelerators).sum()
     }
--- a/dragonflyrun/src/job/packing.rs
+++ b/dragonflyrun/src/job/packing.rs
@@ -1,27 +1,29 @@
-//! A search for room for several shapes at once, for when taking them one by one has failed.
+//! A backtracking search for room for several shapes at once, used when placing them one by one has
+//! failed.
 
 use crate::{
     job::{
         Shape,
-        placement::{Part, Seat, scope_of},
+        placement::{Candidate, Part, scope_of},
     },
     version::Adjacency,
 };
 
-/// Steps after which the search gives up, some milliseconds' worth. It is exact on a cluster of
-/// today's size unless the shapes are many and odd; beyond that it is one more heuristic.
-const MOST_STEPS: u32 = 50_000;
+/// Number of steps after which the search gives up, which takes some milliseconds. On a cluster of
+/// today's size the search is exact unless the shapes are many and irregular; beyond that it is a
+/// heuristic.
+const MAX_SEARCH_STEPS: u32 = 50_000;
 
-/// Shapes up to which the search is tried at all.
-const MOST_SHAPES: usize = 64;
+/// Maximum number of shapes for which the search is tried at all.
+const MAX_SHAPES: usize = 64;
 
-/// Finds room for all of `shapes` on `seats`, or nothing.
-pub(super) fn pack(seats: &[Seat], shapes: &[Shape]) -> Option<Vec<Vec<Part>>> {
-    if shapes.len() > MOST_SHAPES {
+/// Finds room for all of `shapes` on `candidates`; returns the parts of each shape.
+pub(super) fn pack(candidates: &[Candidate], shapes: &[Shape]) -> Option<Vec<Vec<Part>>> {
+    if shapes.len() > MAX_SHAPES {
         return None;
     }
     let mut search = Search {
-        seats: seats.to_vec(),
+        candidates: candidates.to_vec(),
         shapes,
         steps: 0,
         chosen: vec![Vec::new(); shapes.len()],
@@ -30,19 +32,19 @@
 }
 
 struct Search<'a> {
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
     shapes: &'a [Shape],
     steps: u32,
     chosen: Vec<Vec<Part>>,
 }
 
 impl Search<'_> {
-    fn place_shape(&mut self, at: usize) -> bool {
-        let Some(shape) = self.shapes.get(at) else {
+    fn place_shape(&mut self, shape_index: usize) -> bool {
+        let Some(shape) = self.shapes.get(shape_index) else {
             return true;
         };
         let mut scopes: Vec<usize> = self
-            .seats
+            .candidates
             .iter()
             .map(|s| scope_of(s, shape.adjacency))
             .collect();
@@ -50,41 +52,42 @@
         scopes.dedup();
         scopes
             .into_iter()
-            .any(|scope| self.place_tasks(at, scope, 0, shape.tasks))
+            .any(|scope| self.place_tasks(shape_index, scope, 0, shape.tasks))
     }
 
-    /// Places the last `left` tasks of the shape on seats of `scope` from number `from` on; the
-    /// tasks of a shape are alike, so their seats need only be tried in one order.
-    fn place_tasks(&mut self, at: usize, scope: usize, from: usize, left: u32) -> bool {
-        let shape = self.shapes[at];
+    /// Places the last `left` tasks of shape `shape_index` on the candidates of `scope` from index
+    /// `from` on. The tasks of a shape are interchangeable, so only one order of the candidates
+    /// needs to be tried.
+    fn place_tasks(&mut self, shape_index: usize, scope: usize, from: usize, left: u32) -> bool {
+        let shape = self.shapes[shape_index];
         if left == 0 {
-            return self.place_shape(at + 1);
+            return self.place_shape(shape_index + 1);
         }
-        for i in from..self.seats.len() {
+        for index in from..self.candidates.len() {
             self.steps += 1;
-            if self.steps > MOST_STEPS {
+            if self.steps > MAX_SEARCH_STEPS {
                 return false;
             }
-            let seat = self.seats[i];
-            if scope_of(&seat, shape.adjacency) != scope {
+            let candidate = self.candidates[index];
+            if scope_of(&candidate, shape.adjacency) != scope {
                 continue;
             }
-            let fit = left.min(seat.value / shape.accelerators);
-            let least = match shape.adjacency {
+            let fit = left.min(candidate.available / shape.accelerators);
+            let min_here = match shape.adjacency {
                 Adjacency::Worker => left,
                 _ => 1,
             };
-            for here in (least..=fit).rev() {
-                self.seats[i].value -= here * shape.accelerators;
-                self.chosen[at].push(Part {
-                    worker: seat.worker,
-                    tasks: here,
+            for tasks_here in (min_here..=fit).rev() {
+                self.candidates[index].available -= tasks_here * shape.accelerators;
+                self.chosen[shape_index].push(Part {
+                    worker: candidate.worker,
+                    tasks: tasks_here,
                 });
-                if self.place_tasks(at, scope, i + 1, left - here) {
+                if self.place_tasks(shape_index, scope, index + 1, left - tasks_here) {
                     return true;
                 }
-                self.chosen[at].pop();
-                self.seats[i].value += here * shape.accelerators;
+                self.chosen[shape_index].pop();
+                self.candidates[index].available += tasks_here * shape.accelerators;
             }
         }
         false
--- a/dragonflyrun/src/job/slots.rs
+++ b/dragonflyrun/src/job/slots.rs
@@ -1,34 +1,36 @@
-//! An index of workers by a count of accelerators, which finds room for a shape without a look at
+//! An index of workers by a number of accelerators, which finds room for a shape without looking at
 //! every worker.
 //!
-//! The scheduler keeps two: one of what is free, one of what no guarantee has been allotted.
+//! The scheduler's inventory has one each for the workers' capacity, for the free accelerators, and
+//! for those that can still be allotted to guarantees.
 
 use std::collections::BTreeSet;
 
 use crate::{
     job::{
         Shape,
-        placement::{Part, Seat, best_of},
+        placement::{Candidate, Part, best_of},
     },
     utils::HashMap,
     version::Adjacency,
 };
 
-/// The number of a worker in the tables of one scheduler.
+/// Index of a worker in the tables of one scheduler.
 pub(super) type WorkerId = usize;
 
-/// Racks that are compared for one placement. The first has the fewest slots to spare; a few more
-/// are looked at because slots don't say how many whole workers a rack keeps.
-const COMPARED_RACKS: usize = 4;
+/// Number of racks compared for one placement, starting with the rack that has the fewest slots to
+/// spare. Some more are compared because the number of slots doesn't tell how many whole workers a
+/// rack keeps.
+const MAX_COMPARED_RACKS: usize = 4;
 
-/// A worker's place in the order: fewest accelerators first, then the most broken rack, so that
-/// whole racks come last.
+/// The sort key of a worker: its accelerators, then the sum of its rack, so that racks that are
+/// mostly in use come before whole ones.
 type Key = (u32, u32, WorkerId);
 
-/// Workers with a count of accelerators each, by rack and failure domain.
+/// Workers with a number of available accelerators each, indexed by rack and failure domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotIndex {
-    seats: Vec<Seat>,
+    candidates: Vec<Candidate>,
     racks: Vec<Rack>,
     domains: Vec<Scope>,
     all: Scope,
@@ -47,7 +49,8 @@
     counts: Counts,
 }
 
-/// How many workers have each count.
+/// The number of workers with each number of available accelerators, and the sum of the
+/// accelerators.
 #[derive(Clone, Debug, Default)]
 struct Counts {
     workers: Vec<u32>,
@@ -79,60 +82,61 @@
 }
 
 impl SlotIndex {
-    /// Adds a worker without accelerators; workers are added in the order of their numbers.
+    /// Adds a worker with no available accelerators and returns its index; workers are numbered in
+    /// the order in which they are added.
     pub(super) fn add(&mut self, rack: usize, domain: usize) -> WorkerId {
-        let worker = self.seats.len();
+        let worker = self.candidates.len();
         if self.racks.len() <= rack {
             self.racks.resize_with(rack + 1, Rack::default);
         }
         if self.domains.len() <= domain {
             self.domains.resize_with(domain + 1, Scope::default);
         }
-        self.seats.push(Seat {
+        self.candidates.push(Candidate {
             worker,
             rack,
             domain,
-            value: 0,
+            available: 0,
         });
-        self.unlink(rack);
+        self.remove_rack_keys(rack);
         self.racks[rack].members.push(worker);
         self.racks[rack].counts.add(0);
         self.domains[domain].counts.add(0);
         self.all.counts.add(0);
-        self.link(rack);
+        self.insert_rack_keys(rack);
         worker
     }
 
-    /// Returns the count of `worker`.
-    pub(super) fn value(&self, worker: WorkerId) -> u32 {
-        self.seats[worker].value
+    /// Returns the accelerators available on `worker`.
+    pub(super) fn available(&self, worker: WorkerId) -> u32 {
+        self.candidates[worker].available
     }
 
-    /// Returns where `worker` stands, with its count.
-    pub(super) fn seat(&self, worker: WorkerId) -> Seat {
-        self.seats[worker]
+    /// Returns `worker` with its location and available accelerators.
+    pub(super) fn candidate(&self, worker: WorkerId) -> Candidate {
+        self.candidates[worker]
     }
 
-    /// Sets the count of `worker`.
+    /// Sets the accelerators available on `worker`.
     pub(super) fn set(&mut self, worker: WorkerId, value: u32) {
-        let seat = self.seats[worker];
-        if seat.value == value {
+        let candidate = self.candidates[worker];
+        if candidate.available == value {
             return;
         }
-        self.unlink(seat.rack);
+        self.remove_rack_keys(candidate.rack);
         for counts in [
-            &mut self.racks[seat.rack].counts,
-            &mut self.domains[seat.domain].counts,
+            &mut self.racks[candidate.rack].counts,
+            &mut self.domains[candidate.domain].counts,
             &mut self.all.counts,
         ] {
-            counts.remove(seat.value);
+            counts.remove(candidate.available);
             counts.add(value);
         }
-        self.seats[worker].value = value;
-        self.link(seat.rack);
+        self.candidates[worker].available = value;
+        self.insert_rack_keys(candidate.rack);
     }
 
-    /// Returns where `shape` fits best, if it fits.
+    /// Returns the best placement of `shape` that is found, or none if it doesn't fit.
     pub(super) fn find(&mut self, shape: &Shape) -> Option<Vec<Part>> {
         let size = shape.accelerators;
         match shape.adjacency {
@@ -179,82 +183,103 @@
         }
     }
 
-    /// Returns the members of the racks with the most room for tasks of `size`, `most` racks at
-    /// the most.
-    pub(super) fn roomiest_racks(&mut self, size: u32, most: usize) -> Vec<Vec<Seat>> {
+    /// Returns the workers of the racks with the most slots for tasks of `size` accelerators, from
+    /// at most `max_racks` racks.
+    pub(super) fn racks_with_most_slots(
+        &mut self,
+        size: u32,
+        max_racks: usize,
+    ) -> Vec<Vec<Candidate>> {
         let racks: Vec<usize> = self
             .rack_order(size)
             .iter()
             .rev()
-            .take(most)
+            .take(max_racks)
             .map(|(_, rack)| *rack)
             .collect();
-        racks.into_iter().map(|rack| self.seats_of(rack)).collect()
+        racks
+            .into_iter()
+            .map(|rack| self.candidates_in(rack))
+            .collect()
     }
 
-    /// Returns the workers with the most room in each failure domain, `most` of each at the most.
-    pub(super) fn roomiest_by_domain(&self, most: usize) -> Vec<Vec<Seat>> {
-        let roomiest = |d: &Scope| {
-            let workers = d.order.iter().rev().take(most);
-            workers.map(|(_, _, w)| self.seats[*w]).collect()
+    /// Returns the workers with the most available accelerators in each failure domain, at most
+    /// `max_workers` in each.
+    pub(super) fn most_available_by_domain(&self, max_workers: usize) -> Vec<Vec<Candidate>> {
+        let most_available = |d: &Scope| {
+            let workers = d.order.iter().rev().take(max_workers);
+            workers.map(|(_, _, w)| self.candidates[*w]).collect()
         };
-        self.domains.iter().map(roomiest).collect()
+        self.domains.iter().map(most_available).collect()
     }
 
-    /// Returns the workers with the most room, `most` at the most.
-    pub(super) fn roomiest(&self, most: usize) -> Vec<Seat> {
-        let workers = self.all.order.iter().rev().take(most);
-        workers.map(|(_, _, w)| self.seats[*w]).collect()
+    /// Returns the workers with the most available accelerators, at most `max_workers`.
+    pub(super) fn most_available(&self, max_workers: usize) -> Vec<Candidate> {
+        let workers = self.all.order.iter().rev().take(max_workers);
+        workers.map(|(_, _, w)| self.candidates[*w]).collect()
     }
 
     fn find_rack(&mut self, shape: &Shape) -> Option<Vec<Part>> {
         let racks: Vec<usize> = self
             .rack_order(shape.accelerators)
             .range((shape.tasks, 0)..)
-            .take(COMPARED_RACKS)
+            .take(MAX_COMPARED_RACKS)
             .map(|(_, rack)| *rack)
             .collect();
         let plans = racks.into_iter().filter_map(|rack| {
-            let mut seats = self.seats_of(rack);
-            seats.sort_by_key(|s| (s.value, s.worker));
-            best_of(&seats, shape.tasks, shape.accelerators)
+            let mut candidates = self.candidates_in(rack);
+            candidates.sort_by_key(|s| (s.available, s.worker));
+            best_of(&candidates, shape.tasks, shape.accelerators)
         });
-        plans.max_by_key(|plan| plan.kept).map(|plan| plan.parts)
+        plans
+            .max_by_key(|plan| plan.packing_score)
+            .map(|plan| plan.parts)
     }
 
-    /// Returns the best of three ways to fill the workers of `scope`; only as many workers are
-    /// looked at as the shape has tasks.
+    /// Returns the best of three ways to fill the workers of `scope`. It reads no more workers from
+    /// each end of the order than the shape has tasks.
     fn find_in(&self, scope: &Scope, shape: &Shape) -> Option<Vec<Part>> {
         let Shape {
             tasks,
             accelerators,
             ..
         } = *shape;
-        let most = tasks as usize;
-        let seat = |key: &Key| self.seats[key.2];
+        let max_workers = tasks as usize;
+        let candidate = |key: &Key| self.candidates[key.2];
         let from = (accelerators, 0, 0);
-        let mut seats: Vec<Seat> = scope.order.range(from..).take(most).map(seat).collect();
-        let last = scope.order.range(from..).rev().take(most).map(seat);
+        let mut candidates: Vec<Candidate> = scope
+            .order
+            .range(from..)
+            .take(max_workers)
+            .map(candidate)
+            .collect();
+        let last = scope
+            .order
+            .range(from..)
+            .rev()
+            .take(max_workers)
+            .map(candidate);
         let whole = tasks.saturating_mul(accelerators);
-        let single = scope.order.range((whole, 0, 0)..).take(1).map(seat);
-        seats.extend(last.chain(single));
-        seats.sort_by_key(|s| (s.value, self.racks[s.rack].counts.sum, s.worker));
-        seats.dedup_by_key(|s| s.worker);
-        best_of(&seats, tasks, accelerators).map(|plan| plan.parts)
+        let single = scope.order.range((whole, 0, 0)..).take(1).map(candidate);
+        candidates.extend(last.chain(single));
+        candidates.sort_by_key(|s| (s.available, self.racks[s.rack].counts.sum, s.worker));
+        candidates.dedup_by_key(|s| s.worker);
+        best_of(&candidates, tasks, accelerators).map(|plan| plan.parts)
     }
 
-    /// Returns the workers in the rack of `worker`, itself included.
-    pub(super) fn rack_of(&self, worker: WorkerId) -> Vec<Seat> {
-        self.seats_of(self.seats[worker].rack)
+    /// Returns the workers in the rack of `worker`, including itself.
+    pub(super) fn rack_members(&self, worker: WorkerId) -> Vec<Candidate> {
+        self.candidates_in(self.candidates[worker].rack)
     }
 
-    fn seats_of(&self, rack: usize) -> Vec<Seat> {
+    fn candidates_in(&self, rack: usize) -> Vec<Candidate> {
         let members = self.racks[rack].members.iter();
-        members.map(|w| self.seats[*w]).collect()
+        members.map(|w| self.candidates[*w]).collect()
     }
 
-    /// Returns the racks by their slots for tasks of `size`. The order is made at the first use
-    /// of a size and kept from then on; there are as many sizes as a worker has accelerators.
+    /// Returns the racks ordered by their slots for tasks of `size` accelerators. The order is
+    /// built when a size is first used and updated from then on; there are at most as many sizes as
+    /// a worker has accelerators.
     pub(super) fn rack_order(&mut self, size: u32) -> &BTreeSet<(u32, usize)> {
         let racks = &self.racks;
         self.rack_orders.entry(size).or_insert_with(|| {
@@ -263,31 +288,32 @@
         })
     }
 
-    fn unlink(&mut self, rack: usize) {
+    fn remove_rack_keys(&mut self, rack: usize) {
         for (size, order) in &mut self.rack_orders {
             order.remove(&(self.racks[rack].counts.slots(*size), rack));
         }
-        self.relink(rack, |order, key| {
+        self.update_worker_keys(rack, |order, key| {
             order.remove(&key);
         });
     }
 
-    fn link(&mut self, rack: usize) {
+    fn insert_rack_keys(&mut self, rack: usize) {
         for (size, order) in &mut self.rack_orders {
             order.insert((self.racks[rack].counts.slots(*size), rack));
         }
-        self.relink(rack, |order, key| {
+        self.update_worker_keys(rack, |order, key| {
             order.insert(key);
         });
     }
 
-    /// Takes each member of `rack` in or out of the orders: its key holds the rack's sum.
-    fn relink(&mut self, rack: usize, change: impl Fn(&mut BTreeSet<Key>, Key)) {
+    /// Adds or removes the key of each member of `rack` in the orders, since the key contains the
+    /// sum of the rack.
+    fn update_worker_keys(&mut self, rack: usize, change: impl Fn(&mut BTreeSet<Key>, Key)) {
         let Rack { members, counts } = &self.racks[rack];
         for worker in members {
-            let seat = self.seats[*worker];
-            let key = (seat.value, counts.sum, *worker);
-            change(&mut self.domains[seat.domain].order, key);
+            let candidate = self.candidates[*worker];
+            let key = (candidate.available, counts.sum, *worker);
+            change(&mut self.domains[candidate.domain].order, key);
             change(&mut self.all.order, key);
         }
     }
