--- a/dragonflyrun/src/job/coverage.rs
+++ b/dragonflyrun/src/job/coverage.rs
@@ -24,7 +24,7 @@
             self.drop_reservations();
             self.reallot_without_temporary();
         }
-        self.clear_reserved();
+        self.evacuate_reserved();
         for workspace in uncovered {
             self.cover_borrowers(&workspace);
         }
@@ -134,11 +134,11 @@
             return false;
         }
         // Allotments may have to move into room that is reserved for jobs that have waited long.
-        self.lift_reservations();
+        self.suspend_reservations();
         let vacated = in_use
             .into_iter()
             .any(|id| self.cover_jobs_elsewhere(id, class));
-        self.put_reservations_back();
+        self.restore_reservations();
         vacated
     }
 
--- a/dragonflyrun/src/job/stopping.rs
+++ b/dragonflyrun/src/job/stopping.rs
@@ -1,26 +1,27 @@
-//! When a member that was told to stop, and does not answer, has stopped for certain.
+//! The time after which a member that was ordered to stop, and whose agent does not answer, has
+//! stopped for certain.
 
 use crate::{
-    job::{AUTONOMY, LAPSE, LAPSE_UNSTARTED},
+    job::{LAPSE, LAPSE_UNSTARTED, RENEWAL_WITHOUT_LOG},
     utils::Timestamp,
 };
 
 /// Why a gang is stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopReason {
-    /// Not all members could reserve.
+    /// Not all members could reserve their accelerators.
     NotReserved,
     /// The start is not known to be on the log.
     NotRecorded,
-    /// Not all members have started.
+    /// Not all members started in time.
     NotStarted,
     /// A member was lost.
     MemberLost,
     /// A task failed.
     TaskFailed,
-    /// Its accelerators are needed for another job or its failure domain leaves service.
+    /// Its accelerators are needed for another job, or its failure domain is taken out of service.
     Evicted,
-    /// Somebody asked to cancel the job.
+    /// Cancellation of the job was requested.
     Cancelled,
 }
 
@@ -29,37 +30,44 @@
     pub(super) since: Timestamp,
     pub(super) reason: StopReason,
     pub(super) checkpoint: bool,
-    /// When it was heard that some member had stopped: no entry renews from then on.
+    /// When some member was first reported as stopped: no entry renews the gang from then on.
     pub(super) first_stop: Option<Timestamp>,
     pub(super) fence: Fence,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fence {
-    Open,
-    Asked,
-    Folded {
+    NotRequested,
+    Requested,
+    Recorded {
         offset: u64,
-        at: Timestamp,
-        /// When all entries were known to have folded it.
-        obeyed: Option<Timestamp>,
+        folded_at: Timestamp,
+        /// When all entries were known to have folded the fence.
+        folded_by_all_at: Option<Timestamp>,
     },
 }
 
 impl Stopping {
-    /// Returns whether a member that was not heard to have stopped has done so for certain.
-    pub(super) fn is_lapsed(&self, now: Timestamp, ran: bool) -> bool {
-        // A renewal needs all members running, so the first stop ends them for those that ran.
-        let by_stop = ran && self.first_stop.is_some_and(|at| now.since(at) > LAPSE);
-        by_stop || self.is_lapsed_by_fence(now, ran)
+    /// Returns whether a member has stopped for certain although its agent has not reported it.
+    pub(super) fn has_lapsed(&self, now: Timestamp, has_run: bool) -> bool {
+        // A gang is renewed only while all members run, so no member that has run is renewed after
+        // the first one stopped.
+        let lapsed_after_stop = has_run && self.first_stop.is_some_and(|at| now.since(at) > LAPSE);
+        lapsed_after_stop || self.has_lapsed_after_fence(now, has_run)
     }
 
-    fn is_lapsed_by_fence(&self, now: Timestamp, ran: bool) -> bool {
-        let Fence::Folded { at, obeyed, .. } = self.fence else {
+    fn has_lapsed_after_fence(&self, now: Timestamp, has_run: bool) -> bool {
+        let Fence::Recorded {
+            folded_at,
+            folded_by_all_at,
+            ..
+        } = self.fence
+        else {
             return false;
         };
-        let unrenewed = obeyed.is_some_and(|since| now.since(since) > LAPSE);
-        let by_itself = now.since(at) > AUTONOMY + LAPSE_UNSTARTED;
-        (unrenewed || by_itself) && (ran || now.since(at) > LAPSE_UNSTARTED)
+        let no_longer_renewed = folded_by_all_at.is_some_and(|since| now.since(since) > LAPSE);
+        let renewals_expired = now.since(folded_at) > RENEWAL_WITHOUT_LOG + LAPSE_UNSTARTED;
+        (no_longer_renewed || renewals_expired)
+            && (has_run || now.since(folded_at) > LAPSE_UNSTARTED)
     }
 }
