--- a/dragonflyrun/src/job/reservation.rs
+++ b/dragonflyrun/src/job/reservation.rs
@@ -157,7 +157,11 @@
     /// Returns the accelerators of each worker that are reserved and not lent to `entry`. Room is
     /// lent to a job that the holder of the reservation may evict, that is expected to end before
     /// the holder could start, or that is older than the holder.
-    pub(super) fn reserved_against(&self, now: Timestamp, entry: &JobEntry) -> HashMap<WorkerId, u32> {
+    pub(super) fn reserved_against(
+        &self,
+        now: Timestamp,
+        entry: &JobEntry,
+    ) -> HashMap<WorkerId, u32> {
         let expected = self.estimates.run_time(&entry.spec);
         let mut reserved = HashMap::default();
         for ((accepted, holder), reservation) in &self.reservations {
@@ -205,7 +209,12 @@
     }
 
     /// Returns when the accelerators on `seats` are expected to become free for `entry`.
-    fn expected_ends(&self, now: Timestamp, entry: &JobEntry, seats: &[Candidate]) -> Vec<ExpectedEnd> {
+    fn expected_ends(
+        &self,
+        now: Timestamp,
+        entry: &JobEntry,
+        seats: &[Candidate],
+    ) -> Vec<ExpectedEnd> {
         let mut ends = Vec::new();
         for (seat, i) in seats.iter().zip(0..) {
             for holding in &self.inventory.worker(seat.worker).jobs {
