--- a/dragonflyrun/src/workload/mod.rs
+++ b/dragonflyrun/src/workload/mod.rs
@@ -1,17 +1,17 @@
-//! Jobs of steps and tasks: what they ask for, how far they are, and where their tasks run.
+//! Jobs with their steps and tasks: their requirements, their progress and the placement of their
+//! tasks on workers.
 //!
-//! Everything here is a table that takes the time and an event and returns typed decisions. No
-//! table holds a socket, a thread or a clock. State points to nothing that decides on it: the
-//! modules read from `job` over `plan` and `fleet` to `schedule` and `planner`.
-//! `docs/SYSTEM.md` tells the design.
+//! Each module is a table that takes the time and an event and returns typed decisions. No table
+//! holds a socket, a thread or a clock. State doesn't refer to the code that decides on it, so the
+//! modules are best read in the order `job`, `plan`, `fleet`, `schedule`, `planner`.
+//! `docs/SYSTEM.md` describes the design.
 
 mod agent_table;
-mod book;
 mod demands;
 mod departure;
 mod fleet;
 mod job;
-mod life_signs;
+mod job_table;
 mod live;
 mod load;
 mod message;
@@ -21,6 +21,7 @@
 mod pass;
 mod plan;
 mod planner;
+mod planner_heartbeat;
 mod progress;
 mod queues;
 mod record;
@@ -29,7 +30,7 @@
 mod schedule;
 mod skip;
 mod speeds;
-mod store_reach;
+mod store_reachability;
 mod task;
 mod term;
 mod tickets;
@@ -38,20 +39,20 @@
 mod withheld;
 
 pub use agent_table::{AgentAction, AgentTable, StartResult};
-pub use book::{Book, BookEntry, LookUp};
-pub use fleet::{Closing, Fleet, FleetWorker, RunOver, RunOverReason, WorkerRun};
+pub use fleet::{Fleet, FleetWorker, RunOver, RunOverReason, SessionState, WorkerRun};
 pub use job::{Job, JobRequest, Occurrences, Resources, Step};
-pub use life_signs::LifeSigns;
+pub use job_table::{JobLookup, JobTable, KnownJob};
 pub use message::{Order, OrderMessage, Report, TaskStart};
 pub use pace::Pace;
 pub use plan::{JobPlan, Outcome, Place, TaskPlan};
 pub use planner::{Decisions, Planner, PlannerBounds, View, WorkerOrder};
+pub use planner_heartbeat::PlannerHeartbeat;
 pub use progress::Progress;
-pub use record::{JobRecord, MOST_NAME_BYTES, Term, decode, encode};
+pub use record::{JobRecord, MAX_JOB_NAME_BYTES, Term, decode, encode};
 pub use run_times::RunTimes;
 pub use schedule::{Demand, Hold, Room};
 pub use speeds::WorkerSpeeds;
-pub use store_reach::StoreReach;
+pub use store_reachability::StoreReachability;
 pub use task::{RunId, TaskId};
 pub use term::{Candidate, Election, TermStep};
 pub use trust::Caution;
--- a/dragonflyrun/src/workload/pace.rs
+++ b/dragonflyrun/src/workload/pace.rs
@@ -1,8 +1,8 @@
-//! How fast runs come on, by the time from one of their checkpoints to the next.
+//! The pace of runs, measured by the time between consecutive checkpoints.
 //!
-//! A run saves a checkpoint after each fixed span of work, so the time between two of them tells how
-//! fast its worker is, exactly and within seconds; the time of a whole task tells it only against
-//! other tasks and once it is over.
+//! A run saves a checkpoint after a fixed amount of work, so the time between two checkpoints
+//! measures the speed of its worker exactly and within seconds. The duration of a whole task does so
+//! only in comparison with other tasks, and only once the task is over.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,109 +14,115 @@
     workload::RunId, //
 };
 
-/// Runs that are over of which the pace is kept.
-const MOST_OVER: usize = 4;
+/// Maximum number of ended runs whose pace is kept.
+const MAX_ENDED_PACES: usize = 4;
 
-/// Milliseconds for which a run has to be timed: before that the time between two looks makes it
-/// appear a third faster or slower than it is.
-const SHORTEST_MS: u64 = 1_200;
+/// Minimum time in milliseconds over which a pace is measured. Over a shorter time the interval
+/// between two readings makes a run appear up to a third faster or slower than it is.
+const MIN_TIMED_MS: u64 = 1_200;
 
-/// How fast a run has come on.
+/// The measured pace of a run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pace {
     /// The run.
     #[serde(rename = "r")]
     pub run: RunId,
-    /// Spans of work between two checkpoints that it has done.
+    /// The number of checkpoint intervals that the run has completed while it was timed.
     #[serde(rename = "n")]
-    pub spans: u32,
-    /// The milliseconds on the worker's clock that these took.
+    pub intervals: u32,
+    /// The time that these intervals took, in milliseconds on the worker's clock.
     #[serde(rename = "t")]
     pub took_ms: u64,
 }
 
-/// A run that is being timed.
+/// The timing of a run. All times are in milliseconds on the worker's clock.
 #[derive(Clone, Debug)]
-struct Timed {
+struct TimedRun {
+    /// The newest checkpoint of the run.
     checkpoint: String,
-    looked_ms: u64,
-    /// When the first new checkpoint was seen; what was there at the first look may be old.
+    /// When the worker's lists were last read.
+    read_ms: u64,
+    /// When the first new checkpoint was seen. The checkpoint found by the first reading doesn't
+    /// count, since it may be old.
     first_ms: Option<u64>,
+    /// When the newest checkpoint was seen.
     last_ms: u64,
-    spans: u32,
+    /// The number of new checkpoints since `first_ms`.
+    intervals: u32,
 }
 
-/// The runs of a worker that save checkpoints, as its agent sees them.
+/// The paces of a worker's runs, as measured by its agent.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Paces {
-    /// The span of work from one checkpoint to the next; zero where it is not known.
-    every: Duration,
-    runs: HashMap<RunId, Timed>,
-    /// The paces of runs that are over, for a planner that takes over after their end.
-    over: VecDeque<Pace>,
+pub(super) struct PaceTable {
+    /// The amount of work between two checkpoints, as its duration at full speed; zero if unknown.
+    interval: Duration,
+    runs: HashMap<RunId, TimedRun>,
+    /// The paces of ended runs, oldest first, for a planner that takes over after their end.
+    ended: VecDeque<Pace>,
 }
 
-impl Paces {
-    /// Returns a table for runs that save a checkpoint after each `every` of work.
-    pub(super) fn new(every: Duration) -> Self {
+impl PaceTable {
+    /// Returns a table for runs that save a checkpoint after each `interval` of work.
+    pub(super) fn new(interval: Duration) -> Self {
         Self {
-            every,
+            interval,
             runs: HashMap::default(),
-            over: VecDeque::new(),
+            ended: VecDeque::new(),
         }
     }
 
-    /// Takes what the worker lists as running at `clock_ms` on its clock.
-    pub(super) fn look(&mut self, clock_ms: u64, running: &[RunningTask]) {
-        let every_ms = u64::try_from(self.every.as_millis()).unwrap_or(u64::MAX);
-        if every_ms == 0 {
+    /// Applies the worker's list of running tasks, read at `clock_ms` on the worker's clock.
+    pub(super) fn update(&mut self, clock_ms: u64, running: &[RunningTask]) {
+        let interval_ms = u64::try_from(self.interval.as_millis()).unwrap_or(u64::MAX);
+        if interval_ms == 0 {
             return;
         }
-        let is_over = |run: &RunId| !running.iter().any(|r| r.run == *run);
-        let over = self.runs.iter().filter(|(run, _)| is_over(run));
-        let over = over.filter_map(|(run, timed)| timed.pace(run));
-        self.over.extend(over);
-        let excess = self.over.len().saturating_sub(MOST_OVER);
-        self.over.drain(..excess);
-        self.runs.retain(|run, _| !is_over(run));
+        let has_ended = |run: &RunId| !running.iter().any(|r| r.run == *run);
+        let ended = self.runs.iter().filter(|(run, _)| has_ended(run));
+        let ended = ended.filter_map(|(run, timed)| timed.pace(run));
+        self.ended.extend(ended);
+        let excess = self.ended.len().saturating_sub(MAX_ENDED_PACES);
+        self.ended.drain(..excess);
+        self.runs.retain(|run, _| !has_ended(run));
         for listed in running {
             let timed = self.runs.entry(listed.run.clone());
-            let timed = timed.or_insert_with(|| Timed {
+            let timed = timed.or_insert_with(|| TimedRun {
                 checkpoint: listed.checkpoint.clone(),
-                looked_ms: clock_ms,
+                read_ms: clock_ms,
                 first_ms: None,
                 last_ms: clock_ms,
-                spans: 0,
+                intervals: 0,
             });
-            timed.look(clock_ms, &listed.checkpoint, every_ms);
+            timed.update(clock_ms, &listed.checkpoint, interval_ms);
         }
     }
 
-    /// Returns how fast the runs have come on.
+    /// Returns the paces that have been measured, those of ended runs first.
     pub(super) fn all(&self) -> Vec<Pace> {
-        let under_way = self.runs.iter().filter_map(|(run, timed)| timed.pace(run));
-        self.over.iter().cloned().chain(under_way).collect()
+        let running = self.runs.iter().filter_map(|(run, timed)| timed.pace(run));
+        self.ended.iter().cloned().chain(running).collect()
     }
 }
 
-impl Timed {
+impl TimedRun {
     fn pace(&self, run: &RunId) -> Option<Pace> {
         let took_ms = self.last_ms.saturating_sub(self.first_ms?);
-        let long_enough = took_ms >= SHORTEST_MS;
+        let long_enough = took_ms >= MIN_TIMED_MS;
         long_enough.then(|| Pace {
             run: run.clone(),
-            spans: self.spans,
+            intervals: self.intervals,
             took_ms,
         })
     }
 
-    fn look(&mut self, clock_ms: u64, checkpoint: &str, every_ms: u64) {
-        let since_look = clock_ms.saturating_sub(self.looked_ms);
-        self.looked_ms = clock_ms;
-        if since_look >= every_ms {
-            // More than one checkpoint may have come since, and been counted as one.
+    fn update(&mut self, clock_ms: u64, checkpoint: &str, interval_ms: u64) {
+        let since_read_ms = clock_ms.saturating_sub(self.read_ms);
+        self.read_ms = clock_ms;
+        if since_read_ms >= interval_ms {
+            // The run may have saved several checkpoints since the last reading, which would be
+            // counted as one. Restart the measurement.
             self.first_ms = None;
-            self.spans = 0;
+            self.intervals = 0;
             checkpoint.clone_into(&mut self.checkpoint);
             return;
         }
@@ -127,7 +133,7 @@
         if self.first_ms.is_none() {
             self.first_ms = Some(clock_ms);
         } else {
-            self.spans += 1;
+            self.intervals += 1;
         }
         self.last_ms = clock_ms;
     }
