--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -47,8 +47,8 @@
 impl Bed {
     fn new(queues: usize, waiting: usize) -> Self {
         let bounds = PlannerBounds {
-            silence: Duration::from_secs(3),
-            lease_over: Duration::from_secs(6),
+            max_silence: Duration::from_secs(3),
+            lease_expiry: Duration::from_secs(6),
             keep_ended: Duration::from_secs(120),
             far_factor: 3.0,
             checkpoint_every: Duration::from_secs(2),
@@ -62,7 +62,8 @@
             },
         };
         for worker in 0..WORKERS {
-            bed.planner.report(Timestamp::default(), report(worker));
+            bed.planner
+                .apply_report(Timestamp::default(), report(worker));
         }
         bed.submit("fill", WORKERS, ACCELERATORS);
         assert_eq!(bed.decide().orders.len(), WORKERS, "all workers are full");
@@ -75,7 +76,8 @@
         for number in 0..jobs {
             let queue = (2 * number + 1) * self.configuration.queues.len() / (2 * jobs);
             let job = job(format!("{name}-{number}"), queue, accelerators);
-            self.planner.job_record(&JobRecord::Accepted(Box::new(job)));
+            self.planner
+                .apply_job_record(&JobRecord::Accepted(Box::new(job)));
         }
     }
 
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -1,4 +1,5 @@
-//! One pass over all that waits: what starts where, and what is evicted for it.
+//! One scheduling pass over all waiting demands: which tasks start on which workers, and which runs
+//! are evicted to make room.
 
 use std::collections::BTreeMap;
 
@@ -20,62 +21,64 @@
         load::PeakLoad,
         overdue::is_overdue,
         planner::View,
+        recent_failures::RecentFailures, //
         schedule::{self, Horizon, Victim},
-        trust::RecentFailures, //
     },
 };
 
-/// An urgent task may cost others so many times its own work in work that is thrown away: above
-/// that, more is lost than the urgent task is worth.
-const EVICTION_RATIO: f64 = 2.0;
+/// Limit on the work that an eviction may discard for an urgent demand, as a multiple of the
+/// demand's own work. Above it, the eviction loses more than the urgent task is worth.
+const MAX_EVICTION_COST_RATIO: f64 = 2.0;
 
-/// Added to the cost of evicting urgent work, in core-seconds: more than any task has to lose.
-const URGENT_COST: f64 = 1e6;
+/// Cost in core-seconds that is added to the eviction of urgent work. It exceeds what any task has
+/// to lose.
+const URGENT_EVICTION_COST_CORE_S: f64 = 1e6;
 
-/// How many times its own work it costs that a job is of no use: its caller has waited for nothing.
-const UNSERVED_COST: f64 = 3.0;
+/// Cost of making a job useless to its caller, as a multiple of the evicted run's own work: the
+/// caller has then waited for nothing.
+const USELESS_JOB_COST_RATIO: f64 = 3.0;
 
-/// Blocked demands for which room is held in one pass: each holds back smaller work.
-const MOST_HOLDS: u32 = 3;
+/// Blocked demands for which one pass holds room. Each hold delays smaller work.
+const MAX_HOLDS_PER_PASS: u32 = 3;
 
 /// Milliseconds from the order to stop a run until its room is known to be free.
-const STOP_MS: u64 = 250;
+const EXPECTED_STOP_MS: u64 = 250;
 
-/// Milliseconds that a run which is past its expected end is taken to go on.
-const PAST_END_MS: u64 = 500;
+/// Milliseconds that a run past its expected end is assumed to need yet.
+const MIN_REMAINING_MS: u64 = 500;
 
-/// A demand with the workers that were found for it.
+/// A demand and the workers that were found for it.
 pub(super) struct Placed {
     pub(super) job: Name,
     pub(super) occurrence: u32,
     pub(super) step: u32,
     pub(super) gang: bool,
     pub(super) needs: Resources,
-    /// The tasks' places in the step, and their workers.
+    /// The indexes of the tasks in the step, each with its worker.
     pub(super) members: Vec<(u32, Name)>,
 }
 
-/// What a pass has decided.
+/// The decisions of a pass.
 #[derive(Default)]
 pub(super) struct PassOutcome {
     pub(super) starts: Vec<Placed>,
     pub(super) evictions: Vec<(Name, RunId)>,
-    /// What jobs wait for, each by the first of its demands that is not served.
+    /// Why each waiting job waits, by the first of its demands that was not served.
     pub(super) waiting: HashMap<Name, Waiting>,
 }
 
-/// What has been learned of workers and load.
-pub(super) struct Learned<'a> {
+/// What the planner has learned about workers and load.
+pub(super) struct Observations<'a> {
     pub(super) times: &'a RunTimes,
     pub(super) peaks: &'a PeakLoad,
     pub(super) failures: &'a RecentFailures,
 }
 
-/// The room of all workers, while a pass takes from it.
+/// The room of all workers. A pass subtracts from it what it assigns.
 pub(super) struct Pass<'a> {
     fleet: &'a Fleet,
     rooms: Vec<Room>,
-    /// What may be evicted; one that was taken in this pass has no parts any more.
+    /// Runs that may be evicted. A victim that this pass has already chosen has no parts left.
     victims: Vec<Victim>,
     counts: HashMap<(Name, u32, u32), HashMap<Name, u32>>,
     holds: u32,
@@ -83,9 +86,9 @@
     outcome: PassOutcome,
 }
 
-/// What became of a demand in a pass.
+/// The result of serving one demand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Served {
+enum ServeResult {
     Started,
     RoomBeingMade,
     RoomHeld,
@@ -93,19 +96,19 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Returns a pass over the workers as they are. `guaranteed` are the jobs that fit into what their
-    /// workspaces are guaranteed.
+    /// Returns a pass over the current state of the workers. `guaranteed` lists the jobs that fit
+    /// into the guarantees of their workspaces.
     pub(super) fn new(
         fleet: &'a Fleet,
         jobs: &BTreeMap<Name, LiveJob>,
         guaranteed: &HashSet<Name>,
-        learned: &Learned<'_>,
+        learned: &Observations<'_>,
         view: &View<'_>,
     ) -> Self {
         let mut rooms = rooms(fleet, jobs, learned, view);
         let idle = is_idle(&rooms);
-        close(&mut rooms, learned.peaks);
-        set_open(&mut rooms, idle);
+        reserve_workers(&mut rooms, learned.peaks);
+        set_open_to_all(&mut rooms, idle);
         let victims = victims(fleet, jobs, guaranteed, learned.times, view, &rooms);
         Self {
             fleet,
@@ -118,29 +121,29 @@
         }
     }
 
-    /// Returns whether a demand could start now on sound workers.
-    pub(super) fn has_sound_room(&mut self, demand: &Demand<'_>) -> bool {
-        self.sound_room(demand).is_some()
+    /// Returns whether a demand could start now on healthy workers.
+    pub(super) fn has_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
+        self.healthy_room(demand).is_some()
     }
 
-    /// Takes the room on sound workers that a demand could start on now, so that nothing else of this
-    /// pass counts on it; returns whether there is such room.
-    pub(super) fn reserve(&mut self, demand: &Demand<'_>) -> bool {
-        let found = self.sound_room(demand);
+    /// Takes room on healthy workers on which a demand could start now, so that nothing else in
+    /// this pass is given the same room. Returns whether there was such room.
+    pub(super) fn take_healthy_room(&mut self, demand: &Demand<'_>) -> bool {
+        let found = self.healthy_room(demand);
         if let Some(found) = &found {
             self.take(demand, found);
         }
         found.is_some()
     }
 
-    fn sound_room(&mut self, demand: &Demand<'_>) -> Option<Vec<usize>> {
+    fn healthy_room(&mut self, demand: &Demand<'_>) -> Option<Vec<usize>> {
         let placed = self.count(demand);
         let found = schedule::place(demand, &self.rooms, Horizon::Now, &placed);
-        let sound = |i: &usize| {
+        let healthy = |i: &usize| {
             let room = &self.rooms[*i];
-            room.doubt == 0 && !demand.avoid.contains(&room.worker)
+            room.fault_count == 0 && !demand.avoid.contains(&room.worker)
         };
-        found.filter(|found| found.iter().all(sound))
+        found.filter(|found| found.iter().all(healthy))
     }
 
     /// Returns the room of all workers.
@@ -148,7 +151,7 @@
         &self.rooms
     }
 
-    /// Returns the work that runs or waits, by its priority, as shares of all room.
+    /// Returns the running and waiting work by priority, as shares of the pool's capacity.
     pub(super) fn load(
         &self,
         jobs: &BTreeMap<Name, LiveJob>,
@@ -171,18 +174,17 @@
         load
     }
 
-    /// Returns whether less than half of the room is in use.
+    /// Returns whether less than half of the pool is in use.
     pub(super) fn is_idle(&self) -> bool {
         self.idle
     }
 
-    /// Serves the demands in their order.
+    /// Serves the demands in the given order.
     pub(super) fn run(&mut self, demands: &[Demand<'_>]) -> PassOutcome {
         for (before, demand) in demands.iter().enumerate() {
             let served = self.serve(demand);
-            // A job waits for what the first of its blocked demands waits for; a job of many tasks
-            // has many.
-            if served == Served::Started || self.outcome.waiting.contains_key(&demand.job) {
+            // A job with many tasks can have many blocked demands; only the first one is reported.
+            if served == ServeResult::Started || self.outcome.waiting.contains_key(&demand.job) {
                 continue;
             }
             let waiting = demand.waiting(before, self.reason(demand, served));
@@ -191,42 +193,45 @@
         std::mem::take(&mut self.outcome)
     }
 
-    /// Starts a demand, or makes or keeps room for it.
-    fn serve(&mut self, demand: &Demand<'_>) -> Served {
+    /// Starts a demand, or else makes or holds room for it.
+    fn serve(&mut self, demand: &Demand<'_>) -> ServeResult {
         let placed = self.count(demand);
         if self.start_now(demand, &placed) {
-            return Served::Started;
+            return ServeResult::Started;
         }
         if self.make_room(demand, &placed) {
-            return Served::RoomBeingMade;
+            return ServeResult::RoomBeingMade;
         }
         if demand.guaranteed {
-            // The guarantee holds also where no rack can be cleared for it.
+            // A guarantee also holds when no single rack can be cleared for the demand.
             let far = Demand {
                 far_allowed: true,
                 ..demand.clone()
             };
             if self.start_now(&far, &placed) {
-                return Served::Started;
+                return ServeResult::Started;
             }
             if self.make_room(&far, &placed) {
-                return Served::RoomBeingMade;
+                return ServeResult::RoomBeingMade;
             }
         }
         let large = demand.shape.gang || self.is_large(demand);
-        if large && self.holds < MOST_HOLDS && schedule::hold(demand, &mut self.rooms, &placed) {
+        if large
+            && self.holds < MAX_HOLDS_PER_PASS
+            && schedule::hold(demand, &mut self.rooms, &placed)
+        {
             self.holds += 1;
-            return Served::RoomHeld;
+            return ServeResult::RoomHeld;
         }
-        Served::NoRoom
+        ServeResult::NoRoom
     }
 
     /// Returns why a demand that was not started waits.
-    fn reason(&self, demand: &Demand<'_>, served: Served) -> WaitReason {
+    fn reason(&self, demand: &Demand<'_>, served: ServeResult) -> WaitReason {
         match served {
-            Served::RoomBeingMade => return WaitReason::RoomBeingMade,
-            Served::RoomHeld => return WaitReason::RoomHeld,
-            Served::Started | Served::NoRoom => {}
+            ServeResult::RoomBeingMade => return WaitReason::RoomBeingMade,
+            ServeResult::RoomHeld => return WaitReason::RoomHeld,
+            ServeResult::Started | ServeResult::NoRoom => {}
         }
         let suitable = self.rooms.iter();
         let suitable = suitable.filter(|r| schedule::is_suitable(demand, r));
@@ -249,31 +254,32 @@
         found.is_some()
     }
 
-    /// Returns whether the demand waits for room that is being made, after ordering what is missing.
+    /// Returns whether room is being made for the demand. Evicts other runs if stopping runs don't
+    /// free enough.
     fn make_room(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
         if !may_evict(demand) {
             return false;
         }
-        if let Some(found) = schedule::place(demand, &self.rooms, Horizon::Soon, placed) {
+        if let Some(found) = schedule::place(demand, &self.rooms, Horizon::AfterStops, placed) {
             self.take(demand, &found);
             return true;
         }
-        if !demand.guaranteed && self.wait_for_ends(demand, placed) {
+        if !demand.guaranteed && self.wait_for_run_ends(demand, placed) {
             return true;
         }
-        let most = most_cost(demand);
-        let found = schedule::evict(demand, &self.rooms, &self.victims, placed, most);
+        let max_cost = max_cost(demand);
+        let found = schedule::evict(demand, &self.rooms, &self.victims, placed, max_cost);
         let Some(found) = found else {
             return false;
         };
         log::info!(
             job:% = demand.job, step = demand.step, guaranteed = demand.guaranteed,
-            victims = found.victims.len(), lost_core_s = found.cost, most_core_s = most,
+            victims = found.victims.len(), lost_core_s = found.cost, most_core_s = max_cost,
             slack_ms = demand.slack_ms;
             "room_made"
         );
         for v in found.victims {
-            schedule::give_back(&mut self.rooms, &self.victims[v]);
+            schedule::return_room(&mut self.rooms, &self.victims[v]);
             let parts = std::mem::take(&mut self.victims[v].parts);
             let runs = parts
                 .iter()
@@ -284,10 +290,10 @@
         true
     }
 
-    /// Returns whether the room that the demand needs becomes free by itself as soon as others could be
-    /// stopped for it. A guarantee doesn't hang on what runs are expected to do.
-    fn wait_for_ends(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
-        let found = schedule::place(demand, &self.rooms, Horizon::At(STOP_MS), placed);
+    /// Returns whether runs that are expected to end free the room as soon as an eviction would.
+    /// Not used for guaranteed demands: a guarantee must not depend on expected run times.
+    fn wait_for_run_ends(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
+        let found = schedule::place(demand, &self.rooms, Horizon::At(EXPECTED_STOP_MS), placed);
         if let Some(found) = &found {
             self.take(demand, found);
         }
@@ -297,9 +303,9 @@
     fn start(&mut self, demand: &Demand<'_>, found: &[usize]) {
         self.take(demand, found);
         if self.idle && !is_idle(&self.rooms) {
-            // A flood of small tasks would otherwise fill an idle pool in one pass.
+            // Otherwise a burst of small tasks would fill an idle pool in one pass.
             self.idle = false;
-            set_open(&mut self.rooms, false);
+            set_open_to_all(&mut self.rooms, false);
         }
         let workers = found.iter().map(|i| self.rooms[*i].worker.clone());
         let members: Vec<(u32, Name)> = demand.indexes.iter().copied().zip(workers).collect();
@@ -326,7 +332,7 @@
         }
     }
 
-    /// Counts the tasks of the demand's step on each worker, with those that this pass starts.
+    /// Counts the tasks of the demand's step on each worker, including those that this pass starts.
     fn count(&mut self, demand: &Demand<'_>) -> HashMap<Name, u32> {
         if demand.shape.per_worker == 0 {
             return HashMap::default();
@@ -338,7 +344,7 @@
         counted.or_insert_with(count).clone()
     }
 
-    /// Returns whether no worker takes two tasks of the demand.
+    /// Returns whether no suitable worker is large enough for two tasks of the demand.
     fn is_large(&self, demand: &Demand<'_>) -> bool {
         let needs = &demand.shape.needs;
         let twice = needs.plus(needs);
@@ -350,33 +356,34 @@
     }
 }
 
-/// Returns whether other work may be stopped for a demand: for urgent work that can be in time, and for a gang
-/// of which nothing has run for long. Small tasks would keep such a gang from whole workers side by
-/// side for as long as they keep coming.
+/// Returns whether other runs may be stopped for a demand. That holds for guaranteed demands, for
+/// urgent work that would still be useful, and for a gang whose job has been starved. A steady
+/// stream of small tasks would otherwise keep such a gang from ever finding whole workers next to
+/// each other.
 fn may_evict(demand: &Demand<'_>) -> bool {
-    let in_time = demand.priority == 0 && demand.of_use;
-    let starves = demand.shape.gang && demand.stands_still;
-    demand.guaranteed || in_time || starves
+    let in_time = demand.priority == 0 && demand.still_useful;
+    let starved = demand.shape.gang && demand.is_starved;
+    demand.guaranteed || in_time || starved
 }
 
-/// Returns the core-seconds that may be thrown away for a demand.
-fn most_cost(demand: &Demand<'_>) -> f64 {
+/// Returns the core-seconds of work that may be discarded for a demand.
+fn max_cost(demand: &Demand<'_>) -> f64 {
     if demand.guaranteed {
         return f64::INFINITY;
     }
     let tasks = demand.indexes.len() as f64;
     let seconds = demand.estimate_ms as f64 / 1_000.0;
-    demand.shape.needs.core_equivalents() * tasks * seconds * EVICTION_RATIO
+    demand.shape.needs.core_equivalents() * tasks * seconds * MAX_EVICTION_COST_RATIO
 }
 
 fn rooms(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
-    learned: &Learned<'_>,
+    learned: &Observations<'_>,
     view: &View<'_>,
 ) -> Vec<Room> {
     let times = learned.times;
-    let failing_since = learned.failures.since();
+    let failing_since = learned.failures.failing_since();
     let usable = fleet
         .workers()
         .filter(|(_, w)| w.accepts_tasks() && w.quarantined_until <= view.now);
@@ -393,10 +400,10 @@
             let expected = expected_ms(jobs, times, run) as f64 * slowness.max(1.0);
             let elapsed = elapsed_ms(state, view) as f64;
             overdue |= is_overdue(expected, elapsed);
-            let left = match measured_left_ms(state, view) {
-                _ if state.stopping => STOP_MS,
+            let left = match measured_remaining_ms(state, view) {
+                _ if state.stopping => EXPECTED_STOP_MS,
                 Some(left_ms) => left_ms,
-                None => ((expected - elapsed).max(0.0) as u64).max(PAST_END_MS),
+                None => ((expected - elapsed).max(0.0) as u64).max(MIN_REMAINING_MS),
             };
             releases.push((left, state.needs));
         }
@@ -406,17 +413,17 @@
             labels: heartbeat.labels.clone(),
             rack: heartbeat.rack.clone(),
             free,
-            soon: free.plus(&worker.stopping()),
+            after_stops: free.plus(&worker.stopping()),
             capacity: heartbeat.capacity,
             releases,
             hold: None,
-            closed_to: u32::MAX,
-            is_open: true,
-            serves: has_step(jobs, worker, |s| s.response_ms > 0),
-            leftovers: has_step(jobs, worker, |s| s.leftovers),
-            doubt: worker.failures + u32::from(overdue),
+            reserved_against: u32::MAX,
+            open_to_all: true,
+            has_serving_tasks: runs_step_where(jobs, worker, |s| s.response_ms > 0),
+            has_leftover_tasks: runs_step_where(jobs, worker, |s| s.leftovers),
+            fault_count: worker.failures + u32::from(overdue),
             proven: failing_since.is_none_or(|since| worker.last_good_start >= Some(since)),
-            slow: schedule::slowness_step(times, name),
+            slowness_step: schedule::slowness_step(times, name),
         })
     });
     rooms.collect()
@@ -434,43 +441,48 @@
         .fold(Resources::default(), |sum, room| sum.plus(&of(room)))
 }
 
-/// Closes shares of the workers to less urgent work: always the same ones, rack by rack, so that
-/// they run empty and gangs find whole workers side by side. Small tasks spread over all of them
-/// would have to be evicted for each. The racks with the fewest slow workers come first, as urgent
-/// work has the least time to lose.
-fn close(rooms: &mut [Room], peaks: &PeakLoad) {
+/// Reserves shares of the workers for more urgent work. The reserved workers are always the same
+/// ones, rack by rack, so that they run empty and gangs find whole workers next to each other;
+/// small tasks spread over all workers would have to be evicted for each gang. The racks with the
+/// fewest slow workers come first, as urgent work has the least time to lose.
+fn reserve_workers(rooms: &mut [Room], peaks: &PeakLoad) {
     let mut order: Vec<usize> = (0..rooms.len()).collect();
     let mut slow_on: HashMap<Option<Name>, u32> = HashMap::default();
     for room in &*rooms {
-        *slow_on.entry(room.rack.clone()).or_default() += room.slow;
+        *slow_on.entry(room.rack.clone()).or_default() += room.slowness_step;
     }
     order.sort_by_cached_key(|i| {
         let room = &rooms[*i];
         let slow = slow_on.get(&room.rack).copied();
         (slow, room.rack.clone(), room.worker.clone())
     });
-    for (priority, share) in peaks.kept() {
+    for (priority, share) in peaks.reserved_shares() {
         let count = (rooms.len() as f64 * share) as usize;
         for i in order.iter().take(count) {
-            rooms[*i].closed_to = priority;
+            rooms[*i].reserved_against = priority;
         }
     }
 }
 
-/// Opens the closed workers to all work, or not: in a pool that is half empty they stand open.
-fn set_open(rooms: &mut [Room], is_open: bool) {
+/// Sets whether the reserved workers also accept other work. They do while less than half of the
+/// pool is in use.
+fn set_open_to_all(rooms: &mut [Room], open_to_all: bool) {
     for room in rooms {
-        room.is_open = is_open;
+        room.open_to_all = open_to_all;
     }
 }
 
-/// Returns whether a task of a step that is such runs on a worker.
-fn has_step(jobs: &BTreeMap<Name, LiveJob>, worker: &FleetWorker, such: fn(&Step) -> bool) -> bool {
+/// Returns whether the worker runs a task of a step that matches `predicate`.
+fn runs_step_where(
+    jobs: &BTreeMap<Name, LiveJob>,
+    worker: &FleetWorker,
+    predicate: fn(&Step) -> bool,
+) -> bool {
     let mut steps = worker.runs.keys().filter_map(|run| {
         let live = jobs.get(&run.task.job)?;
         live.job.request.steps.get(run.task.step as usize)
     });
-    steps.any(such)
+    steps.any(predicate)
 }
 
 pub(super) fn expected_ms(jobs: &BTreeMap<Name, LiveJob>, times: &RunTimes, run: &RunId) -> u64 {
@@ -479,36 +491,41 @@
     step.map_or(0, |(l, s)| times.estimate_ms(&l.job.queue, s.estimate_ms))
 }
 
-/// Returns the milliseconds that a run is expected to take yet.
-pub(super) fn expected_left_ms(
+/// Returns the milliseconds that a run is still expected to take.
+pub(super) fn expected_remaining_ms(
     jobs: &BTreeMap<Name, LiveJob>,
     times: &RunTimes,
     run: &RunId,
     state: &WorkerRun,
     view: &View<'_>,
 ) -> u64 {
-    if let Some(left_ms) = measured_left_ms(state, view) {
+    if let Some(left_ms) = measured_remaining_ms(state, view) {
         return left_ms;
     }
     let left = expected_ms(jobs, times, run).saturating_sub(elapsed_ms(state, view));
-    left.max(PAST_END_MS)
+    left.max(MIN_REMAINING_MS)
 }
 
-/// Returns the milliseconds that a run has left by its progress, where that tells. One that should be over
-/// by now has stopped to come on.
-fn measured_left_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
+/// Returns the milliseconds that a run still takes according to its reported progress, if that is
+/// known. A run that should have ended by now has stopped making progress.
+fn measured_remaining_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
     let left = state.ends_at?.since(view.now).as_millis();
     let left_ms = u64::try_from(left).unwrap_or(u64::MAX);
-    Some(if left_ms == 0 { PAST_END_MS } else { left_ms })
+    Some(if left_ms == 0 {
+        MIN_REMAINING_MS
+    } else {
+        left_ms
+    })
 }
 
 pub(super) fn elapsed_ms(state: &WorkerRun, view: &View<'_>) -> u64 {
     u64::try_from(view.now.since(state.placed_at).as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns what it costs that a run's job loses its objective, or its use, by beginning anew, in
-/// core-seconds: its own work, which would then be done for little, or several times that.
-fn lateness(
+/// Returns the cost in core-seconds of the delay that restarting a run causes to its job. It is the
+/// run's own work if the job misses its objective, since that work is then done for little, and a
+/// multiple of it if the job becomes useless to its caller.
+fn lateness_cost(
     live: &LiveJob,
     run: &RunId,
     state: &WorkerRun,
@@ -524,7 +541,7 @@
     let begin_ms = live.waiting_since_ms(run.task.occurrence);
     let objective_ms = live.objective_ms(times, run.task.occurrence);
     let useless_ms = live.useful_until_ms(objective_ms, run.task.occurrence);
-    // It may have to wait for room as long as it did before it was started.
+    // The run may have to wait for room again as long as it did before its start.
     let waited_ms = view
         .unix_ms
         .saturating_sub(begin_ms + elapsed_ms(state, view));
@@ -532,7 +549,7 @@
     if useless_ms < view.unix_ms {
         0.0
     } else if useless_ms < again_ms + waited_ms {
-        work * UNSERVED_COST
+        work * USELESS_JOB_COST_RATIO
     } else if view.unix_ms <= objective_ms && objective_ms < again_ms {
         work
     } else {
@@ -540,7 +557,7 @@
     }
 }
 
-/// Returns what may be evicted, with what that loses.
+/// Returns the runs that may be evicted, with the cost of each eviction.
 fn victims(
     fleet: &Fleet,
     jobs: &BTreeMap<Name, LiveJob>,
@@ -549,7 +566,7 @@
     view: &View<'_>,
     rooms: &[Room],
 ) -> Vec<Victim> {
-    let mut units: BTreeMap<(Name, u32, u32, Option<u32>), Victim> = BTreeMap::new();
+    let mut victims_by_key: BTreeMap<(Name, u32, u32, Option<u32>), Victim> = BTreeMap::new();
     for (i, room) in rooms.iter().enumerate() {
         let runs = fleet.get(&room.worker).into_iter().flat_map(|w| &w.runs);
         for (run, state) in runs {
@@ -560,36 +577,37 @@
                 continue;
             }
             let step = live.job.request.steps.get(run.task.step as usize);
-            // Tasks that last serve users all the time; nothing that waits is worth a gap there.
+            // Lasting tasks serve users all the time; no waiting work is worth an interruption
+            // there.
             if step.is_some_and(|s| s.lasting) {
                 continue;
             }
-            let alone = step.is_none_or(|s| !s.gang).then_some(run.task.index);
+            let single_task = step.is_none_or(|s| !s.gang).then_some(run.task.index);
             let key = (
                 run.task.job.clone(),
                 run.task.occurrence,
                 run.task.step,
-                alone,
+                single_task,
             );
-            let victim = units.entry(key).or_insert_with(|| Victim {
+            let victim = victims_by_key.entry(key).or_insert_with(|| Victim {
                 parts: Vec::new(),
                 priority: live.job.priority,
                 guaranteed: guaranteed.contains(&run.task.job),
-                // As urgent work yields only where no other can.
+                // Urgent work is evicted only where nothing else can be.
                 cost: if live.job.priority == 0 {
-                    URGENT_COST
+                    URGENT_EVICTION_COST_CORE_S
                 } else {
                     0.0
                 },
             });
             let unsaved = view.now.since(state.checkpointed_at).as_secs_f64();
-            // Work that was evicted before is dearer each time, so that no job is stopped over
-            // and over while others are spared.
-            let again = f64::from(live.evictions + 1);
-            victim.cost += unsaved * state.needs.core_equivalents() * again
-                + lateness(live, run, state, times, view);
+            // The cost rises with each eviction of the job, so that one job isn't stopped over and
+            // over while others are spared.
+            let eviction_factor = f64::from(live.evictions + 1);
+            victim.cost += unsaved * state.needs.core_equivalents() * eviction_factor
+                + lateness_cost(live, run, state, times, view);
             victim.parts.push((i, run.clone(), state.needs));
         }
     }
-    units.into_values().collect()
+    victims_by_key.into_values().collect()
 }
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -57,8 +57,8 @@
 
 pub(crate) fn bounds() -> PlannerBounds {
     PlannerBounds {
-        silence: Duration::from_secs(3),
-        lease_over: Duration::from_secs(6),
+        max_silence: Duration::from_secs(3),
+        lease_expiry: Duration::from_secs(6),
         keep_ended: Duration::from_secs(120),
         far_factor: 3.0,
         checkpoint_every: Duration::from_secs(2),
@@ -151,7 +151,8 @@
             },
         };
         let name = job.name.clone();
-        self.planner.job_record(&JobRecord::Accepted(Box::new(job)));
+        self.planner
+            .apply_job_record(&JobRecord::Accepted(Box::new(job)));
         name
     }
 
@@ -170,7 +171,7 @@
         for order in &decisions.orders {
             self.offset += 1;
             self.planner
-                .ordered(Timestamp::from_millis(self.now_ms), order, self.offset);
+                .order_stored(Timestamp::from_millis(self.now_ms), order, self.offset);
             let report = self
                 .reports
                 .iter_mut()
@@ -210,7 +211,7 @@
             .find(|r| &*r.heartbeat.worker == worker);
         if let Some(report) = report {
             report.sequence += 1;
-            self.planner.report(now, report.clone());
+            self.planner.apply_report(now, report.clone());
         }
     }
 
