--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -424,7 +424,8 @@
                 .unread_order_since()
                 .map(|s| view.now.since(s.max(reports_since)));
             let reads_no_orders = unread.is_some_and(|u| u > allowed + self.bounds.lease_expiry);
-            w.session_state == SessionState::Open && (silence_of(w) > allowed || unreachable || reads_no_orders)
+            w.session_state == SessionState::Open
+                && (silence_of(w) > allowed || unreachable || reads_no_orders)
         });
         let mut silent: Vec<Name> = silent.map(|(name, _)| name.clone()).collect();
         let open = self.fleet.workers();
