--- a/dragonflyrun/src/process/on_store/mod.rs
+++ b/dragonflyrun/src/process/on_store/mod.rs
@@ -1,20 +1,20 @@
-//! Entry and agent of a deployment whose state lives on the platform's store.
+//! The entry and the agent of a deployment whose state is in the platform's store.
 //!
-//! A process keeps nothing that matters: it follows the store and can be thrown away at any
-//! moment. All tasks of a process run on one thread, since its host gives it a fraction of a core;
-//! tables are shared under mutexes that no task holds while it waits. Lock order: state, planner.
-//! `docs/SYSTEM.md` tells the design.
+//! A process holds no state that would be lost with it: it follows the store and can be killed at
+//! any time. All tasks of a process run on one thread because its host gives it only a fraction of
+//! a core. They share tables behind mutexes that no task holds across an `await`. Lock order:
+//! entry state, then planner. `docs/SYSTEM.md` describes the design.
 
 mod agent;
-mod append_time;
+mod api;
+mod append_timeout;
 mod boot_clock;
 mod caller_records;
-mod entrance;
+mod caller_requests;
 mod entry;
 mod follower;
 mod lanes;
 mod link_load;
-mod own_interface;
 mod planner_term;
 mod read_pause;
 mod reader;
@@ -23,11 +23,11 @@
 mod view;
 
 pub use agent::StoreAgent;
-pub use append_time::append_time;
+pub use api::{ApiAnswer, ApiCall, ApiError, WORKSPACE_KEY_HEADER};
+pub use append_timeout::append_timeout;
 pub use boot_clock::BootTime;
 pub use entry::{OperatorDecoder, StoreEntry};
 pub use follower::{Batch, Follower};
 pub use lanes::Lanes;
-pub use own_interface::{NotDone, OwnAnswer, OwnCall, WORKSPACE_KEY_HEADER};
 pub use settings::{StoreBounds, StoreSettings};
 pub use view::{DeploymentView, OccurrencesFile, StepFile, StepJobFile, StepJobView, StepView};
--- a/dragonflyrun/src/process/on_store/reader.rs
+++ b/dragonflyrun/src/process/on_store/reader.rs
@@ -1,14 +1,16 @@
-//! Reads of one partition that do not hang with their connection.
+//! Reads one partition without being held up by a connection that has gone silent.
 //!
-//! Load pattern answered here: open connections to the store fall silent while new ones work. A read
-//! waits for news most of the time, so the silence of its connection shows only once the answer is
-//! overdue. A second read on another connection is sent then, and the first answer counts: a hedged
-//! request (Dean and Barroso, "The Tail at Scale", CACM 2013). On a store that is slow altogether it
-//! waits longer before that, so that the load of such a store does not double. An answer that has begun to
-//! come is not overdue, however long the rest takes: sent again, it would take half of the link from itself.
+//! Open connections to the store sometimes go silent while new ones work. A read spends most of
+//! its time waiting for new records, so a silent connection is noticed only once the answer is
+//! overdue. A second read is then sent on another connection, and the first answer counts: a
+//! hedged request (Dean and Barroso, "The Tail at Scale", CACM 2013). On a store that is slow
+//! altogether the second read is sent later, so that it does not double the store's load. An
+//! answer that has started to arrive is not overdue, however long the rest takes: a second copy
+//! would take half of the link from the first.
 //!
-//! After a read that failed the next one waits for no news: it proves at once that the store is back,
-//! which a read that waits for news on a store without any would prove only when its wait is over.
+//! After a failed read the next one does not wait for new records. It shows at once that the store
+//! is back, whereas a waiting read on a store without new records would show that only at the end
+//! of its wait.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -19,59 +21,60 @@
 
 use crate::port::{Page, PageBody, Partition, ReadError, Store};
 
-/// An answer counts as overdue so long after its time at the least.
-const LEAST_OVERDUE: Duration = Duration::from_millis(150);
+/// Minimum time beyond its wait after which an answer is overdue.
+const MIN_OVERDUE: Duration = Duration::from_millis(150);
 
-/// How many times the usual delay an answer may take.
-const OVERDUE_TIMES: u32 = 3;
+/// The same time as a multiple of the store's usual delay, if that is longer.
+const OVERDUE_STORE_DELAYS: u32 = 3;
 
-/// Time for a read after one that failed, beside [`PROBE_DELAYS`]. A store that was silent answers no
-/// read that was sent before its return.
+/// Time limit for a read after a failed one, to which [`PROBE_STORE_DELAYS`] is added. A store
+/// that was silent never answers a read that was sent before it came back.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How many times the usual delay such a read may take beside that.
-const PROBE_DELAYS: u32 = 8;
+/// Multiple of the store's usual delay that is added to [`PROBE_TIMEOUT`].
+const PROBE_STORE_DELAYS: u32 = 8;
 
 /// Reads one partition.
 pub(super) struct Reader<S> {
     store: Arc<S>,
     partition: Partition,
     delay: StoreDelay,
-    /// Whether the newest read failed.
+    /// Whether the last read failed.
     failing: bool,
 }
 
-/// How long the store takes for an answer, beside the time that it waits for news.
+/// How long the store takes for an answer, apart from the wait for new records.
 #[derive(Debug, Default)]
 struct StoreDelay {
-    /// Of the newest answers: what an empty one took beyond the wait, and what one with news took in
-    /// all, since nobody knows when the news came.
-    newest: VecDeque<Duration>,
+    /// Delays of the latest answers: for an empty answer the time beyond the wait, for one with
+    /// records the whole time, because it is not known when the records arrived.
+    samples: VecDeque<Duration>,
 }
 
 impl StoreDelay {
-    /// Answers that are remembered: so many in a row that all came late for their news are rare.
-    const REMEMBERED: usize = 4;
+    /// Number of answers that are remembered. It is rare that this many answers in a row are all
+    /// late because their records arrived late.
+    const MAX_SAMPLES: usize = 4;
 
-    fn learn(&mut self, took: Duration, wait: Duration, has_news: bool) {
-        if self.newest.len() == Self::REMEMBERED {
-            self.newest.pop_front();
+    fn record(&mut self, took: Duration, wait: Duration, has_records: bool) {
+        if self.samples.len() == Self::MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        let delay = if has_news {
+        let delay = if has_records {
             took
         } else {
             took.saturating_sub(wait)
         };
-        self.newest.push_back(delay);
+        self.samples.push_back(delay);
     }
 
     fn usual(&self) -> Duration {
-        self.newest.iter().min().copied().unwrap_or_default()
+        self.samples.iter().min().copied().unwrap_or_default()
     }
 }
 
 impl<S: Store> Reader<S> {
-    /// Returns a reader that knows nothing of the store's pace.
+    /// Returns a reader that has not measured the store's delay yet.
     pub(super) fn new(store: Arc<S>, partition: Partition) -> Self {
         Self {
             store,
@@ -81,17 +84,17 @@
         }
     }
 
-    /// Returns how long the store takes for an answer.
+    /// Returns the store's usual delay before it answers: the least of the latest answers.
     pub(super) fn usual_delay(&self) -> Duration {
         self.delay.usual()
     }
 
-    /// Returns the records from offset `from` on, waiting for the first up to `wait`, and not at all
-    /// where the read before failed.
+    /// Returns the records from offset `from` on, waiting for the first for up to `wait`, or not
+    /// at all if the previous read failed.
     ///
     /// # Errors
     ///
-    /// Where neither read has an answer.
+    /// Returns an error if neither the read nor its hedge gets an answer.
     pub(super) async fn read(&mut self, from: u64, wait: Duration) -> Result<Page, ReadError> {
         let answer = if self.failing {
             self.probe(from).await
@@ -103,36 +106,37 @@
     }
 
     async fn probe(&mut self, from: u64) -> Result<Page, ReadError> {
-        let within = PROBE_TIMEOUT + self.delay.usual() * PROBE_DELAYS;
+        let limit = PROBE_TIMEOUT + self.delay.usual() * PROBE_STORE_DELAYS;
         let store = self.store.clone();
-        let read = self.begin_hedged(&store, from, Duration::ZERO);
-        let silent = |_| Err(ReadError::Unavailable("timeout".to_owned()));
-        let begun = timeout(within, read).await.unwrap_or_else(silent);
-        self.finish(begun?).await
+        let read = self.start_hedged(&store, from, Duration::ZERO);
+        let timed_out = |_| Err(ReadError::Unavailable("timeout".to_owned()));
+        let started = timeout(limit, read).await.unwrap_or_else(timed_out);
+        self.finish(started?).await
     }
 
     async fn read_hedged(&mut self, from: u64, wait: Duration) -> Result<Page, ReadError> {
         let store = self.store.clone();
-        let begun = self.begin_hedged(&store, from, wait).await?;
-        self.finish(begun).await
+        let started = self.start_hedged(&store, from, wait).await?;
+        self.finish(started).await
     }
 
-    /// Returns the first answer that begins to come.
-    async fn begin_hedged<'s>(
+    /// Sends the read, and a second one if the answer is overdue; returns the first answer that
+    /// starts to arrive.
+    async fn start_hedged<'s>(
         &self,
         store: &'s S,
         from: u64,
         wait: Duration,
-    ) -> Result<Begun<'s>, ReadError> {
+    ) -> Result<StartedAnswer<'s>, ReadError> {
         let partition = self.partition;
-        let first = begin(store, partition, from, wait);
+        let first = start_read(store, partition, from, wait);
         pin!(first);
-        let overdue = wait + LEAST_OVERDUE.max(self.delay.usual() * OVERDUE_TIMES);
+        let overdue = wait + MIN_OVERDUE.max(self.delay.usual() * OVERDUE_STORE_DELAYS);
         if let Ok(answer) = timeout(overdue, &mut first).await {
             return answer;
         }
         log::debug!(partition:? = partition, from, overdue_ms = overdue.as_millis() as u64; "read_overdue");
-        let second = begin(store, partition, from, Duration::ZERO);
+        let second = start_read(store, partition, from, Duration::ZERO);
         pin!(second);
         select! {
             answer = &mut first => match answer {
@@ -146,32 +150,32 @@
         }
     }
 
-    async fn finish(&mut self, begun: Begun<'_>) -> Result<Page, ReadError> {
-        let page = begun.body.whole().await?;
+    async fn finish(&mut self, started: StartedAnswer<'_>) -> Result<Page, ReadError> {
+        let page = started.body.read_all().await?;
         self.delay
-            .learn(begun.took, begun.wait, !page.records.is_empty());
+            .record(started.took, started.wait, !page.records.is_empty());
         Ok(page)
     }
 }
 
-/// An answer that has begun to come.
-struct Begun<'s> {
+/// An answer that has started to arrive.
+struct StartedAnswer<'s> {
     body: PageBody<'s>,
-    /// How long it took until then.
+    /// Time from the request until the answer started to arrive.
     took: Duration,
-    /// How long the store was allowed to wait for news.
+    /// How long the store was allowed to wait for new records.
     wait: Duration,
 }
 
-async fn begin<S: Store>(
+async fn start_read<S: Store>(
     store: &S,
     partition: Partition,
     from: u64,
     wait: Duration,
-) -> Result<Begun<'_>, ReadError> {
+) -> Result<StartedAnswer<'_>, ReadError> {
     let sent = Instant::now();
     let body = store.read(partition, from, wait).await?;
-    Ok(Begun {
+    Ok(StartedAnswer {
         body,
         took: sent.elapsed(),
         wait,
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -10,12 +10,12 @@
 
 use dragonflyrun::{
     port::{
-        AdviceAnswer, AdviceQuestion, Advisor, Append, Configuration, Entrance, OperatorRecord,
-        Partition, Queue, Service, Store, StoreRecord, Workspace,
+        AdviceAnswer, AdviceQuestion, Advisor, Append, CallerHandler, Configuration,
+        OperatorRecord, Partition, Queue, Service, Store, StoreRecord, Workspace,
     },
     process::{
         Counters,
-        on_store::{OwnCall, StepJobView, StoreAgent, StoreBounds, StoreEntry, StoreSettings},
+        on_store::{ApiCall, StepJobView, StoreAgent, StoreBounds, StoreEntry, StoreSettings},
     },
     utils::Name,
     workload::RunId,
@@ -165,7 +165,7 @@
     StoreSettings {
         name: name.into(),
         partitions: 4,
-        link: None,
+        link_bytes_per_s: None,
         bounds: StoreBounds {
             lease: Duration::from_secs(6),
             revoke: Duration::from_secs(5),
@@ -229,7 +229,7 @@
         }],
         services: vec![Service {
             name: "svc".into(),
-            guards_capacity: true,
+            rejects_overload: true,
         }],
         workspaces: vec![Workspace {
             name: "sawmills".into(),
@@ -247,7 +247,7 @@
             value: Some(Vec::new()),
         }],
         writer: None,
-        at: None,
+        expected_end: None,
     };
     let appended = store.append(&append, PATIENCE).await;
     appended.map_err(|e| io::Error::other(e.to_string()))?;
@@ -256,7 +256,7 @@
 
 async fn hand_in(entry: &Entry, name: &str, body: &[u8]) -> io::Result<()> {
     let answer = entry
-        .own_call(OwnCall {
+        .answer_api_call(ApiCall {
             method: "POST",
             path: &format!("/v1/jobs/{name}"),
             key: Some(KEY),
@@ -272,7 +272,7 @@
 
 async fn look(entry: &Entry, name: &str) -> Option<StepJobView> {
     let answer = entry
-        .own_call(OwnCall {
+        .answer_api_call(ApiCall {
             method: "GET",
             path: &format!("/v1/why/{name}"),
             key: None,
