--- a/dragonflyrun/src/process/on_store/api.rs
+++ b/dragonflyrun/src/process/on_store/api.rs
@@ -87,14 +87,10 @@
             ("GET", ("deployment", "")) => ApiAnswer::ok(&self.deployment()),
             ("GET", ("jobs" | "why", job)) => match self.step_job(job) {
                 Some(view) => ApiAnswer::ok(&view),
-                None => ApiAnswer::error(
-                    404,
-                    "there is no such job, or its state is no longer kept",
-                    None,
-                ),
+                None => ApiAnswer::error(404, "no such job, or it is no longer known", None),
             },
             ("POST", ("jobs", job)) => self.submit_step_job(job, &call).await,
-            _ => ApiAnswer::error(404, "there is no such API call", None),
+            _ => ApiAnswer::error(404, "no such call", None),
         }
     }
 
@@ -165,7 +161,7 @@
         let configuration = lock(&self.state).configuration.clone();
         let queues = configuration.iter().flat_map(|c| &c.queues);
         let Some(queue) = queues.into_iter().find(|q| q.name == file.queue) else {
-            return ApiAnswer::error(404, "no such queue is configured", None);
+            return ApiAnswer::error(404, "no such queue is in force", None);
         };
         let req = CallerRequest {
             host: queue.host.to_string(),
@@ -176,11 +172,11 @@
         };
         match self.call(req).await {
             CallerAnswer::Accepted => ApiAnswer::ok(&serde_json::json!({ "job": job })),
-            CallerAnswer::UnknownKey => ApiAnswer::error(401, "the workspace key is unknown", None),
-            CallerAnswer::Malformed => ApiAnswer::error(400, "the job is invalid", None),
+            CallerAnswer::UnknownKey => ApiAnswer::error(401, "the key is not known", None),
+            CallerAnswer::Malformed => ApiAnswer::error(400, "the job makes no sense", None),
             CallerAnswer::Refused(why, after) => ApiAnswer::error(503, why.name(), Some(after)),
-            CallerAnswer::NoQueue => ApiAnswer::error(404, "no such queue is configured", None),
-            _ => ApiAnswer::error(504, "it is unknown whether the job was accepted", None),
+            CallerAnswer::NoQueue => ApiAnswer::error(404, "no such queue is in force", None),
+            _ => ApiAnswer::error(504, "it is not known whether the job is accepted", None),
         }
     }
 }
