--- a/dragonflyrun/src/port/worker.rs
+++ b/dragonflyrun/src/port/worker.rs
@@ -193,7 +193,7 @@
     ) -> Result<WorkerLists, CallError>;
 }
 
-/// Receives the messages that workers send by themselves.
+/// Receives the messages that workers send about themselves.
 pub trait Registry: 'static {
     /// Handles a heartbeat; returns whether it was accepted and may be confirmed.
     fn heartbeat(&self, heartbeat: Heartbeat) -> bool;
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -49,16 +49,16 @@
 /// Interval between two reports without news while something runs.
 const BUSY_REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Interval between two reports of an idle worker, well below the 3 s after which the planner
-/// treats its agent as silent.
+/// Interval between two reports of an idle worker. The planner treats its agent as silent after two
+/// and a half times that, 3 s.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Longest time from one report to the next, including the append: the planner waits 3 s for a
 /// report.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(2_600);
 
-/// Minimum spacing of reports, as a multiple of the time that the last append took. On a slow
-/// store, reports without news would otherwise delay those that carry an end.
+/// Spacing of reports without news, as a multiple of the time that the last report took. On a slow
+/// store they would otherwise delay reports that carry an end, which are sent at once.
 const REPORT_APPEND_TIMES: u32 = 4;
 
 /// Delay before the next check while the worker's clock is still unknown in a session. A poll
@@ -343,7 +343,7 @@
         let mut append_elapsed = Duration::ZERO;
         loop {
             let is_busy = lock(&self.table).is_busy();
-            let min_interval = if is_busy {
+            let usual_interval = if is_busy {
                 BUSY_REPORT_INTERVAL
             } else {
                 IDLE_REPORT_INTERVAL
@@ -351,7 +351,7 @@
             let max_interval = MAX_REPORT_INTERVAL.saturating_sub(append_elapsed);
             let interval = (append_elapsed * REPORT_APPEND_TIMES)
                 .min(max_interval)
-                .max(min_interval);
+                .max(usual_interval);
             wait_for(&self.report_wakeup, interval).await;
             let began = Instant::now();
             self.append_reports().await;
--- a/dragonflyrun/src/process/on_store/boot_clock.rs
+++ b/dragonflyrun/src/process/on_store/boot_clock.rs
@@ -16,7 +16,7 @@
     pub fn now() -> Self {
         let now = clock_gettime(ClockId::CLOCK_BOOTTIME);
         // All kernels that this program runs on have this clock. Without it every elapsed time
-        // would be zero.
+        // would be zero, and an old confirmation would pass for a new one.
         Self(now.map(Duration::from).unwrap_or_default())
     }
 
--- a/dragonflyrun/src/process/on_store/caller_requests.rs
+++ b/dragonflyrun/src/process/on_store/caller_requests.rs
@@ -63,7 +63,7 @@
         if found != JobLookup::Unknown {
             return found;
         }
-        // Another entry may have accepted the job after the pending read was answered.
+        // Another entry may have accepted the job since the last applied read was answered.
         self.await_next_read().await;
         lock(&self.state).job_table.look_up(name)
     }
@@ -163,7 +163,8 @@
     }
 }
 
-/// Returns whether the store's record keys can tell apart jobs with names of this length.
+/// Returns whether the store can tell apart the records of jobs with such names: the name is not
+/// empty and fits into a record's key.
 fn is_storable(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_JOB_NAME_BYTES
 }
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -162,9 +162,9 @@
             match follower.next(wait).await {
                 Ok(batch) => {
                     self.log_reachability(&mut reachable, true, "operators", "");
-                    // A batch with records may have taken long to arrive and confirms only what
-                    // was in force when its read was sent. The next read therefore returns at
-                    // once.
+                    // A large record may take long to arrive, and confirms only what was in force
+                    // when its read was sent. The read after a batch with records therefore
+                    // returns at once.
                     wait = match batch.records.is_empty() {
                         true => READ_WAIT,
                         false => Duration::ZERO,
@@ -258,7 +258,7 @@
 
     /// Brings the job table up to date before a request is answered from it.
     pub(super) async fn catch_up_jobs(&self) {
-        self.job_read_pause.catch_up_jobs(CATCH_UP_TIMEOUT).await;
+        self.job_read_pause.catch_up(CATCH_UP_TIMEOUT).await;
     }
 
     /// Waits for the next read of the jobs to be applied.
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -65,7 +65,8 @@
 /// and on a slow store at least every 2.6 s.
 const MAX_AGENT_SILENCE: Duration = Duration::from_millis(3_000);
 
-/// How many times faster the planner's clock may run than a worker's clock.
+/// How much slower a worker's clock may run than the planner's, as the ratio of the planner's rate
+/// to the worker's.
 const MAX_CLOCK_RATE_RATIO: f64 = 1.02;
 
 /// Margin added to the time after which a lease has expired, for steps in either clock.
@@ -525,7 +526,7 @@
 /// for the claim to succeed; `None` if it should not claim one.
 fn candidacy<S: Store, A: Advisor>(entry: &StoreEntry<S, A>) -> Option<(Term, u64)> {
     /// Age of the last current read of the jobs up to which an entry may be a candidate. An entry
-    /// that reads late would also plan late.
+    /// that reads badly would also plan badly.
     const MAX_CANDIDATE_READ_AGE: Duration = Duration::from_millis(1_700);
     let now = entry.now();
     let state = lock(&entry.state);
--- a/dragonflyrun/src/process/on_store/read_pause.rs
+++ b/dragonflyrun/src/process/on_store/read_pause.rs
@@ -93,7 +93,7 @@
 
     /// Ends the pause and waits up to `limit` for the next read. Returns at once if a read is
     /// pending, because the store answers it as soon as a new record arrives.
-    pub(super) async fn catch_up_jobs(&self, limit: Duration) {
+    pub(super) async fn catch_up(&self, limit: Duration) {
         if self.pausing.load(Ordering::Relaxed) {
             self.await_next_read(limit).await;
         }
--- a/dragonflyrun/src/process/on_store/term_writer.rs
+++ b/dragonflyrun/src/process/on_store/term_writer.rs
@@ -57,7 +57,7 @@
         self.lost.get()
     }
 
-    /// Ends the term; no append is retried from now on.
+    /// Marks the term as over for this writer, so that no append is retried from now on.
     pub(super) fn abandon_term(&self) {
         self.lost.set(true);
     }
--- a/dragonflyrun/src/process/on_store/view.rs
+++ b/dragonflyrun/src/process/on_store/view.rs
@@ -44,7 +44,7 @@
     pub out_of_service: Vec<Name>,
     /// Number of jobs of which nothing has started.
     pub waiting: usize,
-    /// Number of jobs that have started and not ended.
+    /// Number of jobs of which something has started and that have not ended.
     pub running: usize,
     /// Number of ended jobs whose state is still kept.
     pub ended: usize,
@@ -111,7 +111,7 @@
     pub count: u32,
     /// When the first is due, in Unix milliseconds.
     pub first_ms: u64,
-    /// Milliseconds between two occurrences.
+    /// Milliseconds from the due time of one occurrence to that of the next.
     pub every_ms: u64,
 }
 
