--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -20,7 +20,7 @@
 const QUEUES: [usize; 2] = [45, 4_245];
 const WORKERS: usize = 50;
 const ACCELERATORS: u64 = 8;
-const WAITING: [usize; 2] = [1, 300];
+const WAITING_JOBS: [usize; 2] = [1, 300];
 
 /// Unix milliseconds at which all jobs are handed in.
 const EPOCH_MS: u64 = 1_000_000;
@@ -30,21 +30,21 @@
 }
 
 /// One pass in which nothing starts.
-#[divan::bench(args = QUEUES, consts = WAITING)]
+#[divan::bench(args = QUEUES, consts = WAITING_JOBS)]
 fn pass_over_waiting<const JOBS: usize>(bencher: Bencher<'_, '_>, queues: usize) {
-    let mut bed = Bed::new(queues, JOBS);
-    let decisions = bed.decide();
+    let mut harness = PlannerHarness::new(queues, JOBS);
+    let decisions = harness.decide();
     assert_eq!(decisions.waiting.len(), JOBS, "all of them wait");
     assert!(decisions.orders.is_empty(), "nothing starts");
-    bencher.bench_local(|| bed.decide());
+    bencher.bench_local(|| harness.decide());
 }
 
-struct Bed {
+struct PlannerHarness {
     planner: Planner,
     configuration: Configuration,
 }
 
-impl Bed {
+impl PlannerHarness {
     fn new(queues: usize, waiting: usize) -> Self {
         let bounds = PlannerBounds {
             max_silence: Duration::from_secs(3),
@@ -53,7 +53,7 @@
             far_factor: 3.0,
             checkpoint_every: Duration::from_secs(2),
         };
-        let mut bed = Self {
+        let mut harness = Self {
             planner: Planner::take_over(bounds, &JobTable::default(), Timestamp::default()),
             configuration: Configuration {
                 version: 1,
@@ -62,13 +62,18 @@
             },
         };
         for worker in 0..WORKERS {
-            bed.planner
+            harness
+                .planner
                 .apply_report(Timestamp::default(), report(worker));
         }
-        bed.submit("fill", WORKERS, ACCELERATORS);
-        assert_eq!(bed.decide().orders.len(), WORKERS, "all workers are full");
-        bed.submit("wait", waiting, 1);
-        bed
+        harness.submit("fill", WORKERS, ACCELERATORS);
+        assert_eq!(
+            harness.decide().orders.len(),
+            WORKERS,
+            "all workers are full"
+        );
+        harness.submit("wait", waiting, 1);
+        harness
     }
 
     /// Hands in `jobs` jobs of one task, of queues at even distances in the configuration.
--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -70,13 +70,13 @@
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS));
     assert!(table.heartbeat(heartbeat("w", 5, 1), Instant::now()));
     assert!(table.begin_session("w", 5, 7));
-    look(&mut table, lists(1_000, &[]));
+    update_lists(&mut table, lists(1_000, &[]));
     table
 }
 
-fn look(table: &mut AgentTable, lists: WorkerLists) {
-    let (asked, session, ..) = table.request_lists().expect("a session");
-    table.lists(asked, session, lists);
+fn update_lists(table: &mut AgentTable, lists: WorkerLists) {
+    let (requested_at, session, ..) = table.request_lists().expect("a session");
+    table.lists(requested_at, session, lists);
 }
 
 fn report(table: &mut AgentTable) -> Report {
@@ -90,12 +90,12 @@
 /// An agent is frozen between its look at the worker's clock and the answer of the store. The lease
 /// counts from the look, so it never reaches beyond what the store's answer proves.
 #[test]
-fn lease_from_look() {
+fn lease_from_clock_read() {
     let mut table = agent();
     assert_eq!(lease(&mut table), None);
-    let looked = table.clock_ms();
-    look(&mut table, lists(9_000, &[]));
-    table.orders(looked, Vec::new(), 9);
+    let clock_read_ms = table.clock_ms();
+    update_lists(&mut table, lists(9_000, &[]));
+    table.orders(clock_read_ms, Vec::new(), 9);
     assert_eq!(lease(&mut table), Some(1_000 + LEASE_MS));
 }
 
@@ -106,7 +106,7 @@
     let mut table = agent();
     table.orders(Some(1_000), vec![start_order(1)], 9);
     table.start_result(&run(1), 7, StartResult::Answered(StartOutcome::Started));
-    look(&mut table, lists(1_100, &[1]));
+    update_lists(&mut table, lists(1_100, &[1]));
     let fence = Order {
         fence: true,
         ..Order::default()
@@ -120,7 +120,7 @@
     assert_eq!(lease(&mut table), None);
     assert!(!table.is_closed(), "the task may still run");
     table.stop_result(&run(1), 7, &Ok(()));
-    look(&mut table, lists(1_300, &[]));
+    update_lists(&mut table, lists(1_300, &[]));
     assert!(table.is_closed());
     assert!(report(&mut table).closed);
 }
@@ -128,44 +128,44 @@
 /// A start had no answer, and a later try is refused. The first try may have begun the run: taken
 /// for refused, the task would start elsewhere while it runs here.
 #[test]
-fn doubtful_start() {
+fn uncertain_start() {
     let mut table = agent();
     table.orders(Some(1_000), vec![start_order(1)], 9);
     table.start_result(&run(1), 7, StartResult::Unknown);
     table.start_result(&run(1), 7, StartResult::Answered(StartOutcome::Expired));
-    let said = report(&mut table);
-    assert!(said.refused.is_empty());
-    assert_eq!(said.starting, vec![run(1)]);
-    let open = table.pending_actions();
-    assert!(matches!(&open[..], [AgentAction::Stop(stopped)] if *stopped == run(1)));
+    let reported = report(&mut table);
+    assert!(reported.refused.is_empty());
+    assert_eq!(reported.starting, vec![run(1)]);
+    let pending = table.pending_actions();
+    assert!(matches!(&pending[..], [AgentAction::Stop(stopped)] if *stopped == run(1)));
 }
 
 #[test]
-fn plain_refusal() {
+fn refusal_reported() {
     let mut table = agent();
     table.orders(Some(1_000), vec![start_order(1)], 9);
     assert!(table.start_result(&run(1), 7, StartResult::Answered(StartOutcome::NoRoom)));
-    let said = report(&mut table);
-    assert_eq!(said.refused, vec![(run(1), StartOutcome::NoRoom)]);
-    assert!(said.starting.is_empty());
+    let reported = report(&mut table);
+    assert_eq!(reported.refused, vec![(run(1), StartOutcome::NoRoom)]);
+    assert!(reported.starting.is_empty());
 }
 
 /// Answers on two connections overtake each other. An older list, from before a start, would deny
 /// the run that is there.
 #[test]
-fn overtaken_lists() {
+fn reordered_lists() {
     let mut table = agent();
-    let (early, session, ..) = table.request_lists().expect("a session");
+    let (early_request, session, ..) = table.request_lists().expect("a session");
     table.orders(Some(1_000), vec![start_order(1)], 9);
     table.start_result(&run(1), 7, StartResult::Answered(StartOutcome::Started));
-    table.lists(early, session, lists(1_010, &[]));
+    table.lists(early_request, session, lists(1_010, &[]));
     assert_eq!(
         report(&mut table).starting,
         vec![run(1)],
         "asked for before the start"
     );
-    look(&mut table, lists(1_050, &[1]));
-    table.lists(early, session, lists(1_010, &[]));
+    update_lists(&mut table, lists(1_050, &[1]));
+    table.lists(early_request, session, lists(1_010, &[]));
     assert_eq!(report(&mut table).running.len(), 1);
 }
 
@@ -225,28 +225,28 @@
     let mut table = AgentTable::new(Duration::from_secs(6));
     table.heartbeat(heartbeat("w", 5, 1), Instant::now());
     assert!(table.begin_session("w", 5, 7));
-    let (asked, token, ..) = table.request_lists().expect("a session");
-    assert!(table.lists(asked, token, lists(1_000, &[])));
-    let (asked, token, ..) = table.request_lists().expect("a session");
-    assert!(!table.lists(asked, token, lists(1_010, &[])));
+    let (requested_at, token, ..) = table.request_lists().expect("a session");
+    assert!(table.lists(requested_at, token, lists(1_000, &[])));
+    let (requested_at, token, ..) = table.request_lists().expect("a session");
+    assert!(!table.lists(requested_at, token, lists(1_010, &[])));
 }
 
 /// The answer to one look at the worker is lost on the way. The worker is well, and the planner goes on
 /// starting tasks there; only the second look in a row without an answer says otherwise.
 #[test]
-fn lost_look() {
+fn lost_list_answer() {
     let mut table = agent();
     let now = Instant::now();
     assert!(!table.unreachable(false, now));
     assert!(!report(&mut table).unreachable);
-    look(&mut table, lists(1_100, &[]));
+    update_lists(&mut table, lists(1_100, &[]));
     assert!(!table.unreachable(false, now), "counted in a row");
     assert!(table.unreachable(false, now));
     assert!(report(&mut table).unreachable);
 }
 
 /// Returns the lists of a worker on which a run has saved so many checkpoints.
-fn saved(clock_ms: u64, checkpoints: u64) -> WorkerLists {
+fn lists_with_checkpoints(clock_ms: u64, checkpoints: u64) -> WorkerLists {
     let mut lists = lists(clock_ms, &[1]);
     lists.running[0].checkpoint = checkpoints.to_string();
     lists
@@ -255,14 +255,17 @@
 /// A run saves a checkpoint after each 500 ms of work, on a worker that takes 650 ms for that. Its
 /// agent tells the planner both, so that gangs in a hurry are kept off the worker.
 #[test]
-fn paced_run() {
+fn pace_reported() {
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS))
         .with_checkpoints(Duration::from_millis(500));
     table.heartbeat(heartbeat("w", 5, 1), Instant::now());
     table.begin_session("w", 5, 7);
-    for looked in 0..40 {
-        let clock_ms = 1_000 + looked * 130;
-        look(&mut table, saved(clock_ms, (clock_ms - 1_000) / 650));
+    for update in 0..40 {
+        let clock_ms = 1_000 + update * 130;
+        update_lists(
+            &mut table,
+            lists_with_checkpoints(clock_ms, (clock_ms - 1_000) / 650),
+        );
     }
     let pace = report(&mut table).paces.pop().expect("a pace");
     assert_eq!((pace.intervals, pace.took_ms), (6, 3_900));
@@ -271,13 +274,13 @@
 /// Looks at the worker had no answer for longer than it takes to save two checkpoints. Counted as one,
 /// they would make the worker appear twice as slow as it is.
 #[test]
-fn unseen_checkpoints() {
+fn missed_checkpoints() {
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS))
         .with_checkpoints(Duration::from_millis(500));
     table.heartbeat(heartbeat("w", 5, 1), Instant::now());
     table.begin_session("w", 5, 7);
     for clock_ms in [1_000, 1_400, 1_800, 2_200, 2_600, 3_800, 4_200] {
-        look(&mut table, saved(clock_ms, clock_ms / 500));
+        update_lists(&mut table, lists_with_checkpoints(clock_ms, clock_ms / 500));
     }
     assert!(report(&mut table).paces.is_empty());
 }
@@ -285,19 +288,19 @@
 /// Guards against tasks that stand still for seconds after their worker has left as announced: it
 /// needs no missing heartbeat to prove that.
 #[test]
-fn leaver_is_gone() {
+fn departed_as_announced() {
     let mut table = agent();
-    let told = Instant::now();
+    let announced_at = Instant::now();
     let leaving = Heartbeat {
         draining: true,
         remaining_ms: Some(500),
         ..heartbeat("w", 5, 2)
     };
-    assert!(table.heartbeat(leaving, told));
-    table.unreachable(true, told + Duration::from_millis(400));
+    assert!(table.heartbeat(leaving, announced_at));
+    table.unreachable(true, announced_at + Duration::from_millis(400));
     assert!(!report(&mut table).closed, "it was to stay longer");
-    table.unreachable(false, told + Duration::from_millis(600));
+    table.unreachable(false, announced_at + Duration::from_millis(600));
     assert!(!report(&mut table).closed, "somebody listens there");
-    assert!(table.unreachable(true, told + Duration::from_millis(700)));
+    assert!(table.unreachable(true, announced_at + Duration::from_millis(700)));
     assert!(report(&mut table).closed);
 }
--- a/dragonflyrun/tests/caller_patience.rs
+++ b/dragonflyrun/tests/caller_patience.rs
@@ -27,17 +27,17 @@
 const PATIENCE: Duration = Duration::from_secs(3);
 
 /// How long the store takes for an answer.
-const DELAY: Duration = Duration::from_millis(600);
+const STORE_DELAY: Duration = Duration::from_millis(600);
 
 /// A slow store that takes no records and at last has no news.
 #[derive(Default)]
 struct SlowStore {
     /// Reads of the jobs that were answered.
-    answered: AtomicU32,
+    answered_job_reads: AtomicU32,
     /// Whether no read is answered any more but those of `probed`.
-    silent: AtomicBool,
+    is_silent: AtomicBool,
     /// Whether reads that do not wait for news are answered all the same.
-    probed: AtomicBool,
+    answers_probes: AtomicBool,
 }
 
 impl Store for SlowStore {
@@ -52,13 +52,13 @@
         end: u64,
         wait: Duration,
     ) -> Result<PageBody<'_>, ReadError> {
-        sleep(wait + DELAY).await;
-        let probe = wait.is_zero() && self.probed.load(Ordering::Relaxed);
-        if self.silent.load(Ordering::Relaxed) && !probe {
+        sleep(wait + STORE_DELAY).await;
+        let probe = wait.is_zero() && self.answers_probes.load(Ordering::Relaxed);
+        if self.is_silent.load(Ordering::Relaxed) && !probe {
             std::future::pending::<()>().await;
         }
         if partition == Partition::JOBS {
-            self.answered.fetch_add(1, Ordering::Relaxed);
+            self.answered_job_reads.fetch_add(1, Ordering::Relaxed);
         }
         let page = Page {
             end,
@@ -85,7 +85,7 @@
     }
 }
 
-fn hand_in() -> CallerRequest {
+fn submit_request() -> CallerRequest {
     CallerRequest {
         host: "host".to_owned(),
         path: "/q/0123456789abcdef".to_owned(),
@@ -105,7 +105,7 @@
 /// Guards against answers after a caller's deadline: the time for the read that shows whether the store can
 /// be reached is the caller's as well.
 #[tokio::test]
-async fn probe_counted() {
+async fn probe_within_deadline() {
     let test = async {
         let store = Arc::new(SlowStore::default());
         let counters = Arc::new(Counters::new().expect("counters"));
@@ -113,17 +113,17 @@
         entry.start(Arc::new(|_: &StoreRecord| {
             Some(OperatorRecord::Configuration(Box::new(configuration())))
         }));
-        while store.answered.load(Ordering::Relaxed) < 2 {
+        while store.answered_job_reads.load(Ordering::Relaxed) < 2 {
             sleep(Duration::from_millis(10)).await;
         }
-        store.silent.store(true, Ordering::Relaxed);
+        store.is_silent.store(true, Ordering::Relaxed);
         // Only an entry that has heard nothing for a while asks before it sends a record.
-        sleep(DELAY + Duration::from_millis(150)).await;
-        store.probed.store(true, Ordering::Relaxed);
-        let asked = Instant::now();
-        let answer = timeout(PATIENCE * 2, entry.call(hand_in())).await;
+        sleep(STORE_DELAY + Duration::from_millis(150)).await;
+        store.answers_probes.store(true, Ordering::Relaxed);
+        let called_at = Instant::now();
+        let answer = timeout(PATIENCE * 2, entry.call(submit_request())).await;
         assert!(matches!(answer, Ok(CallerAnswer::Unknown)), "{answer:?}");
-        assert!(asked.elapsed() < PATIENCE, "{:?}", asked.elapsed());
+        assert!(called_at.elapsed() < PATIENCE, "{:?}", called_at.elapsed());
     };
     LocalSet::new().run_until(test).await;
 }
--- a/dragonflyrun/tests/ending_runs.rs
+++ b/dragonflyrun/tests/ending_runs.rs
@@ -3,23 +3,23 @@
 mod workload_tables;
 
 use dragonflyrun::workload::Progress;
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 /// Returns how many runs are stopped for an urgent task where a patient one, which fills the only worker,
 /// has so long left.
 fn stopped_for_urgent(left_ms: u64) -> usize {
-    let mut bed = Bed::new(1);
-    bed.submit("patient", 2, vec![task(8)]);
-    bed.pass();
-    bed.report_all();
-    bed.submit("urgent", 0, vec![task(8)]);
-    bed.change("w0", |report| {
+    let mut harness = Harness::new(1);
+    harness.submit("patient", 2, vec![task(8)]);
+    harness.pass();
+    harness.report_all();
+    harness.submit("urgent", 0, vec![task(8)]);
+    harness.change_report("w0", |report| {
         report.progress = vec![Progress {
             remaining_ms: Some(left_ms),
             total_ms: 10_000,
         }];
     });
-    let orders = bed.pass().orders;
+    let orders = harness.pass().orders;
     orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
--- a/dragonflyrun/tests/gang_ends.rs
+++ b/dragonflyrun/tests/gang_ends.rs
@@ -6,19 +6,19 @@
     port::EndKind,
     workload::{Decisions, Outcome, Step},
 };
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
-fn gang_under_way() -> Bed {
-    let mut bed = Bed::new(3);
+fn running_gang() -> Harness {
+    let mut harness = Harness::new(3);
     let step = Step {
         tasks: 3,
         gang: true,
         ..task(8)
     };
-    bed.submit("job", 0, vec![step]);
-    bed.pass();
-    bed.report_all();
-    bed
+    harness.submit("job", 0, vec![step]);
+    harness.pass();
+    harness.report_all();
+    harness
 }
 
 fn stops(decisions: &Decisions) -> usize {
@@ -26,35 +26,35 @@
 }
 
 /// Ends the first member of the gang and lets only its worker report.
-fn first_end(bed: &mut Bed, kind: EndKind) -> Decisions {
-    let (worker, run) = bed.running("job")[0].clone();
-    bed.end_run(&run, kind);
-    bed.report(&worker);
-    bed.pass()
+fn end_first_member(harness: &mut Harness, kind: EndKind) -> Decisions {
+    let (worker, run) = harness.running("job")[0].clone();
+    harness.end_run(&run, kind);
+    harness.report(&worker);
+    harness.pass()
 }
 
 /// Guards against an order and a call for each member of a gang that is done: they end together.
 #[test]
-fn done_unstopped() {
-    let mut bed = gang_under_way();
-    let decisions = first_end(&mut bed, EndKind::Done);
-    assert_eq!(bed.outcome("job"), Some(Outcome::Completed));
+fn done_gang_not_stopped() {
+    let mut harness = running_gang();
+    let decisions = end_first_member(&mut harness, EndKind::Done);
+    assert_eq!(harness.outcome("job"), Some(Outcome::Completed));
     assert_eq!(stops(&decisions), 0);
 }
 
 /// Guards against a run that goes on for good though its job is done: nobody would free its room.
 #[test]
-fn leftover_stopped() {
-    let mut bed = gang_under_way();
-    first_end(&mut bed, EndKind::Done);
-    bed.wait(3_000);
-    assert_eq!(stops(&bed.pass()), 2);
+fn leftover_members_stopped() {
+    let mut harness = running_gang();
+    end_first_member(&mut harness, EndKind::Done);
+    harness.advance(3_000);
+    assert_eq!(stops(&harness.pass()), 2);
 }
 
 /// Guards against members of a broken gang that wait for the others.
 #[test]
-fn broken_stopped() {
-    let mut bed = gang_under_way();
-    let decisions = first_end(&mut bed, EndKind::Failed);
+fn broken_gang_stopped() {
+    let mut harness = running_gang();
+    let decisions = end_first_member(&mut harness, EndKind::Failed);
     assert_eq!(stops(&decisions), 2);
 }
--- a/dragonflyrun/tests/hedged_reads.rs
+++ b/dragonflyrun/tests/hedged_reads.rs
@@ -23,9 +23,9 @@
     /// Reads that were asked for.
     reads: AtomicU32,
     /// The read that is never answered.
-    silent: Mutex<Option<u32>>,
+    silent_read: Mutex<Option<u32>>,
     /// Whether it refuses all reads.
-    refuses: AtomicBool,
+    refuses_reads: AtomicBool,
     /// How late each answer is.
     delay: Mutex<Duration>,
     /// How long an answer takes from its beginning to its end.
@@ -44,10 +44,10 @@
         wait: Duration,
     ) -> Result<PageBody<'_>, ReadError> {
         let number = self.reads.fetch_add(1, Ordering::Relaxed);
-        if self.refuses.load(Ordering::Relaxed) {
+        if self.refuses_reads.load(Ordering::Relaxed) {
             return Err(ReadError::Unavailable("refused".to_owned()));
         }
-        if *lock(&self.silent) == Some(number) {
+        if *lock(&self.silent_read) == Some(number) {
             std::future::pending::<()>().await;
         }
         let delay = *lock(&self.delay);
@@ -72,7 +72,7 @@
     }
 }
 
-async fn follower(store: &Arc<QuietStore>) -> Follower<QuietStore> {
+async fn start_follower(store: &Arc<QuietStore>) -> Follower<QuietStore> {
     let mut follower = Follower::new(store.clone(), Partition::JOBS);
     follower.next(WAIT).await.expect("the newest records");
     follower
@@ -83,12 +83,12 @@
 #[tokio::test(start_paused = true)]
 async fn silent_connection() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     follower.next(WAIT).await.expect("an answer");
-    *lock(&store.silent) = Some(store.reads.load(Ordering::Relaxed));
-    let asked = Instant::now();
+    *lock(&store.silent_read) = Some(store.reads.load(Ordering::Relaxed));
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("the second answer");
-    assert!(asked.elapsed() < WAIT + Duration::from_millis(250));
+    assert!(called_at.elapsed() < WAIT + Duration::from_millis(250));
 }
 
 /// Guards against twice the load on a store that is slow altogether.
@@ -96,7 +96,7 @@
 async fn slow_store() {
     const ROUNDS: u32 = 20;
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     *lock(&store.delay) = Duration::from_millis(300);
     for _ in 0..ROUNDS {
         follower.next(WAIT).await.expect("an answer");
@@ -109,28 +109,28 @@
 #[tokio::test(start_paused = true)]
 async fn store_returned() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
-    store.refuses.store(true, Ordering::Relaxed);
+    let mut follower = start_follower(&store).await;
+    store.refuses_reads.store(true, Ordering::Relaxed);
     follower.next(WAIT).await.expect_err("a refusal");
-    store.refuses.store(false, Ordering::Relaxed);
-    let asked = Instant::now();
+    store.refuses_reads.store(false, Ordering::Relaxed);
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("an answer");
-    assert!(asked.elapsed() < Duration::from_millis(50));
-    let asked = Instant::now();
+    assert!(called_at.elapsed() < Duration::from_millis(50));
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("an answer");
-    assert!(asked.elapsed() >= WAIT, "it waits for news again");
+    assert!(called_at.elapsed() >= WAIT, "it waits for news again");
 }
 
 /// Guards against a large answer on a slow link that is cut short, or sent a second time beside the first.
 #[tokio::test(start_paused = true)]
-async fn arriving_answer() {
+async fn slow_transfer() {
     const TRANSFER: Duration = Duration::from_secs(5);
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     *lock(&store.transfer) = TRANSFER;
-    let asked = Instant::now();
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("the whole answer");
-    assert!(asked.elapsed() >= WAIT + TRANSFER);
+    assert!(called_at.elapsed() >= WAIT + TRANSFER);
     assert_eq!(store.reads.load(Ordering::Relaxed), 1);
     // Nor does it count as the store's delay.
     assert!(follower.usual_delay() < Duration::from_millis(50));
@@ -138,12 +138,12 @@
 
 /// Guards against the same for the read after one that failed, which is given less time.
 #[tokio::test(start_paused = true)]
-async fn arriving_probe() {
+async fn slow_transfer_after_failure() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
-    store.refuses.store(true, Ordering::Relaxed);
+    let mut follower = start_follower(&store).await;
+    store.refuses_reads.store(true, Ordering::Relaxed);
     follower.next(WAIT).await.expect_err("a refusal");
-    store.refuses.store(false, Ordering::Relaxed);
+    store.refuses_reads.store(false, Ordering::Relaxed);
     *lock(&store.transfer) = Duration::from_secs(5);
     follower.next(WAIT).await.expect("the whole answer");
 }
--- a/dragonflyrun/tests/late_urgent.rs
+++ b/dragonflyrun/tests/late_urgent.rs
@@ -3,50 +3,50 @@
 mod workload_tables;
 
 use dragonflyrun::workload::Step;
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 /// Returns a full pool to which an urgent gang came `ms` ago, with a guess that allows 1.3 s, while
 /// nothing could be started.
-fn after(ms: u64) -> Bed {
-    let mut bed = Bed::new(2);
+fn late_by(ms: u64) -> Harness {
+    let mut harness = Harness::new(2);
     let patient = Step {
         tasks: 2,
         checkpoints: true,
         ..task(8)
     };
-    bed.submit("patient", 2, vec![patient]);
-    bed.pass();
-    bed.report_all();
+    harness.submit("patient", 2, vec![patient]);
+    harness.pass();
+    harness.report_all();
     let urgent = Step {
         tasks: 2,
         gang: true,
         estimate_ms: 100,
         ..task(8)
     };
-    bed.submit("urgent", 0, vec![urgent]);
-    bed.wait(ms);
+    harness.submit("urgent", 0, vec![urgent]);
+    harness.advance(ms);
     for worker in ["w0", "w1"] {
-        bed.change(worker, |report| {
+        harness.change_report(worker, |report| {
             report.running[0].checkpoint = "saved now".to_owned();
         });
     }
-    bed
+    harness
 }
 
-fn makes_room(bed: &mut Bed) -> bool {
-    let orders = bed.pass().orders;
+fn stops_runs(harness: &mut Harness) -> bool {
+    let orders = harness.pass().orders;
     orders.iter().any(|o| !o.order.stops.is_empty())
 }
 
 /// Guards against urgent work that is left waiting as soon as its objective is past: callers' guesses are
 /// far too short at times, and the work is of use for three times as long.
 #[test]
-fn late_of_use() {
-    assert!(makes_room(&mut after(2_000)));
+fn late_but_useful() {
+    assert!(stops_runs(&mut late_by(2_000)));
 }
 
 /// Guards against work that is thrown away for a job that is of no use any more.
 #[test]
 fn late_useless() {
-    assert!(!makes_room(&mut after(5_000)));
+    assert!(!stops_runs(&mut late_by(5_000)));
 }
--- a/dragonflyrun/tests/load_replay.rs
+++ b/dragonflyrun/tests/load_replay.rs
@@ -17,7 +17,7 @@
     "rolling",
 ];
 
-fn print(name: &str, policy: &str, outcome: &Outcome) {
+fn print_row(name: &str, policy: &str, outcome: &Outcome) {
     let mut starts = outcome.large_starts_ms.clone();
     starts.sort_unstable();
     let median = starts.get(starts.len() / 2).copied().unwrap_or(0);
@@ -34,13 +34,13 @@
     );
 }
 
-fn outcomes(name: &str) -> (Outcome, Outcome) {
+fn replay_both(name: &str) -> (Outcome, Outcome) {
     let pattern = Pattern::read(name);
     assert_eq!(pattern.name, name);
     let naive = replay(&pattern, &mut Naive::new(pattern.workers));
     let planned = replay(&pattern, &mut Planned::new(pattern.workers));
-    print(name, "naive", &naive);
-    print(name, "planner", &planned);
+    print_row(name, "naive", &naive);
+    print_row(name, "planner", &planned);
     (naive, planned)
 }
 
@@ -53,7 +53,7 @@
         "| load | policy | urgent | normal | patient | useful | wasted | idle | large gangs |"
     );
     for name in PATTERNS {
-        let (naive, planned) = outcomes(name);
+        let (naive, planned) = replay_both(name);
         assert!(
             planned.share(0) >= naive.share(0),
             "{name}: urgent jobs served"
--- a/dragonflyrun/tests/lost_majority.rs
+++ b/dragonflyrun/tests/lost_majority.rs
@@ -2,21 +2,21 @@
 
 mod workload_tables;
 
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 /// Guards against jobs that stand still for ever: the hosts of most workers are lost for good, and while the
 /// others report, none of the lost ones is ever given up.
 #[test]
 fn lost_majority() {
-    let mut bed = Bed::new(5);
+    let mut harness = Harness::new(5);
     for i in 0..5 {
-        bed.submit(&format!("job{i}"), 1, vec![task(8)]);
+        harness.submit(&format!("job{i}"), 1, vec![task(8)]);
     }
-    bed.pass();
-    bed.reports.truncate(2);
+    harness.pass();
+    harness.reports.truncate(2);
     let given_up = (0..60).any(|_| {
-        bed.wait(1_000);
-        bed.pass().orders.iter().any(|o| o.order.fence)
+        harness.advance(1_000);
+        harness.pass().orders.iter().any(|o| o.order.fence)
     });
     assert!(
         given_up,
@@ -28,16 +28,16 @@
 /// slow, and all that runs on the workers that are late would be stopped.
 #[test]
 fn departed_not_counted() {
-    let mut bed = Bed::new(9);
-    for report in bed.reports.iter_mut().take(2) {
+    let mut harness = Harness::new(9);
+    for report in harness.reports.iter_mut().take(2) {
         report.closed = true;
     }
-    bed.wait(100);
-    bed.reports.drain(..2);
-    bed.reports.truncate(3);
+    harness.advance(100);
+    harness.reports.drain(..2);
+    harness.reports.truncate(3);
     for second in 1..=8 {
-        bed.wait(1_000);
-        let fences = bed.pass().orders.into_iter().filter(|o| o.order.fence);
+        harness.advance(1_000);
+        let fences = harness.pass().orders.into_iter().filter(|o| o.order.fence);
         assert_eq!(
             fences.count(),
             0,
--- a/dragonflyrun/tests/packed_starts.rs
+++ b/dragonflyrun/tests/packed_starts.rs
@@ -34,7 +34,7 @@
 
 /// Guards against a start that gets what another job's caller handed in.
 #[test]
-fn payloads_return() {
+fn payloads_round_trip() {
     arbtest::arbtest(|u| {
         let payloads = ["", "one", "other"];
         let mut starts = Vec::new();
@@ -50,7 +50,7 @@
 /// Guards against orders that grow with tasks times what their caller handed in: on a slow link all
 /// that comes later waits for them.
 #[test]
-fn payload_once() {
+fn payload_sent_once() {
     let payload = "x".repeat(1_500);
     let starts = (0..8).map(|index| start("job", index, &payload));
     let bytes = encode(&message(starts.collect())).len();
--- a/dragonflyrun/tests/partial_pages.rs
+++ b/dragonflyrun/tests/partial_pages.rs
@@ -30,7 +30,7 @@
 const BACKLOG: u64 = 80;
 
 /// Records that were read when the caller comes: their pages took longer than any proof is good for.
-const READ_BEFORE: u64 = 35;
+const READ_BEFORE_CALL: u64 = 35;
 
 /// A bound on keys that were taken away which is shorter than the time for those pages.
 const SHORT_REVOKE: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
     jobs: Mutex<Vec<StoreRecord>>,
     operators: Mutex<Vec<StoreRecord>>,
     /// Records that the entry has been given of what came at once.
-    given: AtomicU64,
+    returned_records: AtomicU64,
 }
 
 impl PagedStore {
@@ -76,7 +76,7 @@
         let records = lock(self.records(partition));
         let page = records.get(from as usize).cloned();
         if page.is_some() {
-            self.given.fetch_max(from + 1, Ordering::Relaxed);
+            self.returned_records.fetch_max(from + 1, Ordering::Relaxed);
         }
         let page = Page {
             end: records.len() as u64,
@@ -98,7 +98,7 @@
 type Entry = StoreEntry<PagedStore, NoAdvisor>;
 
 /// Starts an entry that has read a store with the first version of the configuration.
-async fn started(store: &Arc<PagedStore>, revoke: Duration) -> Arc<Entry> {
+async fn start_entry(store: &Arc<PagedStore>, revoke: Duration) -> Arc<Entry> {
     lock(&store.operators).push(version(1));
     let mut settings = settings();
     settings.bounds.revoke = revoke;
@@ -116,11 +116,11 @@
 }
 
 /// Waits until the entry has been given so much of what came at once, and much is left.
-async fn read_in_part(store: &PagedStore) {
-    while store.given.load(Ordering::Relaxed) < READ_BEFORE {
+async fn wait_for_partial_read(store: &PagedStore) {
+    while store.returned_records.load(Ordering::Relaxed) < READ_BEFORE_CALL {
         sleep(PAGE_TIME / 4).await;
     }
-    assert!(store.given.load(Ordering::Relaxed) < BACKLOG - 20);
+    assert!(store.returned_records.load(Ordering::Relaxed) < BACKLOG - 20);
 }
 
 fn version(number: u64) -> StoreRecord {
@@ -173,7 +173,7 @@
     JobRecord::Accepted(Box::new(job)).encode()
 }
 
-fn look(job: &str) -> CallerRequest {
+fn query(job: &str) -> CallerRequest {
     CallerRequest {
         host: "host".to_owned(),
         path: format!("/q/{job}"),
@@ -189,11 +189,11 @@
 async fn unread_job() {
     let test = async {
         let store = Arc::new(PagedStore::default());
-        let entry = started(&store, LONG_REVOKE).await;
+        let entry = start_entry(&store, LONG_REVOKE).await;
         let names = (0..BACKLOG).map(|i| format!("{i:016x}"));
         lock(&store.jobs).extend(names.map(|name| accepted(&name)));
-        read_in_part(&store).await;
-        let answer = entry.call(look(&format!("{:016x}", BACKLOG - 1))).await;
+        wait_for_partial_read(&store).await;
+        let answer = entry.call(query(&format!("{:016x}", BACKLOG - 1))).await;
         assert!(!matches!(answer, CallerAnswer::NoJob), "{answer:?}");
     };
     LocalSet::new().run_until(test).await;
@@ -205,10 +205,10 @@
 async fn unread_version() {
     let test = async {
         let store = Arc::new(PagedStore::default());
-        let entry = started(&store, SHORT_REVOKE).await;
+        let entry = start_entry(&store, SHORT_REVOKE).await;
         lock(&store.operators).extend((2..=BACKLOG).map(version));
-        read_in_part(&store).await;
-        let answer = entry.call(look("")).await;
+        wait_for_partial_read(&store).await;
+        let answer = entry.call(query("")).await;
         let stale = matches!(
             answer,
             CallerAnswer::Refused(Refusal::ConfigurationStale, _)
--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -7,7 +7,7 @@
     workload::{Candidate, Election, Term, TermStep},
 };
 
-const LATER: Duration = Duration::from_secs(5);
+const LONG_SILENCE: Duration = Duration::from_secs(5);
 
 /// A candidate that can prove the configuration on a store that answers at once.
 const PROMPT: Candidate = Candidate {
@@ -16,7 +16,7 @@
 };
 
 /// The same without that proof.
-const UNPROVED: Candidate = Candidate {
+const STALE_CONFIGURATION: Candidate = Candidate {
     has_fresh_configuration: false,
     ..PROMPT
 };
@@ -35,7 +35,7 @@
     }
 }
 
-fn tried(step: TermStep) -> Term {
+fn claimed(step: TermStep) -> Term {
     match step {
         TermStep::Claim(term) => term,
         TermStep::Wait => panic!("it should stand"),
@@ -51,17 +51,17 @@
     let known = term(5, "gone", false);
     one.saw_heartbeat(at(0), &known);
     other.saw_heartbeat(at(0), &known);
-    let later = at(0) + LATER;
+    let later = at(0) + LONG_SILENCE;
     let (one, other) = (
-        tried(one.step(later, PROMPT)),
-        tried(other.step(later, PROMPT)),
+        claimed(one.step(later, PROMPT)),
+        claimed(other.step(later, PROMPT)),
     );
     assert_ne!(one.number, other.number);
     assert!(one.number > known.number && other.number > known.number);
 }
 
 #[test]
-fn silence_and_plans() {
+fn plans_count_as_heartbeats() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "other", false);
     election.saw_heartbeat(at(1_000), &known);
@@ -89,7 +89,7 @@
 /// The entry itself could not read for a while. What it calls silence is its own, and standing on
 /// it would replace a planner that is well.
 #[test]
-fn own_outage() {
+fn election_read_outage() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "other", false);
     election.saw_heartbeat(at(1_000), &known);
@@ -119,7 +119,7 @@
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(1, "one", false);
     election.saw_heartbeat(at(1_000), &known);
-    let next = tried(election.step(at(1_100), PROMPT));
+    let next = claimed(election.step(at(1_100), PROMPT));
     assert!(next.number > known.number);
 }
 
@@ -132,10 +132,10 @@
     let known = term(3, "gone", true);
     election.saw_heartbeat(at(0), &known);
     let dead = (4 << 20) + 900;
-    let first = tried(election.step(at(1_000), PROMPT));
+    let first = claimed(election.step(at(1_000), PROMPT));
     assert!(first.number < dead);
     election.claim_refused();
-    let second = tried(election.step(at(1_100), PROMPT));
+    let second = claimed(election.step(at(1_100), PROMPT));
     assert!(second.number > dead);
     election.saw_heartbeat(
         at(1_200),
@@ -144,7 +144,7 @@
             ..second.clone()
         },
     );
-    let next = tried(election.step(at(2_300), PROMPT));
+    let next = claimed(election.step(at(2_300), PROMPT));
     assert_eq!(next.number >> 20, (second.number >> 20) + 1);
 }
 
@@ -163,9 +163,9 @@
 
 /// Guards against a crowd of candidates: their claims queue on the partition that the planner writes to.
 #[test]
-fn few_stand() {
+fn few_candidates() {
     const ENTRIES: usize = 55;
-    let mut stood = Vec::new();
+    let mut counts = Vec::new();
     for ms in (0..5_000).step_by(20) {
         let elections = (0..ENTRIES).map(|i| {
             let name = format!("front-{i}");
@@ -173,17 +173,17 @@
             election.saw_heartbeat(at(0), &term(1, "other", false));
             election
         });
-        let standing = elections.filter(|e| e.step(at(ms), PROMPT) != TermStep::Wait);
-        stood.push(standing.count());
+        let candidates = elections.filter(|e| e.step(at(ms), PROMPT) != TermStep::Wait);
+        counts.push(candidates.count());
     }
-    let first = stood.iter().position(|n| *n > 0).expect("a candidate");
+    let first = counts.iter().position(|n| *n > 0).expect("a candidate");
     // A claim takes some 40 ms to be won and read by the others.
-    assert!(stood[first + 2] <= 12, "{:?}", &stood[first..first + 5]);
-    assert_eq!(stood.last(), Some(&ENTRIES));
+    assert!(counts[first + 2] <= 12, "{:?}", &counts[first..first + 5]);
+    assert_eq!(counts.last(), Some(&ENTRIES));
 }
 
 /// Returns the sign of life of a planner that can't prove the configuration.
-fn stale(rank: u64, entry: &str) -> Term {
+fn stale_term(rank: u64, entry: &str) -> Term {
     Term {
         stale: true,
         ..term(rank, entry, false)
@@ -195,9 +195,9 @@
 fn stale_planner() {
     let mut election = Election::new("one".into(), 17, at(0));
     for ms in (1_000..=2_000).step_by(200) {
-        election.saw_heartbeat(at(ms), &stale(1, "other"));
+        election.saw_heartbeat(at(ms), &stale_term(1, "other"));
     }
-    let next = tried(election.step(at(2_100), PROMPT));
+    let next = claimed(election.step(at(2_100), PROMPT));
     assert!(!next.stale);
 }
 
@@ -207,21 +207,24 @@
 fn stale_everywhere() {
     let mut election = Election::new("one".into(), 17, at(0));
     for ms in (1_000..=60_000).step_by(200) {
-        election.saw_heartbeat(at(ms), &stale(1, "other"));
-        assert_eq!(election.step(at(ms + 100), UNPROVED), TermStep::Wait);
+        election.saw_heartbeat(at(ms), &stale_term(1, "other"));
+        assert_eq!(
+            election.step(at(ms + 100), STALE_CONFIGURATION),
+            TermStep::Wait
+        );
     }
 }
 
 /// Guards against a change of planner for a gap that was over when it was heard of.
 #[test]
-fn stale_briefly() {
+fn briefly_stale() {
     let mut election = Election::new("one".into(), 17, at(0));
-    election.saw_heartbeat(at(1_000), &stale(1, "other"));
+    election.saw_heartbeat(at(1_000), &stale_term(1, "other"));
     assert_eq!(election.step(at(1_100), PROMPT), TermStep::Wait);
     election.saw_heartbeat(at(1_200), &term(1, "other", false));
     assert_eq!(election.step(at(1_900), PROMPT), TermStep::Wait);
     // On a slow store the next sign of life comes later.
-    election.saw_heartbeat(at(1_950), &stale(1, "other"));
+    election.saw_heartbeat(at(1_950), &stale_term(1, "other"));
     let slow = Candidate {
         store_delay: Duration::from_millis(250),
         ..PROMPT
@@ -229,7 +232,7 @@
     assert_eq!(election.step(at(3_900), slow), TermStep::Wait);
     election.saw_heartbeat(at(3_950), &term(1, "other", false));
     // An entry that was cut off itself has heard of it late.
-    election.saw_heartbeat(at(4_000), &stale(1, "other"));
+    election.saw_heartbeat(at(4_000), &stale_term(1, "other"));
     election.store_regained(at(9_000));
     assert_eq!(election.step(at(9_100), PROMPT), TermStep::Wait);
 }
@@ -237,15 +240,15 @@
 /// Guards against a successor that can't start anything where another one could, and against none at all
 /// where nobody can: ends have to be noted.
 #[test]
-fn unproved_candidate() {
+fn stale_candidate() {
     for resigned in [false, true] {
         let mut election = Election::new("one".into(), 17, at(0));
         election.saw_heartbeat(at(0), &term(1, "other", resigned));
         let first =
             |candidate| (0..20_000).find(|ms| election.step(at(*ms), candidate) != TermStep::Wait);
-        let proved = first(PROMPT).expect("it stands");
-        let unproved = first(UNPROVED).expect("it stands at last");
-        assert!(unproved > proved + 1_000, "{proved} {unproved}");
-        assert!(tried(election.step(at(unproved), UNPROVED)).stale);
+        let fresh_at = first(PROMPT).expect("it stands");
+        let stale_at = first(STALE_CONFIGURATION).expect("it stands at last");
+        assert!(stale_at > fresh_at + 1_000, "{fresh_at} {stale_at}");
+        assert!(claimed(election.step(at(stale_at), STALE_CONFIGURATION)).stale);
     }
 }
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -21,7 +21,7 @@
 const STOP_MS: u64 = 200;
 
 /// Milliseconds from the last job on in which jobs may still come to their end.
-const AFTER_MS: u64 = 120_000;
+const DRAIN_TIME_MS: u64 = 120_000;
 
 /// A task takes so many times as long on more than one rack, and on a worker that is slow.
 const FAR_FACTOR: u64 = 3;
@@ -31,7 +31,7 @@
 const CHECKPOINT_MS: u64 = 2_000;
 
 /// Workers of a rack, which is a failure domain too.
-const PER_RACK: usize = 3;
+const WORKERS_PER_RACK: usize = 3;
 
 /// A job is of use, though late, up to so many times its objective.
 const USEFUL_FACTOR: u64 = 3;
@@ -59,11 +59,11 @@
     /// A job's caller has cancelled it.
     fn cancel(&mut self, number: usize);
     /// A run has ended, with work of so many milliseconds saved.
-    fn ended(&mut self, worker: usize, run: &RunId, kind: EndKind, saved_ms: u64);
+    fn run_ended(&mut self, worker: usize, run: &RunId, kind: EndKind, saved_ms: u64);
     /// A worker is gone with all that it ran, or there again.
-    fn worker(&mut self, worker: usize, here: bool);
+    fn worker_changed(&mut self, worker: usize, is_present: bool);
     /// A failure domain is out of service, or back in it.
-    fn domain(&mut self, domain: &str, out: bool);
+    fn domain_changed(&mut self, domain: &str, out: bool);
     /// Returns what to do now.
     fn decide(&mut self, now_ms: u64) -> Vec<Command>;
 }
@@ -74,7 +74,7 @@
     job: usize,
     worker: usize,
     done_before_ms: u64,
-    began_ms: u64,
+    started_ms: u64,
     /// Milliseconds of work done in this run.
     worked: f64,
     stop_at_ms: Option<u64>,
@@ -82,7 +82,7 @@
 
 /// What became of the jobs of one priority.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Served {
+pub(crate) struct PriorityOutcome {
     pub(crate) jobs: usize,
     pub(crate) in_time: usize,
     pub(crate) late: usize,
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     /// By priority.
-    pub(crate) served: [Served; 3],
+    pub(crate) by_priority: [PriorityOutcome; 3],
     /// Accelerator-seconds of work that counted, that was thrown away, and idle up to the last job's arrival.
     pub(crate) useful: f64,
     pub(crate) wasted: f64,
@@ -106,14 +106,14 @@
 impl Outcome {
     /// Returns the share of the jobs of a priority that were done while they were of use.
     pub(crate) fn share(&self, priority: usize) -> f64 {
-        let served = self.served[priority];
-        (served.in_time + served.late) as f64 / served.jobs.max(1) as f64
+        let jobs = self.by_priority[priority];
+        (jobs.in_time + jobs.late) as f64 / jobs.jobs.max(1) as f64
     }
 
     /// Returns the share of the jobs of a priority that were in time.
     pub(crate) fn in_time(&self, priority: usize) -> f64 {
-        let served = self.served[priority];
-        served.in_time as f64 / served.jobs.max(1) as f64
+        let jobs = self.by_priority[priority];
+        jobs.in_time as f64 / jobs.jobs.max(1) as f64
     }
 }
 
@@ -134,17 +134,17 @@
         pattern,
         now_ms: 0,
         running: Vec::new(),
-        state: vec![Change::Well; pattern.workers],
+        state: vec![Change::Healthy; pattern.workers],
         ended_ms: vec![None; pattern.jobs.len()],
         done: BTreeMap::new(),
         outcome: Outcome::default(),
     };
     let last_ms = pattern.jobs.last().map_or(0, |j| j.at_ms);
-    while replay.now_ms < last_ms + AFTER_MS && replay.ended_ms.iter().any(Option::is_none) {
+    while replay.now_ms < last_ms + DRAIN_TIME_MS && replay.ended_ms.iter().any(Option::is_none) {
         replay.step(policy, last_ms);
         replay.now_ms += TICK_MS;
     }
-    replay.sum_up()
+    replay.summarize()
 }
 
 impl Replay<'_> {
@@ -157,10 +157,10 @@
             .filter(|e| due.contains(&e.at_ms))
         {
             if let Some(domain) = &event.domain {
-                policy.domain(domain, event.what == Change::Out);
+                policy.domain_changed(domain, event.what == Change::OutOfService);
             }
             if let Some(worker) = event.worker {
-                self.befall(worker, event.what, policy);
+                self.apply_change(worker, event.what, policy);
             }
         }
         for (number, job) in self.pattern.jobs.iter().enumerate() {
@@ -175,41 +175,41 @@
         }
         self.work(policy);
         for command in policy.decide(self.now_ms) {
-            self.carry_out(command);
+            self.execute(command);
         }
         if self.now_ms < last_ms {
             let busy: u64 = self
                 .running
                 .iter()
-                .map(|r| self.shape(r).accelerators)
+                .map(|r| self.step_of(r).accelerators)
                 .sum();
             let all = self.pattern.workers as u64 * ACCELERATORS;
             self.outcome.idle += all.saturating_sub(busy) as f64 * TICK_MS as f64 / 1_000.0;
         }
     }
 
-    fn befall(&mut self, worker: usize, change: Change, policy: &mut dyn Policy) {
+    fn apply_change(&mut self, worker: usize, change: Change, policy: &mut dyn Policy) {
         let was = std::mem::replace(&mut self.state[worker], change);
         if change == Change::Gone {
-            let lost: Vec<RunId> = self.on(worker).map(|r| r.run.clone()).collect();
+            let lost: Vec<RunId> = self.runs_on(worker).map(|r| r.run.clone()).collect();
             for run in lost {
-                self.take_out(&run, false);
+                self.remove_run(&run, false);
             }
-            policy.worker(worker, false);
+            policy.worker_changed(worker, false);
         } else if was == Change::Gone {
-            policy.worker(worker, true);
+            policy.worker_changed(worker, true);
         }
     }
 
-    fn on(&self, worker: usize) -> impl Iterator<Item = &Running> {
+    fn runs_on(&self, worker: usize) -> impl Iterator<Item = &Running> {
         self.running.iter().filter(move |r| r.worker == worker)
     }
 
-    fn shape(&self, run: &Running) -> &PatternStep {
+    fn step_of(&self, run: &Running) -> &PatternStep {
         &self.pattern.jobs[run.job].steps[run.run.task.step as usize]
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Start {
                 run,
@@ -226,11 +226,14 @@
                     job,
                     worker,
                     done_before_ms: done_ms,
-                    began_ms: self.now_ms,
+                    started_ms: self.now_ms,
                     worked: 0.0,
                     stop_at_ms: None,
                 });
-                let used: u64 = self.on(worker).map(|r| self.shape(r).accelerators).sum();
+                let used: u64 = self
+                    .runs_on(worker)
+                    .map(|r| self.step_of(r).accelerators)
+                    .sum();
                 assert!(used <= ACCELERATORS, "a worker was overcommitted");
             }
             Command::Stop { run } => {
@@ -244,84 +247,87 @@
     }
 
     fn is_large(&self, job: usize, step: u32) -> bool {
-        let shape = &self.pattern.jobs[job].steps[step as usize];
-        shape.gang && u64::from(shape.tasks) * shape.accelerators >= 2 * ACCELERATORS
+        let pattern_step = &self.pattern.jobs[job].steps[step as usize];
+        pattern_step.gang
+            && u64::from(pattern_step.tasks) * pattern_step.accelerators >= 2 * ACCELERATORS
     }
 
     /// Lets a tick of work go by and ends what is due.
     fn work(&mut self, policy: &mut dyn Policy) {
-        let mut over = Vec::new();
+        let mut ended_runs = Vec::new();
         for i in 0..self.running.len() {
             let speed = self.speed(&self.running[i]);
             self.running[i].worked += TICK_MS as f64 * speed;
             let run = &self.running[i];
             let total = run.done_before_ms as f64 + run.worked;
-            let fails = self.state[run.worker] == Change::Fails;
+            let fails = self.state[run.worker] == Change::Failing;
             let stopped = run.stop_at_ms.is_some_and(|at| at <= self.now_ms);
-            if fails && self.now_ms > run.began_ms {
-                over.push((run.run.clone(), EndKind::Failed));
-            } else if total >= self.shape(run).true_ms as f64 {
-                over.push((run.run.clone(), EndKind::Done));
+            if fails && self.now_ms > run.started_ms {
+                ended_runs.push((run.run.clone(), EndKind::Failed));
+            } else if total >= self.step_of(run).true_ms as f64 {
+                ended_runs.push((run.run.clone(), EndKind::Done));
             } else if stopped {
-                over.push((run.run.clone(), EndKind::Stopped));
+                ended_runs.push((run.run.clone(), EndKind::Stopped));
             }
         }
-        for (run, kind) in over {
+        for (run, kind) in ended_runs {
             self.end(&run, kind, policy);
         }
     }
 
     fn speed(&self, run: &Running) -> f64 {
-        let members = || {
+        let gang_members = || {
             let of_gang = |r: &&Running| r.job == run.job && r.run.task.step == run.run.task.step;
             self.running.iter().filter(of_gang)
         };
-        let shape = self.shape(run);
-        if shape.gang && members().count() < shape.tasks as usize {
+        let pattern_step = self.step_of(run);
+        if pattern_step.gang && gang_members().count() < pattern_step.tasks as usize {
             return 0.0;
         }
-        let with: Vec<&Running> = if shape.gang {
-            members().collect()
+        let members: Vec<&Running> = if pattern_step.gang {
+            gang_members().collect()
         } else {
             vec![run]
         };
-        let still = with
+        let stalled = members
             .iter()
-            .any(|r| self.state[r.worker] == Change::StandsStill);
-        let slow = with.iter().any(|r| self.state[r.worker] == Change::Slow);
-        let rack = run.worker / PER_RACK;
-        let far = shape.one_rack && with.iter().any(|r| r.worker / PER_RACK != rack);
-        let factor = if slow { SLOW_FACTOR } else { 1 } * if far { FAR_FACTOR } else { 1 };
-        if still { 0.0 } else { 1.0 / factor as f64 }
+            .any(|r| self.state[r.worker] == Change::Stalled);
+        let slow = members.iter().any(|r| self.state[r.worker] == Change::Slow);
+        let rack = run.worker / WORKERS_PER_RACK;
+        let is_far =
+            pattern_step.one_rack && members.iter().any(|r| r.worker / WORKERS_PER_RACK != rack);
+        let factor = if slow { SLOW_FACTOR } else { 1 } * if is_far { FAR_FACTOR } else { 1 };
+        if stalled { 0.0 } else { 1.0 / factor as f64 }
     }
 
     fn end(&mut self, run: &RunId, kind: EndKind, policy: &mut dyn Policy) {
         let Some(first) = self.running.iter().find(|r| r.run == *run) else {
             return;
         };
-        let (job, step, gang) = (first.job, run.task.step, self.shape(first).gang);
+        let (job, step, gang) = (first.job, run.task.step, self.step_of(first).gang);
         let members = self.running.iter().filter(|r| {
             r.run == *run
                 || (gang && r.job == job && r.run.task.step == step && r.run.number == run.number)
         });
         let members: Vec<RunId> = members.map(|r| r.run.clone()).collect();
         for member in members {
-            let own = member == *run;
-            let how = match kind {
+            let is_own = member == *run;
+            let member_kind = match kind {
                 EndKind::Done => EndKind::Done,
-                _ if own => kind,
+                _ if is_own => kind,
                 _ => EndKind::GangBroken,
             };
-            let Some((worker, saved)) = self.take_out(&member, kind == EndKind::Done) else {
+            let Some((worker, saved)) = self.remove_run(&member, kind == EndKind::Done) else {
                 continue;
             };
             if kind == EndKind::Done {
                 self.done.insert((job, step, member.task.index), true);
             }
-            policy.ended(worker, &member, how, saved);
+            policy.run_ended(worker, &member, member_kind, saved);
         }
         let steps = self.pattern.jobs[job].steps.iter().enumerate();
-        let mut tasks = steps.flat_map(|(s, shape)| (0..shape.tasks).map(move |i| (s as u32, i)));
+        let mut tasks =
+            steps.flat_map(|(s, pattern_step)| (0..pattern_step.tasks).map(move |i| (s as u32, i)));
         let all = tasks.all(|(s, i)| self.done.contains_key(&(job, s, i)));
         if all {
             self.ended_ms[job].get_or_insert(self.now_ms);
@@ -329,10 +335,11 @@
     }
 
     /// Takes a run out; returns its worker and the milliseconds of work that are saved.
-    fn take_out(&mut self, run: &RunId, done: bool) -> Option<(usize, u64)> {
+    fn remove_run(&mut self, run: &RunId, done: bool) -> Option<(usize, u64)> {
         let at = self.running.iter().position(|r| r.run == *run)?;
-        let shape = self.shape(&self.running[at]);
-        let (accelerators, checkpoints) = (shape.accelerators as f64, shape.checkpoints);
+        let pattern_step = self.step_of(&self.running[at]);
+        let (accelerators, checkpoints) =
+            (pattern_step.accelerators as f64, pattern_step.checkpoints);
         let run = self.running.remove(at);
         let total = run.done_before_ms + run.worked as u64;
         let saved = if checkpoints {
@@ -345,27 +352,27 @@
         } else {
             saved.max(run.done_before_ms)
         };
-        let kept_now = (kept - run.done_before_ms) as f64;
-        self.outcome.useful += kept_now * accelerators / 1_000.0;
-        self.outcome.wasted += (run.worked - kept_now).max(0.0) * accelerators / 1_000.0;
+        let kept_in_run = (kept - run.done_before_ms) as f64;
+        self.outcome.useful += kept_in_run * accelerators / 1_000.0;
+        self.outcome.wasted += (run.worked - kept_in_run).max(0.0) * accelerators / 1_000.0;
         Some((run.worker, saved.max(run.done_before_ms)))
     }
 
-    fn sum_up(mut self) -> Outcome {
+    fn summarize(mut self) -> Outcome {
         for (job, ended) in self.pattern.jobs.iter().zip(&self.ended_ms) {
             if job.cancel_ms.is_some() {
                 continue;
             }
-            let served = &mut self.outcome.served[job.priority as usize];
-            served.jobs += 1;
+            let counts = &mut self.outcome.by_priority[job.priority as usize];
+            counts.jobs += 1;
             let Some(ended) = ended else {
                 self.outcome.unfinished += 1;
                 continue;
             };
             let took = ended - job.at_ms;
             let objective = job.objective_ms();
-            served.in_time += usize::from(took <= objective);
-            served.late += usize::from(took > objective && took <= objective * USEFUL_FACTOR);
+            counts.in_time += usize::from(took <= objective);
+            counts.late += usize::from(took > objective && took <= objective * USEFUL_FACTOR);
         }
         self.outcome
     }
--- a/dragonflyrun/tests/replay/naive.rs
+++ b/dragonflyrun/tests/replay/naive.rs
@@ -13,21 +13,21 @@
 const CPU_MILLIS: u64 = 64_000;
 const MEMORY_MB: u64 = 128_000;
 
-struct Known {
+struct NaiveJob {
     number: usize,
     job: PatternJob,
     cancelled: bool,
     started: BTreeSet<(u32, u32)>,
     done: BTreeSet<(u32, u32)>,
-    run: u32,
+    next_run: u32,
 }
 
 /// The policy.
 pub(crate) struct Naive {
-    jobs: Vec<Known>,
+    jobs: Vec<NaiveJob>,
     placed: Vec<(usize, RunId, Resources)>,
-    here: Vec<bool>,
-    out: BTreeSet<String>,
+    present: Vec<bool>,
+    domains_out: BTreeSet<String>,
 }
 
 impl Naive {
@@ -36,8 +36,8 @@
         Self {
             jobs: Vec::new(),
             placed: Vec::new(),
-            here: vec![true; workers],
-            out: BTreeSet::new(),
+            present: vec![true; workers],
+            domains_out: BTreeSet::new(),
         }
     }
 
@@ -47,33 +47,36 @@
             memory_mb: MEMORY_MB,
             accelerators: ACCELERATORS,
         };
-        let here = self.placed.iter().filter(|(w, ..)| *w == worker);
-        here.fold(all, |left, (.., needs)| left.minus(needs))
+        let placed_there = self.placed.iter().filter(|(w, ..)| *w == worker);
+        placed_there.fold(all, |left, (.., needs)| left.minus(needs))
     }
 
     fn is_open(&self, worker: usize) -> bool {
-        self.here[worker] && !self.out.contains(&format!("d{}", worker / super::PER_RACK))
+        self.present[worker]
+            && !self
+                .domains_out
+                .contains(&format!("d{}", worker / super::WORKERS_PER_RACK))
     }
 
     /// Starts the tasks `indexes` of a step all together, where they fit.
-    fn start(&mut self, known: usize, step: u32, indexes: &[u32]) -> Vec<Command> {
-        let needs = self.jobs[known].job.steps[step as usize].step().needs;
+    fn start(&mut self, job: usize, step: u32, indexes: &[u32]) -> Vec<Command> {
+        let needs = self.jobs[job].job.steps[step as usize].step().needs;
         let before = self.placed.len();
         let mut commands = Vec::new();
         for index in indexes {
-            let open = (0..self.here.len()).filter(|w| self.is_open(*w));
+            let open = (0..self.present.len()).filter(|w| self.is_open(*w));
             let Some(worker) = open.into_iter().find(|w| self.free(*w).fits(&needs)) else {
                 self.placed.truncate(before);
                 return Vec::new();
             };
             let run = RunId {
                 task: TaskId {
-                    job: job_name(self.jobs[known].number),
+                    job: job_name(self.jobs[job].number),
                     occurrence: 0,
                     step,
                     index: *index,
                 },
-                number: self.jobs[known].run,
+                number: self.jobs[job].next_run,
             };
             self.placed.push((worker, run.clone(), needs));
             commands.push(Command::Start {
@@ -82,47 +85,47 @@
                 done_ms: 0,
             });
         }
-        let known = &mut self.jobs[known];
-        known.run += 1;
-        known.started.extend(indexes.iter().map(|i| (step, *i)));
+        let job = &mut self.jobs[job];
+        job.next_run += 1;
+        job.started.extend(indexes.iter().map(|i| (step, *i)));
         commands
     }
 }
 
 impl Policy for Naive {
     fn submit(&mut self, number: usize, job: &PatternJob) {
-        self.jobs.push(Known {
+        self.jobs.push(NaiveJob {
             number,
             job: job.clone(),
             cancelled: false,
             started: BTreeSet::new(),
             done: BTreeSet::new(),
-            run: 1,
+            next_run: 1,
         });
     }
 
     fn cancel(&mut self, number: usize) {
-        for known in self.jobs.iter_mut().filter(|k| k.number == number) {
-            known.cancelled = true;
+        for job in self.jobs.iter_mut().filter(|k| k.number == number) {
+            job.cancelled = true;
         }
     }
 
-    fn ended(&mut self, _: usize, run: &RunId, kind: EndKind, _: u64) {
+    fn run_ended(&mut self, _: usize, run: &RunId, kind: EndKind, _: u64) {
         self.placed.retain(|(_, r, _)| r != run);
         let number = job_number(&run.task.job);
         let task = (run.task.step, run.task.index);
-        for known in self.jobs.iter_mut().filter(|k| k.number == number) {
+        for job in self.jobs.iter_mut().filter(|k| k.number == number) {
             if kind == EndKind::Done {
-                known.done.insert(task);
+                job.done.insert(task);
             } else {
-                known.started.remove(&task);
+                job.started.remove(&task);
             }
         }
     }
 
-    fn worker(&mut self, worker: usize, here: bool) {
-        self.here[worker] = here;
-        if here {
+    fn worker_changed(&mut self, worker: usize, is_present: bool) {
+        self.present[worker] = is_present;
+        if is_present {
             return;
         }
         let lost: Vec<RunId> = self
@@ -132,15 +135,15 @@
             .map(|(_, run, _)| run.clone())
             .collect();
         for run in lost {
-            self.ended(worker, &run, EndKind::LeaseExpired, 0);
+            self.run_ended(worker, &run, EndKind::LeaseExpired, 0);
         }
     }
 
-    fn domain(&mut self, domain: &str, out: bool) {
+    fn domain_changed(&mut self, domain: &str, out: bool) {
         if out {
-            self.out.insert(domain.to_owned());
+            self.domains_out.insert(domain.to_owned());
         } else {
-            self.out.remove(domain);
+            self.domains_out.remove(domain);
         }
     }
 
@@ -152,27 +155,27 @@
         let mut commands: Vec<Command> = cancelled
             .map(|(_, run, _)| Command::Stop { run: run.clone() })
             .collect();
-        for known in 0..self.jobs.len() {
-            if self.jobs[known].cancelled {
+        for job in 0..self.jobs.len() {
+            if self.jobs[job].cancelled {
                 continue;
             }
-            for step in 0..self.jobs[known].job.steps.len() as u32 {
-                let shape = self.jobs[known].job.steps[step as usize].clone();
+            for step in 0..self.jobs[job].job.steps.len() as u32 {
+                let pattern_step = self.jobs[job].job.steps[step as usize].clone();
                 let done = |s: &u32| {
-                    let tasks = self.jobs[known].job.steps[*s as usize].tasks;
-                    (0..tasks).all(|i| self.jobs[known].done.contains(&(*s, i)))
+                    let tasks = self.jobs[job].job.steps[*s as usize].tasks;
+                    (0..tasks).all(|i| self.jobs[job].done.contains(&(*s, i)))
                 };
-                if !shape.after.iter().all(done) {
+                if !pattern_step.after.iter().all(done) {
                     continue;
                 }
-                let waits = |i: &u32| !self.jobs[known].started.contains(&(step, *i));
-                let waiting: Vec<u32> = (0..shape.tasks).filter(waits).collect();
-                let whole = waiting.len() == shape.tasks as usize;
-                if shape.gang && whole {
-                    commands.extend(self.start(known, step, &waiting));
-                } else if !shape.gang {
+                let not_started = |i: &u32| !self.jobs[job].started.contains(&(step, *i));
+                let waiting: Vec<u32> = (0..pattern_step.tasks).filter(not_started).collect();
+                let none_started = waiting.len() == pattern_step.tasks as usize;
+                if pattern_step.gang && none_started {
+                    commands.extend(self.start(job, step, &waiting));
+                } else if !pattern_step.gang {
                     for index in waiting {
-                        commands.extend(self.start(known, step, &[index]));
+                        commands.extend(self.start(job, step, &[index]));
                     }
                 }
             }
--- a/dragonflyrun/tests/replay/pattern.rs
+++ b/dragonflyrun/tests/replay/pattern.rs
@@ -81,12 +81,17 @@
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Change {
     Gone,
-    Well,
-    Fails,
-    StandsStill,
+    #[serde(rename = "well")]
+    Healthy,
+    #[serde(rename = "fails")]
+    Failing,
+    #[serde(rename = "stands_still")]
+    Stalled,
     Slow,
-    Out,
-    In,
+    #[serde(rename = "out")]
+    OutOfService,
+    #[serde(rename = "in")]
+    InService,
 }
 
 impl Pattern {
@@ -106,9 +111,9 @@
 impl PatternJob {
     /// Returns the milliseconds in which the job should be done, by what its tasks really take.
     pub(crate) fn objective_ms(&self) -> u64 {
-        let chain: u64 = self.steps.iter().map(|s| s.true_ms).sum();
+        let total_ms: u64 = self.steps.iter().map(|s| s.true_ms).sum();
         let (stretch, target_ms) = objective(self.priority);
-        (stretch * chain as f64) as u64 + target_ms
+        (stretch * total_ms as f64) as u64 + target_ms
     }
 }
 
--- a/dragonflyrun/tests/replay/planned.rs
+++ b/dragonflyrun/tests/replay/planned.rs
@@ -11,7 +11,7 @@
     Command, Policy, job_name,
     pattern::{PatternJob, objective},
 };
-use crate::workload_tables::{Bed, EPOCH_MS};
+use crate::workload_tables::{EPOCH_MS, Harness};
 
 /// Milliseconds between two reports of a worker where nothing happens.
 const REPORT_MS: u64 = 1_000;
@@ -21,19 +21,19 @@
 
 /// The policy.
 pub(crate) struct Planned {
-    bed: Bed,
+    harness: Harness,
     next_report_ms: u64,
     next_pass_ms: u64,
     /// How long the passes took.
-    pub(crate) passes: Vec<Duration>,
+    pub(crate) pass_times: Vec<Duration>,
 }
 
 impl Planned {
     /// Returns the policy for so many workers.
     pub(crate) fn new(workers: usize) -> Self {
-        let mut bed = Bed::new(workers);
-        let queue = bed.configuration.queues[0].clone();
-        bed.configuration.queues = (0..3)
+        let mut harness = Harness::new(workers);
+        let queue = harness.configuration.queues[0].clone();
+        harness.configuration.queues = (0..3)
             .map(|priority| dragonflyrun::port::Queue {
                 name: format!("q{priority}").into(),
                 priority,
@@ -41,15 +41,15 @@
             })
             .collect();
         Self {
-            bed,
+            harness,
             next_report_ms: 0,
             next_pass_ms: 0,
-            passes: Vec::new(),
+            pass_times: Vec::new(),
         }
     }
 }
 
-fn name(worker: usize) -> String {
+fn worker_name(worker: usize) -> String {
     format!("w{worker}")
 }
 
@@ -72,18 +72,18 @@
                 occurrences: None,
             },
         }));
-        self.bed.planner.apply_job_record(&record);
+        self.harness.planner.apply_job_record(&record);
         self.next_pass_ms = 0;
     }
 
     fn cancel(&mut self, number: usize) {
         let record = JobRecord::Cancelled(job_name(number));
-        self.bed.planner.apply_job_record(&record);
+        self.harness.planner.apply_job_record(&record);
         self.next_pass_ms = 0;
     }
 
-    fn ended(&mut self, worker: usize, run: &RunId, kind: EndKind, saved_ms: u64) {
-        self.bed.change(&name(worker), |report| {
+    fn run_ended(&mut self, worker: usize, run: &RunId, kind: EndKind, saved_ms: u64) {
+        self.harness.change_report(&worker_name(worker), |report| {
             report.running.retain(|r| r.run != *run);
             let last = report.ends.last().map(|e| e.number);
             report.ends.push(End {
@@ -100,12 +100,12 @@
         self.next_pass_ms = 0;
     }
 
-    fn worker(&mut self, worker: usize, here: bool) {
-        self.bed.change(&name(worker), |report| {
-            report.closed = !here;
+    fn worker_changed(&mut self, worker: usize, is_present: bool) {
+        self.harness.change_report(&worker_name(worker), |report| {
+            report.closed = !is_present;
             report.running.clear();
             report.ends.clear();
-            if here {
+            if is_present {
                 report.session += 1;
                 report.sequence = 0;
                 report.heartbeat.born_ms += 1;
@@ -114,27 +114,27 @@
         self.next_pass_ms = 0;
     }
 
-    fn domain(&mut self, domain: &str, out: bool) {
+    fn domain_changed(&mut self, domain: &str, out: bool) {
         if out {
-            self.bed.evacuated.insert(domain.into());
+            self.harness.evacuated.insert(domain.into());
         } else {
-            self.bed.evacuated.remove(domain);
+            self.harness.evacuated.remove(domain);
         }
     }
 
     fn decide(&mut self, now_ms: u64) -> Vec<Command> {
-        self.bed.now_ms = now_ms;
+        self.harness.now_ms = now_ms;
         if now_ms >= self.next_report_ms {
             self.next_report_ms = now_ms + REPORT_MS;
-            self.bed.report_all();
+            self.harness.report_all();
         }
         if now_ms < self.next_pass_ms {
             return Vec::new();
         }
         self.next_pass_ms = now_ms + PASS_MS;
-        let began = std::time::Instant::now();
-        let decisions = self.bed.pass();
-        self.passes.push(began.elapsed());
+        let started_at = std::time::Instant::now();
+        let decisions = self.harness.pass();
+        self.pass_times.push(started_at.elapsed());
         let mut commands = Vec::new();
         for order in decisions.orders {
             let worker = order.worker.trim_start_matches('w').parse();
--- a/dragonflyrun/tests/run_schedules.rs
+++ b/dragonflyrun/tests/run_schedules.rs
@@ -3,14 +3,14 @@
 
 mod workload_world;
 
-use workload_world::{Chaos, World};
+use workload_world::{FaultRates, World};
 
 /// Seeds that CI runs; `docs/PROMISES.md` says how many were run by hand.
 const SEEDS: u64 = 60;
 
 /// Steps with faults, and without.
-const TROUBLED_STEPS: u32 = 4_000;
-const CALM_STEPS: u32 = 6_000;
+const FAULT_STEPS: u32 = 4_000;
+const FAULTLESS_STEPS: u32 = 6_000;
 
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
@@ -20,12 +20,12 @@
     0..number("DRAGONFLYRUN_SEEDS").unwrap_or(SEEDS)
 }
 
-fn play(seed: u64, chaos: &Chaos) {
+fn run_schedule(seed: u64, fault_rates: &FaultRates) {
     if std::env::var_os("DRAGONFLYRUN_SEED").is_some() {
         dragonflyrun::process::logging::start();
     }
-    let mut world = World::new(seed, 4, chaos.clone());
-    for step in 0..TROUBLED_STEPS {
+    let mut world = World::new(seed, 4, fault_rates.clone());
+    for step in 0..FAULT_STEPS {
         if step % 150 == 0 {
             world.submit();
         }
@@ -36,8 +36,8 @@
             world.violations
         );
     }
-    world.chaos = CALM;
-    for _ in 0..CALM_STEPS {
+    world.fault_rates = NO_FAULTS;
+    for _ in 0..FAULTLESS_STEPS {
         world.step();
         if world.all_ended() {
             break;
@@ -51,7 +51,7 @@
     assert!(world.all_ended(), "seed {seed}: jobs stand still");
 }
 
-const CALM: Chaos = Chaos {
+const NO_FAULTS: FaultRates = FaultRates {
     late_calls: 0,
     lost_answers: 0,
     late_appends: 0,
@@ -62,8 +62,8 @@
 
 /// Nothing goes wrong; the model itself must let work be done.
 #[test]
-fn calm() {
-    play(0, &CALM);
+fn no_faults() {
+    run_schedule(0, &NO_FAULTS);
 }
 
 /// Calls to workers are carried out seconds late, answers are lost, agents freeze, restart and lose
@@ -71,14 +71,14 @@
 #[test]
 fn agents_and_workers() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             late_calls: 40,
             lost_answers: 40,
             agent_faults: 8,
             crashes: 3,
-            ..CALM
+            ..NO_FAULTS
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
 
@@ -87,21 +87,21 @@
 #[test]
 fn planners_and_store() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             lost_answers: 40,
             late_appends: 40,
             successions: 4,
-            ..CALM
+            ..NO_FAULTS
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
 
 /// All of it together.
 #[test]
-fn everything() {
+fn all_faults() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             late_calls: 30,
             lost_answers: 30,
             late_appends: 30,
@@ -109,6 +109,6 @@
             agent_faults: 5,
             crashes: 2,
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
--- a/dragonflyrun/tests/shared_workers.rs
+++ b/dragonflyrun/tests/shared_workers.rs
@@ -3,14 +3,14 @@
 mod workload_tables;
 
 use dragonflyrun::{port::EndKind, workload::Step};
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 /// A task that takes leftovers slows those that serve users beside it, by amounts that change within
 /// seconds. They never stand on one worker.
 #[test]
-fn kept_apart() {
-    let mut bed = Bed::new(2);
-    bed.submit(
+fn serving_kept_apart() {
+    let mut harness = Harness::new(2);
+    harness.submit(
         "serving",
         1,
         vec![Step {
@@ -19,8 +19,8 @@
             ..task(1)
         }],
     );
-    bed.pass();
-    bed.submit(
+    harness.pass();
+    harness.submit(
         "filling",
         2,
         vec![Step {
@@ -29,11 +29,12 @@
             ..task(1)
         }],
     );
-    bed.pass();
-    let (serving, _) = bed.running("serving")[0].clone();
-    assert_eq!(bed.running("filling").len(), 4);
+    harness.pass();
+    let (serving, _) = harness.running("serving")[0].clone();
+    assert_eq!(harness.running("filling").len(), 4);
     assert!(
-        bed.running("filling")
+        harness
+            .running("filling")
             .iter()
             .all(|(worker, _)| *worker != serving)
     );
@@ -42,9 +43,9 @@
 /// A task that lasts fails or ends now and then. Its users notice each gap, so it starts again
 /// however often it failed, and nothing is started in its place.
 #[test]
-fn lasting_starts_again() {
-    let mut bed = Bed::new(1);
-    bed.submit(
+fn lasting_task_restarts() {
+    let mut harness = Harness::new(1);
+    harness.submit(
         "serving",
         1,
         vec![Step {
@@ -53,15 +54,15 @@
         }],
     );
     for _ in 0..5 {
-        bed.pass();
-        bed.end("serving", EndKind::Failed);
-        bed.now_ms += 10_000;
-        bed.report_all();
+        harness.pass();
+        harness.end_runs("serving", EndKind::Failed);
+        harness.now_ms += 10_000;
+        harness.report_all();
     }
-    bed.pass();
-    assert_eq!(bed.running("serving").len(), 1);
-    assert_eq!(bed.outcome("serving"), None);
-    bed.submit_as("sure", "urgent", 0, vec![task(8)]);
-    let decisions = bed.pass();
+    harness.pass();
+    assert_eq!(harness.running("serving").len(), 1);
+    assert_eq!(harness.outcome("serving"), None);
+    harness.submit_as("sure", "urgent", 0, vec![task(8)]);
+    let decisions = harness.pass();
     assert!(decisions.orders.iter().all(|o| o.order.stops.is_empty()));
 }
--- a/dragonflyrun/tests/slow_orders.rs
+++ b/dragonflyrun/tests/slow_orders.rs
@@ -39,75 +39,75 @@
 const PAYLOAD_BYTES: usize = 4_000;
 
 /// Bytes a second of a link with 2 Mbit/s.
-const LINK: u32 = 250_000;
+const LINK_BYTES_PER_S: u32 = 250_000;
 
 /// Bytes that the link carries before it is the next append's turn.
-const PIECE: usize = 4_096;
+const CHUNK_BYTES: usize = 4_096;
 
 /// How often the appends of one partition may run out of time before they will never be done.
-const MOST_CUT_OFF: u32 = 8;
+const MAX_TIMEOUTS: u32 = 8;
 
 /// A store at the end of a slow link, which all appends share.
 #[derive(Default)]
-struct FarStore {
+struct SlowLinkStore {
     link: tokio::sync::Mutex<()>,
     jobs: Mutex<Vec<StoreRecord>>,
     /// Runs whose orders stand.
-    ordered: Mutex<HashSet<RunId>>,
+    ordered_runs: Mutex<HashSet<RunId>>,
     /// How often orders of a partition have run out of time.
-    cut_off: Mutex<HashMap<Partition, u32>>,
+    timeouts: Mutex<HashMap<Partition, u32>>,
     /// Numbers the reports.
-    reports: Mutex<u64>,
+    report_sequence: Mutex<u64>,
 }
 
-impl FarStore {
-    async fn carry(&self, bytes: usize) {
-        for _ in 0..bytes.div_ceil(PIECE) {
+impl SlowLinkStore {
+    async fn transfer(&self, bytes: usize) {
+        for _ in 0..bytes.div_ceil(CHUNK_BYTES) {
             let _turn = self.link.lock().await;
-            sleep(Duration::from_secs(1) * PIECE as u32 / LINK).await;
+            sleep(Duration::from_secs(1) * CHUNK_BYTES as u32 / LINK_BYTES_PER_S).await;
         }
     }
 
     /// Returns the newest report of each worker that has them in a partition.
     fn reports_in(&self, partition: Partition) -> Vec<StoreRecord> {
-        let mut number = lock(&self.reports);
+        let mut sequence = lock(&self.report_sequence);
         let lanes = Lanes::new(PARTITIONS);
         let names = (0..WORKERS).map(|i| format!("w{i}"));
-        let here = names.filter(|name| lanes.reports_of(name) == partition);
-        let reports = here.map(|name| {
-            *number += 1;
+        let in_partition = names.filter(|name| lanes.reports_of(name) == partition);
+        let reports = in_partition.map(|name| {
+            *sequence += 1;
             StoreRecord {
                 key: name.as_str().into(),
-                value: Some(encode(&report(&name, *number))),
+                value: Some(encode(&report(&name, *sequence))),
             }
         });
         reports.collect()
     }
 
-    fn take_orders(&self, records: &[StoreRecord]) {
-        let mut ordered = lock(&self.ordered);
+    fn record_orders(&self, records: &[StoreRecord]) {
+        let mut ordered_runs = lock(&self.ordered_runs);
         for record in records {
             let message = record.value.as_deref().and_then(decode::<OrderMessage>);
             if let Some(OrderMessage::Order { order, .. }) = message {
-                ordered.extend(order.starts.into_iter().map(|start| start.run));
+                ordered_runs.extend(order.starts.into_iter().map(|start| start.run));
             }
         }
     }
 }
 
-impl Store for FarStore {
+impl Store for SlowLinkStore {
     async fn append(&self, append: &Append, within: Duration) -> Result<Appended, AppendError> {
         let values = append.records.iter().filter_map(|r| r.value.as_ref());
         let bytes = values.map(Vec::len).sum();
         let is_order = matches!(append.partition.topic, Topic::Orders(_));
-        if timeout(within, self.carry(bytes)).await.is_err() {
+        if timeout(within, self.transfer(bytes)).await.is_err() {
             if is_order {
-                *lock(&self.cut_off).entry(append.partition).or_default() += 1;
+                *lock(&self.timeouts).entry(append.partition).or_default() += 1;
             }
             return Err(AppendError::Unknown("timeout".to_owned()));
         }
         if is_order {
-            self.take_orders(&append.records);
+            self.record_orders(&append.records);
             return Ok(Appended {
                 offset: 10,
                 end: 11,
@@ -237,7 +237,7 @@
 fn settings() -> StoreSettings {
     StoreSettings {
         partitions: PARTITIONS,
-        link: Some(u64::from(LINK)),
+        link: Some(u64::from(LINK_BYTES_PER_S)),
         ..store_entry::settings()
     }
 }
@@ -245,9 +245,9 @@
 /// Guards against orders that are never sent: those for many workers share a slow link, all run out of
 /// time at once, and each is begun anew, while the planner shows that it lives and keeps the term.
 #[tokio::test]
-async fn orders_of_burst() {
+async fn burst_orders_sent() {
     let test = async {
-        let store = Arc::new(FarStore::default());
+        let store = Arc::new(SlowLinkStore::default());
         lock(&store.jobs).extend((0..JOBS).map(|i| accepted(format!("{i:016x}"))));
         let counters = Arc::new(Counters::new().expect("counters"));
         let entry = StoreEntry::new(settings(), store.clone(), NoAdvisor, counters);
@@ -256,14 +256,14 @@
         }));
         let all = JOBS * WORKERS as usize;
         loop {
-            let ordered = lock(&store.ordered).len();
-            if ordered == all {
+            let ordered_runs = lock(&store.ordered_runs).len();
+            if ordered_runs == all {
                 return;
             }
-            let cut_off = lock(&store.cut_off).values().copied().max().unwrap_or(0);
+            let timeouts = lock(&store.timeouts).values().copied().max().unwrap_or(0);
             assert!(
-                cut_off < MOST_CUT_OFF,
-                "orders of {ordered} of {all} runs, and one partition cut off {cut_off} times"
+                timeouts < MAX_TIMEOUTS,
+                "orders of {ordered_runs} of {all} runs, and one partition cut off {timeouts} times"
             );
             sleep(Duration::from_millis(10)).await;
         }
--- a/dragonflyrun/tests/starving_gangs.rs
+++ b/dragonflyrun/tests/starving_gangs.rs
@@ -3,7 +3,7 @@
 mod workload_tables;
 
 use dragonflyrun::workload::{Decisions, Step};
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 const WORKERS: usize = 6;
 
@@ -13,17 +13,17 @@
 }
 
 /// Returns a pool full of patient tasks.
-fn full() -> Bed {
-    let mut bed = Bed::new(WORKERS);
+fn full_pool() -> Harness {
+    let mut harness = Harness::new(WORKERS);
     let tasks = Step {
         tasks: 8 * WORKERS as u32,
         estimate_ms: 60_000,
         ..task(1)
     };
-    bed.submit("flood", 2, vec![tasks]);
-    bed.pass();
-    bed.report_all();
-    bed
+    harness.submit("flood", 2, vec![tasks]);
+    harness.pass();
+    harness.report_all();
+    harness
 }
 
 fn gang() -> Step {
@@ -38,45 +38,48 @@
 
 /// Guards against a gang of normal urgency that small patient tasks keep from whole workers for good.
 #[test]
-fn room_is_cleared() {
-    let mut bed = full();
-    bed.submit("gang", 1, vec![gang()]);
-    assert_eq!(stopped(&bed.pass(), "flood"), 0, "it may wait a while");
-    bed.wait(9_000);
-    assert!(stopped(&bed.pass(), "flood") > 0);
+fn gang_clears_room() {
+    let mut harness = full_pool();
+    harness.submit("gang", 1, vec![gang()]);
+    assert_eq!(stopped(&harness.pass(), "flood"), 0, "it may wait a while");
+    harness.advance(9_000);
+    assert!(stopped(&harness.pass(), "flood") > 0);
 }
 
 /// Guards against clearing room for small tasks, which find some by themselves.
 #[test]
-fn tasks_wait() {
-    let mut bed = full();
-    bed.submit("small", 1, vec![task(1)]);
-    bed.wait(9_000);
-    assert_eq!(stopped(&bed.pass(), "flood"), 0);
+fn small_tasks_wait() {
+    let mut harness = full_pool();
+    harness.submit("small", 1, vec![task(1)]);
+    harness.advance(9_000);
+    assert_eq!(stopped(&harness.pass(), "flood"), 0);
 }
 
 /// Guards against stopping the job that has waited longest, since its objective is lost anyway: it would
 /// be of no use at all.
 #[test]
-fn late_job_is_spared() {
-    let mut bed = Bed::new(2);
+fn late_job_spared() {
+    let mut harness = Harness::new(2);
     let work = Step {
         estimate_ms: 4_000,
         ..task(8)
     };
-    bed.submit("blocker", 0, vec![work.clone(), work.clone()]);
-    bed.pass();
-    bed.report_all();
-    bed.submit("late", 1, vec![work.clone()]);
-    bed.wait(18_000);
-    bed.end("blocker", dragonflyrun::port::EndKind::Done);
-    bed.submit("fresh", 1, vec![work.clone()]);
-    bed.pass();
-    bed.report_all();
-    assert_eq!(bed.running("late").len() + bed.running("fresh").len(), 2);
-    bed.wait(500);
-    bed.submit("urgent", 0, vec![work]);
-    let decisions = bed.pass();
+    harness.submit("blocker", 0, vec![work.clone(), work.clone()]);
+    harness.pass();
+    harness.report_all();
+    harness.submit("late", 1, vec![work.clone()]);
+    harness.advance(18_000);
+    harness.end_runs("blocker", dragonflyrun::port::EndKind::Done);
+    harness.submit("fresh", 1, vec![work.clone()]);
+    harness.pass();
+    harness.report_all();
+    assert_eq!(
+        harness.running("late").len() + harness.running("fresh").len(),
+        2
+    );
+    harness.advance(500);
+    harness.submit("urgent", 0, vec![work]);
+    let decisions = harness.pass();
     assert_eq!(stopped(&decisions, "late"), 0);
     assert_eq!(stopped(&decisions, "fresh"), 1);
 }
--- a/dragonflyrun/tests/step_tickets.rs
+++ b/dragonflyrun/tests/step_tickets.rs
@@ -9,15 +9,15 @@
     port::{Advice, AdviceAnswer, StartOutcome},
     workload::Step,
 };
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
-fn bed() -> Bed {
-    let mut bed = Bed::new(3);
-    bed.configuration.queues[0].advice = Some(Advice {
+fn harness() -> Harness {
+    let mut harness = Harness::new(3);
+    harness.configuration.queues[0].advice = Some(Advice {
         base: Duration::from_millis(100),
         each: Duration::from_millis(10),
     });
-    bed
+    harness
 }
 
 fn answer(worker: &str) -> Option<AdviceAnswer> {
@@ -29,19 +29,23 @@
 
 #[test]
 fn asked_then_started() {
-    let mut bed = bed();
-    bed.submit("job", 1, vec![task(1)]);
-    let decisions = bed.pass();
-    assert!(bed.running("job").is_empty());
+    let mut harness = harness();
+    harness.submit("job", 1, vec![task(1)]);
+    let decisions = harness.pass();
+    assert!(harness.running("job").is_empty());
     assert_eq!(decisions.questions.len(), 1);
-    assert!(bed.pass().questions.is_empty(), "one question at a time");
-    let now = Timestamp::from_millis(bed.now_ms);
-    bed.planner
+    assert!(
+        harness.pass().questions.is_empty(),
+        "one question at a time"
+    );
+    let now = Timestamp::from_millis(harness.now_ms);
+    harness
+        .planner
         .apply_advice(now, &decisions.questions[0], answer("w2"));
-    let decisions = bed.pass();
+    let decisions = harness.pass();
     let start = &decisions.orders[0].order.starts[0];
     assert_eq!(start.ticket.as_deref(), Some("t-1"));
-    assert_eq!(&*bed.running("job")[0].0, "w2");
+    assert_eq!(&*harness.running("job")[0].0, "w2");
 }
 
 /// The advisor does not answer, and later its ticket runs out or a worker that has started again
@@ -49,8 +53,8 @@
 /// worker would only refuse it.
 #[test]
 fn tickets_run_out() {
-    let mut bed = bed();
-    bed.submit(
+    let mut harness = harness();
+    harness.submit(
         "job",
         1,
         vec![Step {
@@ -58,19 +62,23 @@
             ..task(8)
         }],
     );
-    let question = bed.pass().questions.remove(0);
-    bed.planner
-        .apply_advice(Timestamp::from_millis(bed.now_ms), &question, None);
-    assert!(bed.pass().questions.is_empty(), "not at once again");
-    bed.wait(1_000);
-    let question = bed.pass().questions.remove(0);
-    bed.planner
-        .apply_advice(Timestamp::from_millis(bed.now_ms), &question, answer("w1"));
-    bed.pass();
-    let (_, run) = bed.running("job")[0].clone();
-    bed.refuse(&run, StartOutcome::NoTicket);
-    let decisions = bed.pass();
-    assert!(bed.running("job").is_empty());
+    let question = harness.pass().questions.remove(0);
+    harness
+        .planner
+        .apply_advice(Timestamp::from_millis(harness.now_ms), &question, None);
+    assert!(harness.pass().questions.is_empty(), "not at once again");
+    harness.advance(1_000);
+    let question = harness.pass().questions.remove(0);
+    harness.planner.apply_advice(
+        Timestamp::from_millis(harness.now_ms),
+        &question,
+        answer("w1"),
+    );
+    harness.pass();
+    let (_, run) = harness.running("job")[0].clone();
+    harness.refuse_run(&run, StartOutcome::NoTicket);
+    let decisions = harness.pass();
+    assert!(harness.running("job").is_empty());
     assert_eq!(
         decisions
             .orders
@@ -79,6 +87,6 @@
             .sum::<usize>(),
         0
     );
-    bed.wait(1_000);
-    assert_eq!(bed.pass().questions.len(), 1);
+    harness.advance(1_000);
+    assert_eq!(harness.pass().questions.len(), 1);
 }
--- a/dragonflyrun/tests/unread_orders.rs
+++ b/dragonflyrun/tests/unread_orders.rs
@@ -3,26 +3,26 @@
 mod workload_tables;
 
 use dragonflyrun::{Timestamp, workload::View};
-use workload_tables::{Bed, EPOCH_MS, task};
+use workload_tables::{EPOCH_MS, Harness, task};
 
 /// Seconds after which the planner has to see that an order was not read: ten times what it takes for
 /// the silence of an agent.
-const LONGEST_S: u32 = 30;
+const MAX_DETECTION_S: u32 = 30;
 
 /// Guards against a job that stands still for ever beside an idle worker: its agent's reports come, its
 /// orders are not read, and the run that the plan names there neither begins nor is given up.
 #[test]
 fn order_never_read() {
-    let mut bed = Bed::new(2);
-    bed.submit("job", 1, vec![task(8)]);
-    let unread = bed.reports.clone();
-    let ordered = bed.pass().orders;
+    let mut harness = Harness::new(2);
+    harness.submit("job", 1, vec![task(8)]);
+    let unread_reports = harness.reports.clone();
+    let ordered = harness.pass().orders;
     let ordered = ordered.iter().find(|o| !o.order.starts.is_empty());
     let worker = ordered.expect("a start").worker.clone();
-    bed.reports = unread;
-    let given_up = (0..LONGEST_S).any(|_| {
-        bed.wait(1_000);
-        let orders = bed.pass().orders;
+    harness.reports = unread_reports;
+    let given_up = (0..MAX_DETECTION_S).any(|_| {
+        harness.advance(1_000);
+        let orders = harness.pass().orders;
         let mut here = orders.iter().filter(|o| o.worker == worker);
         here.any(|o| o.order.fence)
     });
@@ -33,23 +33,23 @@
 /// it before, and what runs on its worker would be stopped.
 #[test]
 fn late_order() {
-    let mut bed = Bed::new(3);
-    bed.submit("job", 1, vec![task(8)]);
-    let decide = |bed: &mut Bed| {
+    let mut harness = Harness::new(3);
+    harness.submit("job", 1, vec![task(8)]);
+    let decide = |harness: &mut Harness| {
         let view = View {
-            now: Timestamp::from_millis(bed.now_ms),
-            unix_ms: EPOCH_MS + bed.now_ms,
-            configuration: &bed.configuration,
-            evacuated: &bed.evacuated,
+            now: Timestamp::from_millis(harness.now_ms),
+            unix_ms: EPOCH_MS + harness.now_ms,
+            configuration: &harness.configuration,
+            evacuated: &harness.evacuated,
             is_fresh: true,
             reports_since: Some(Timestamp::default()),
         };
-        bed.planner.decide(&view).orders
+        harness.planner.decide(&view).orders
     };
-    let orders = decide(&mut bed);
-    bed.wait(20_000);
-    let now = Timestamp::from_millis(bed.now_ms);
-    bed.planner.order_stored(now, &orders[0], 11);
-    let fences = decide(&mut bed).into_iter().filter(|o| o.order.fence);
+    let orders = decide(&mut harness);
+    harness.advance(20_000);
+    let now = Timestamp::from_millis(harness.now_ms);
+    harness.planner.order_stored(now, &orders[0], 11);
+    let fences = decide(&mut harness).into_iter().filter(|o| o.order.fence);
     assert_eq!(fences.count(), 0);
 }
--- a/dragonflyrun/tests/withheld_starts.rs
+++ b/dragonflyrun/tests/withheld_starts.rs
@@ -13,7 +13,7 @@
 
 /// Guards against a planner whose log looks like that of one without work.
 #[test]
-fn spell_logged() {
+fn withholding_logged() {
     let mut withheld = WithheldStarts::default();
     assert_eq!(withheld.observe_pass(at(0), true, 3), None);
     let began = withheld.observe_pass(at(1_000), false, 3);
@@ -35,7 +35,7 @@
 
 /// Guards against lines about an idle planner: nothing is withheld from anybody.
 #[test]
-fn idle_is_silent() {
+fn idle_not_logged() {
     let mut withheld = WithheldStarts::default();
     assert_eq!(withheld.observe_pass(at(0), false, 0), None);
     assert_eq!(withheld.observe_pass(at(9_000), false, 0), None);
--- a/dragonflyrun/tests/worker_speeds.rs
+++ b/dragonflyrun/tests/worker_speeds.rs
@@ -7,49 +7,49 @@
     utils::Name,
     workload::{Pace, RunId, Step},
 };
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
 /// Lets a worker say that a task on it came on from checkpoint to checkpoint, each 2 s of work, in
 /// so many milliseconds.
-fn paced(bed: &mut Bed, worker: &str, job: &str, step_ms: u64) {
-    let run = run_on(bed, worker, job);
-    bed.change(worker, |report| {
+fn report_pace(harness: &mut Harness, worker: &str, job: &str, interval_ms: u64) {
+    let run = run_on(harness, worker, job);
+    harness.change_report(worker, |report| {
         report.paces.push(Pace {
             run,
             intervals: 5,
-            took_ms: 5 * step_ms,
+            took_ms: 5 * interval_ms,
         });
     });
 }
 
-fn run_on(bed: &Bed, worker: &str, job: &str) -> RunId {
-    let runs = bed.running(job).into_iter();
-    let mut here = runs.filter(|(w, _)| &**w == worker);
-    here.next().expect("a run on the worker").1
+fn run_on(harness: &Harness, worker: &str, job: &str) -> RunId {
+    let runs = harness.running(job).into_iter();
+    let mut runs_there = runs.filter(|(w, _)| &**w == worker);
+    runs_there.next().expect("a run on the worker").1
 }
 
 /// Returns six workers on each of which a patient task has run: the second of each three works a
 /// third slower.
-fn known_workers() -> Bed {
-    let mut bed = Bed::new(6);
+fn workers_with_paces() -> Harness {
+    let mut harness = Harness::new(6);
     let steps = Step {
         tasks: 6,
         checkpoints: true,
         ..task(8)
     };
-    bed.submit("patient", 2, vec![steps]);
-    bed.pass();
-    bed.report_all();
+    harness.submit("patient", 2, vec![steps]);
+    harness.pass();
+    harness.report_all();
     for i in 0..6 {
         let slow = i % 3 == 1;
-        let step_ms = if slow { 2_600 } else { 2_000 };
-        paced(&mut bed, &format!("w{i}"), "patient", step_ms);
+        let interval_ms = if slow { 2_600 } else { 2_000 };
+        report_pace(&mut harness, &format!("w{i}"), "patient", interval_ms);
     }
-    bed
+    harness
 }
 
-fn workers_of(bed: &Bed, job: &str) -> Vec<Name> {
-    let mut workers: Vec<Name> = bed.running(job).into_iter().map(|(w, _)| w).collect();
+fn workers_of(harness: &Harness, job: &str) -> Vec<Name> {
+    let mut workers: Vec<Name> = harness.running(job).into_iter().map(|(w, _)| w).collect();
     workers.sort_unstable();
     workers.dedup();
     workers
@@ -60,17 +60,17 @@
 /// began.
 #[test]
 fn urgent_on_fast() {
-    let mut bed = known_workers();
-    bed.end("patient", EndKind::Done);
+    let mut harness = workers_with_paces();
+    harness.end_runs("patient", EndKind::Done);
     let gang = Step {
         tasks: 4,
         gang: true,
         ..task(8)
     };
-    bed.submit("urgent", 0, vec![gang]);
-    bed.pass();
+    harness.submit("urgent", 0, vec![gang]);
+    harness.pass();
     assert_eq!(
-        workers_of(&bed, "urgent"),
+        workers_of(&harness, "urgent"),
         ["w0", "w2", "w3", "w5"].map(Name::from)
     );
 }
@@ -79,68 +79,68 @@
 /// would then find only slow ones.
 #[test]
 fn patient_on_slow() {
-    let mut bed = known_workers();
-    bed.end("patient", EndKind::Done);
+    let mut harness = workers_with_paces();
+    harness.end_runs("patient", EndKind::Done);
     let tasks = Step {
         tasks: 2,
         ..task(8)
     };
-    bed.submit("later", 2, vec![tasks]);
-    bed.pass();
-    assert_eq!(workers_of(&bed, "later"), ["w1", "w4"].map(Name::from));
+    harness.submit("later", 2, vec![tasks]);
+    harness.pass();
+    assert_eq!(workers_of(&harness, "later"), ["w1", "w4"].map(Name::from));
 }
 
 /// A worker says how fast tasks came on that ran away from their data. They are slow on any worker;
 /// taken for a slow worker, it would be spared for nothing.
 #[test]
 fn far_from_data() {
-    let mut bed = Bed::new(3);
+    let mut harness = Harness::new(3);
     let far = Step {
         tasks: 3,
         rack: Some("elsewhere".into()),
         checkpoints: true,
         ..task(8)
     };
-    bed.submit("far", 2, vec![far]);
-    bed.now_ms = 20_000;
-    bed.report_all();
-    bed.pass();
-    bed.report_all();
-    paced(&mut bed, "w0", "far", 6_000);
-    bed.end("far", EndKind::Done);
-    bed.submit("urgent", 0, vec![task(8)]);
-    bed.pass();
-    assert_eq!(workers_of(&bed, "urgent"), ["w0"].map(Name::from));
+    harness.submit("far", 2, vec![far]);
+    harness.now_ms = 20_000;
+    harness.report_all();
+    harness.pass();
+    harness.report_all();
+    report_pace(&mut harness, "w0", "far", 6_000);
+    harness.end_runs("far", EndKind::Done);
+    harness.submit("urgent", 0, vec![task(8)]);
+    harness.pass();
+    assert_eq!(workers_of(&harness, "urgent"), ["w0"].map(Name::from));
 }
 
 /// A gang over two workers comes on as its slower one does. Its other worker is not slow for that
 /// and has to be free for urgent work.
 #[test]
-fn gang_of_two_kinds() {
-    let mut bed = Bed::new(3);
+fn mixed_gang_pace() {
+    let mut harness = Harness::new(3);
     let gang = Step {
         tasks: 2,
         gang: true,
         checkpoints: true,
         ..task(8)
     };
-    bed.submit("gang", 1, vec![gang]);
-    bed.pass();
-    bed.report_all();
-    let members = workers_of(&bed, "gang");
+    harness.submit("gang", 1, vec![gang]);
+    harness.pass();
+    harness.report_all();
+    let members = workers_of(&harness, "gang");
     for worker in &members {
-        paced(&mut bed, worker, "gang", 2_600);
+        report_pace(&mut harness, worker, "gang", 2_600);
     }
-    bed.end("gang", EndKind::Done);
+    harness.end_runs("gang", EndKind::Done);
     let urgent = Step {
         tasks: 3,
         ..task(8)
     };
-    bed.submit("urgent", 0, vec![urgent]);
-    bed.pass();
-    assert_eq!(workers_of(&bed, "urgent").len(), 3);
-    bed.end("urgent", EndKind::Done);
-    bed.submit("next", 0, vec![task(8)]);
-    bed.pass();
-    assert_eq!(workers_of(&bed, "next"), ["w0"].map(Name::from));
+    harness.submit("urgent", 0, vec![urgent]);
+    harness.pass();
+    assert_eq!(workers_of(&harness, "urgent").len(), 3);
+    harness.end_runs("urgent", EndKind::Done);
+    harness.submit("next", 0, vec![task(8)]);
+    harness.pass();
+    assert_eq!(workers_of(&harness, "next"), ["w0"].map(Name::from));
 }
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -28,16 +28,16 @@
 pub(crate) const EPOCH_MS: u64 = 1_000_000;
 
 /// A planner and its workers.
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) planner: Planner,
     pub(crate) now_ms: u64,
     pub(crate) configuration: Configuration,
     pub(crate) evacuated: HashSet<Name>,
-    pub(crate) fresh: bool,
+    pub(crate) is_fresh: bool,
     /// The newest report of each worker.
     pub(crate) reports: Vec<Report>,
     /// All records that were written into the plan.
-    pub(crate) written: Vec<JobRecord>,
+    pub(crate) written_records: Vec<JobRecord>,
     offset: u64,
 }
 
@@ -65,23 +65,23 @@
     }
 }
 
-impl Bed {
+impl Harness {
     /// Returns a planner with so many workers of 8 accelerators, three to a rack.
     pub(crate) fn new(workers: usize) -> Self {
-        let mut bed = Self {
+        let mut harness = Self {
             planner: Planner::take_over(bounds(), &JobTable::default(), Timestamp::default()),
             now_ms: 0,
             configuration: configuration(),
             evacuated: HashSet::default(),
-            fresh: true,
+            is_fresh: true,
             reports: Vec::new(),
-            written: Vec::new(),
+            written_records: Vec::new(),
             offset: 10,
         };
         for i in 0..workers {
-            bed.add_worker(&format!("w{i}"), &format!("r{}", i / 3));
+            harness.add_worker(&format!("w{i}"), &format!("r{}", i / 3));
         }
-        bed
+        harness
     }
 
     /// Lets a worker report for the first time.
@@ -163,10 +163,10 @@
             unix_ms: EPOCH_MS + self.now_ms,
             configuration: &self.configuration,
             evacuated: &self.evacuated,
-            is_fresh: self.fresh,
+            is_fresh: self.is_fresh,
             reports_since: Some(Timestamp::default()),
         });
-        self.written
+        self.written_records
             .extend(decisions.plans.iter().filter_map(JobRecord::decode));
         for order in &decisions.orders {
             self.offset += 1;
@@ -216,16 +216,16 @@
     }
 
     /// Lets time go by in which all workers report each second.
-    pub(crate) fn wait(&mut self, ms: u64) {
-        let end = self.now_ms + ms;
-        while self.now_ms < end {
-            self.now_ms += (end - self.now_ms).min(1_000);
+    pub(crate) fn advance(&mut self, ms: u64) {
+        let end_ms = self.now_ms + ms;
+        while self.now_ms < end_ms {
+            self.now_ms += (end_ms - self.now_ms).min(1_000);
             self.report_all();
         }
     }
 
     /// Ends all runs of a job in `kind`, and lets their workers report.
-    pub(crate) fn end(&mut self, job: &str, kind: EndKind) {
+    pub(crate) fn end_runs(&mut self, job: &str, kind: EndKind) {
         let runs: Vec<RunId> = self.running(job).into_iter().map(|(_, run)| run).collect();
         for run in runs {
             self.end_run(&run, kind);
@@ -271,14 +271,17 @@
 
     /// Returns the newest plan of a job.
     pub(crate) fn plan(&self, job: &str) -> Option<&JobPlan> {
-        self.written.iter().rev().find_map(|record| match record {
-            JobRecord::Plan(name, Some(plan)) if &**name == job => Some(&**plan),
-            _ => None,
-        })
+        self.written_records
+            .iter()
+            .rev()
+            .find_map(|record| match record {
+                JobRecord::Plan(name, Some(plan)) if &**name == job => Some(&**plan),
+                _ => None,
+            })
     }
 
     /// Makes a worker's report say something else from now on.
-    pub(crate) fn change(&mut self, worker: &str, change: impl FnOnce(&mut Report)) {
+    pub(crate) fn change_report(&mut self, worker: &str, change: impl FnOnce(&mut Report)) {
         if let Some(report) = self
             .reports
             .iter_mut()
@@ -290,7 +293,7 @@
     }
 
     /// Makes a worker refuse a run.
-    pub(crate) fn refuse(&mut self, run: &RunId, outcome: StartOutcome) {
+    pub(crate) fn refuse_run(&mut self, run: &RunId, outcome: StartOutcome) {
         for report in &mut self.reports {
             if report.running.iter().any(|r| r.run == *run) {
                 report.running.retain(|r| r.run != *run);
--- a/dragonflyrun/tests/workload_world/agent.rs
+++ b/dragonflyrun/tests/workload_world/agent.rs
@@ -15,7 +15,7 @@
 enum Event {
     /// A call arrives that was meant for this life of the worker: its name and its birth.
     Call {
-        life: (String, u64),
+        incarnation: (String, u64),
         call: Call,
         answered: bool,
     },
@@ -23,7 +23,7 @@
     Answer(Answer),
     /// A read of orders reaches the store.
     Read {
-        looked: Option<u64>,
+        clock_read_ms: Option<u64>,
         worker: String,
         session: u64,
         from: u64,
@@ -34,7 +34,7 @@
 enum Call {
     Act(u64, AgentAction),
     Lists {
-        asked: u64,
+        requested_at: u64,
         token: u64,
         confirmed: u64,
         lease: Option<u64>,
@@ -47,7 +47,7 @@
     Stop(RunId, u64, bool),
     Lists(u64, u64, WorkerLists),
     Orders {
-        looked: Option<u64>,
+        clock_read_ms: Option<u64>,
         orders: Vec<Order>,
         end: u64,
         session: u64,
@@ -58,13 +58,13 @@
 /// An agent.
 pub(crate) struct ModelAgent {
     table: AgentTable,
-    next: u64,
+    next_offset: u64,
     reading: bool,
     events: Vec<(u64, Event)>,
     frozen_until: u64,
-    cut_until: u64,
-    look_at: u64,
-    report_at: u64,
+    disconnected_until: u64,
+    next_poll_at: u64,
+    next_report_at: u64,
 }
 
 impl ModelAgent {
@@ -72,26 +72,26 @@
     pub(crate) fn new() -> Self {
         Self {
             table: AgentTable::new(Duration::from_millis(LEASE_MS)),
-            next: 0,
+            next_offset: 0,
             reading: false,
             events: Vec::new(),
             frozen_until: 0,
-            cut_until: 0,
-            look_at: 0,
-            report_at: 0,
+            disconnected_until: 0,
+            next_poll_at: 0,
+            next_report_at: 0,
         }
     }
 }
 
 /// Freezes, restarts or cuts off an agent.
-pub(crate) fn fault(world: &mut World, i: usize) {
+pub(crate) fn inject_fault(world: &mut World, i: usize) {
     let now = world.now;
     let until = now + world.rng.random_range(200..9_000);
     let kind = world.rng.random_range(0..3);
     let agent = &mut world.agents[i];
     match kind {
         0 => agent.frozen_until = until,
-        1 => agent.cut_until = until,
+        1 => agent.disconnected_until = until,
         _ => {
             // Calls that the worker has not carried out yet are still on their way; their answers
             // find nobody.
@@ -99,10 +99,12 @@
                 .events
                 .drain(..)
                 .filter_map(|(at, event)| match event {
-                    Event::Call { life, call, .. } => Some((
+                    Event::Call {
+                        incarnation, call, ..
+                    } => Some((
                         at,
                         Event::Call {
-                            life,
+                            incarnation,
                             call,
                             answered: false,
                         },
@@ -126,8 +128,8 @@
     let frozen = now < world.agents[i].frozen_until;
     for (at, event) in events {
         // What is on its way to the worker arrives also while the agent is frozen.
-        let mine = matches!(event, Event::Answer(_));
-        if at > now || (mine && frozen) {
+        let is_for_agent = matches!(event, Event::Answer(_));
+        if at > now || (is_for_agent && frozen) {
             world.agents[i].events.push((at, event));
         } else {
             handle(world, i, event);
@@ -143,12 +145,12 @@
     }
     open_session(world, i);
     read_orders(world, i);
-    look(world, i);
+    poll_worker(world, i);
     report(world, i);
 }
 
 fn open_session(world: &mut World, i: usize) {
-    let connected = world.now >= world.agents[i].cut_until;
+    let connected = world.now >= world.agents[i].disconnected_until;
     let agent = &mut world.agents[i];
     let closed = agent.table.is_closed();
     if !connected || (agent.table.session().is_some() && !closed) {
@@ -167,7 +169,7 @@
         let number = world.store.open_session(&worker);
         let agent = &mut world.agents[i];
         agent.table.begin_session(&worker, born, number);
-        agent.next = number + 1;
+        agent.next_offset = number + 1;
         agent.reading = false;
     }
 }
@@ -177,44 +179,46 @@
     let (Some((worker, _)), Some(session)) = (agent.table.worker(), agent.table.session()) else {
         return;
     };
-    if agent.reading || world.now < agent.cut_until {
+    if agent.reading || world.now < agent.disconnected_until {
         return;
     }
     let read = Event::Read {
-        looked: agent.table.clock_ms(),
+        clock_read_ms: agent.table.clock_ms(),
         worker: worker.to_string(),
         session,
-        from: agent.next,
+        from: agent.next_offset,
     };
     let at = world.now + world.rng.random_range(5..200);
     world.agents[i].reading = true;
     world.agents[i].events.push((at, read));
 }
 
-fn look(world: &mut World, i: usize) {
+fn poll_worker(world: &mut World, i: usize) {
     let now = world.now;
-    if now < world.agents[i].look_at {
+    if now < world.agents[i].next_poll_at {
         return;
     }
-    world.agents[i].look_at = now + 60;
-    let life = world.agents[i].table.worker();
-    let asked = world.agents[i].table.request_lists();
-    if let (Some(life), Some((asked, token, confirmed, lease))) = (life, asked) {
+    world.agents[i].next_poll_at = now + 60;
+    let incarnation = world.agents[i].table.worker();
+    let requested_at = world.agents[i].table.request_lists();
+    if let (Some(incarnation), Some((requested_at, token, confirmed, lease))) =
+        (incarnation, requested_at)
+    {
         let call = Call::Lists {
-            asked,
+            requested_at,
             token,
             confirmed,
             lease,
         };
-        send(world, i, (life.0.to_string(), life.1), call);
+        send(world, i, (incarnation.0.to_string(), incarnation.1), call);
     }
-    let again = world.agents[i].table.pending_actions();
-    act(world, i, again);
+    let retries = world.agents[i].table.pending_actions();
+    send_actions(world, i, retries);
     let stops = world.agents[i].table.stop_leftovers();
-    act(world, i, stops);
+    send_actions(world, i, stops);
 }
 
-fn act(world: &mut World, i: usize, actions: Vec<AgentAction>) {
+fn send_actions(world: &mut World, i: usize, actions: Vec<AgentAction>) {
     let Some((worker, born)) = world.agents[i].table.worker() else {
         return;
     };
@@ -222,13 +226,13 @@
         return;
     };
     for action in actions {
-        let life = (worker.to_string(), born);
-        send(world, i, life, Call::Act(session, action));
+        let incarnation = (worker.to_string(), born);
+        send(world, i, incarnation, Call::Act(session, action));
     }
 }
 
-fn send(world: &mut World, i: usize, life: (String, u64), call: Call) {
-    let (late, lost) = (world.chaos.late_calls, world.chaos.lost_answers);
+fn send(world: &mut World, i: usize, incarnation: (String, u64), call: Call) {
+    let (late, lost) = (world.fault_rates.late_calls, world.fault_rates.lost_answers);
     let is_late = world.happens(late);
     let delay = if is_late { 2_000..12_000 } else { 1..40 };
     let at = world.now + world.rng.random_range(delay);
@@ -236,7 +240,7 @@
     world.agents[i].events.push((
         at,
         Event::Call {
-            life,
+            incarnation,
             call,
             answered,
         },
@@ -245,12 +249,12 @@
 
 fn report(world: &mut World, i: usize) {
     let now = world.now;
-    if now < world.agents[i].report_at || now < world.agents[i].cut_until {
+    if now < world.agents[i].next_report_at || now < world.agents[i].disconnected_until {
         return;
     }
-    world.agents[i].report_at = now + 150;
+    world.agents[i].next_report_at = now + 150;
     for report in world.agents[i].table.reports(0) {
-        let late = world.chaos.late_appends;
+        let late = world.fault_rates.late_appends;
         if world.happens(late) {
             let at = now + world.rng.random_range(1_000..6_000);
             world.store.report_late(at, report);
@@ -263,18 +267,18 @@
 fn handle(world: &mut World, i: usize, event: Event) {
     match event {
         Event::Call {
-            life,
+            incarnation,
             call,
             answered,
-        } => arrive(world, i, &life, call, answered),
+        } => deliver_call(world, i, &incarnation, call, answered),
         Event::Read {
-            looked,
+            clock_read_ms,
             worker,
             session,
             from,
         } => {
-            let lost = world.chaos.lost_answers;
-            if world.happens(lost) || world.now < world.agents[i].cut_until {
+            let lost = world.fault_rates.lost_answers;
+            if world.happens(lost) || world.now < world.agents[i].disconnected_until {
                 world.agents[i].reading = false;
                 return;
             }
@@ -287,7 +291,7 @@
                 _ => None,
             });
             let answer = Answer::Orders {
-                looked,
+                clock_read_ms,
                 orders: orders.collect(),
                 end,
                 session,
@@ -296,11 +300,17 @@
             let at = world.now + world.rng.random_range(1..100);
             world.agents[i].events.push((at, Event::Answer(answer)));
         }
-        Event::Answer(answer) => take(world, i, answer),
+        Event::Answer(answer) => deliver_answer(world, i, answer),
     }
 }
 
-fn arrive(world: &mut World, i: usize, life: &(String, u64), call: Call, answered: bool) {
+fn deliver_call(
+    world: &mut World,
+    i: usize,
+    incarnation: &(String, u64),
+    call: Call,
+    answered: bool,
+) {
     let now = world.now;
     let task_ms = world.rng.random_range(200..2_500);
     let worker = &mut world.workers[i];
@@ -313,16 +323,16 @@
         return;
     }
     // Any other life of the worker refuses the call and does nothing.
-    if worker.life() != *life {
+    if worker.incarnation() != *incarnation {
         return;
     }
     let answer = match call {
         Call::Act(token, AgentAction::Start(order)) => {
-            let before = worker.running.contains_key(&order.run);
+            let was_running = worker.running.contains_key(&order.run);
             let outcome = worker.start(now, &order, task_ms);
             if outcome == StartOutcome::Started
-                && !before
-                && world.done.contains_key(&order.run.task)
+                && !was_running
+                && world.confirmed_done.contains_key(&order.run.task)
             {
                 let run = &order.run;
                 world
@@ -336,16 +346,16 @@
             Answer::Stop(run, token, done)
         }
         Call::Lists {
-            asked,
+            requested_at,
             token,
             confirmed,
             lease,
         } => {
-            let Some((lists, gone)) = worker.renew(now, token, confirmed, lease) else {
+            let Some((lists, counted)) = worker.renew(now, token, confirmed, lease) else {
                 return;
             };
-            worker::confirmed(world, gone);
-            Answer::Lists(asked, token, lists)
+            worker::record_confirmed(world, counted);
+            Answer::Lists(requested_at, token, lists)
         }
     };
     if answered {
@@ -360,7 +370,7 @@
     }
 }
 
-fn take(world: &mut World, i: usize, answer: Answer) {
+fn deliver_answer(world: &mut World, i: usize, answer: Answer) {
     let table = &mut world.agents[i].table;
     match answer {
         Answer::Start(run, token, result) => {
@@ -374,11 +384,11 @@
             };
             table.stop_result(&run, token, &result);
         }
-        Answer::Lists(asked, token, lists) => {
-            table.lists(asked, token, lists);
+        Answer::Lists(requested_at, token, lists) => {
+            table.lists(requested_at, token, lists);
         }
         Answer::Orders {
-            looked,
+            clock_read_ms,
             orders,
             end,
             session,
@@ -388,10 +398,10 @@
             if !current || table.session() != Some(session) {
                 return;
             }
-            let actions = table.orders(looked, orders, end);
-            world.agents[i].next = end;
+            let actions = table.orders(clock_read_ms, orders, end);
+            world.agents[i].next_offset = end;
             world.agents[i].reading = false;
-            act(world, i, actions);
+            send_actions(world, i, actions);
         }
     }
 }
--- a/dragonflyrun/tests/workload_world/mod.rs
+++ b/dragonflyrun/tests/workload_world/mod.rs
@@ -39,7 +39,7 @@
 
 /// Faults of one schedule, as chances per thousand.
 #[derive(Clone, Debug)]
-pub(crate) struct Chaos {
+pub(crate) struct FaultRates {
     /// Calls to workers that are carried out 2 to 12 s late and never answered.
     pub(crate) late_calls: u32,
     /// Calls, reads and appends whose answer is lost.
@@ -57,38 +57,39 @@
 /// The model.
 pub(crate) struct World {
     pub(crate) now: u64,
-    began: Instant,
+    started_at: Instant,
     pub(crate) rng: SmallRng,
-    pub(crate) chaos: Chaos,
+    pub(crate) fault_rates: FaultRates,
     pub(crate) store: ModelStore,
     pub(crate) workers: Vec<ModelWorker>,
     pub(crate) agents: Vec<ModelAgent>,
     planners: Vec<ModelPlanner>,
-    jobs: u32,
+    submitted_jobs: u32,
     /// Tasks of which a done run has been confirmed to its worker.
-    pub(crate) done: BTreeMap<TaskId, u64>,
+    pub(crate) confirmed_done: BTreeMap<TaskId, u64>,
     /// What must never happen and did.
     pub(crate) violations: Vec<String>,
 }
 
 impl World {
     /// Returns a world with so many workers.
-    pub(crate) fn new(seed: u64, workers: usize, chaos: Chaos) -> Self {
+    pub(crate) fn new(seed: u64, workers: usize, fault_rates: FaultRates) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let made = (0..workers).map(|i| ModelWorker::new(i, 0, rng.random_range(0.98..1.0)));
-        let made: Vec<ModelWorker> = made.collect();
+        let model_workers =
+            (0..workers).map(|i| ModelWorker::new(i, 0, rng.random_range(0.98..1.0)));
+        let model_workers: Vec<ModelWorker> = model_workers.collect();
         let agents = (0..workers).map(|_| ModelAgent::new()).collect();
         Self {
             now: 0,
-            began: Instant::now(),
+            started_at: Instant::now(),
             rng,
-            chaos,
+            fault_rates,
             store: ModelStore::default(),
-            workers: made,
+            workers: model_workers,
             agents,
             planners: Vec::new(),
-            jobs: 0,
-            done: BTreeMap::new(),
+            submitted_jobs: 0,
+            confirmed_done: BTreeMap::new(),
             violations: Vec::new(),
         }
     }
@@ -100,14 +101,14 @@
 
     /// Returns the present as the agents' clock has it.
     pub(crate) fn instant(&self) -> Instant {
-        self.began + Duration::from_millis(self.now)
+        self.started_at + Duration::from_millis(self.now)
     }
 
     /// Hands a job in.
     pub(crate) fn submit(&mut self) {
-        let name = format!("job-{}", self.jobs);
-        self.jobs += 1;
-        let gang = self.jobs.is_multiple_of(3);
+        let name = format!("job-{}", self.submitted_jobs);
+        self.submitted_jobs += 1;
+        let gang = self.submitted_jobs.is_multiple_of(3);
         let first = Step {
             tasks: 2,
             needs: Resources {
@@ -130,7 +131,7 @@
             queue: "q".into(),
             service: "svc".into(),
             workspace: Some("w".into()),
-            priority: self.jobs % 2,
+            priority: self.submitted_jobs % 2,
             max_attempts: 1_000,
             stretch: 3.0,
             target_ms: 1_000,
@@ -147,50 +148,50 @@
     /// Lets one step go by.
     pub(crate) fn step(&mut self) {
         self.now += STEP_MS;
-        self.store.run_late(self.now);
-        self.fault();
+        self.store.apply_late(self.now);
+        self.inject_faults();
         for i in 0..self.workers.len() {
             worker::step(self, i);
             agent::step(self, i);
         }
         planner::step_all(self);
-        self.check();
+        self.check_single_runs();
     }
 
-    fn fault(&mut self) {
-        let successions = self.chaos.successions;
-        let none = !self.planners.iter().any(|p| p.holds(&self.store));
-        if none || self.happens(successions) {
+    fn inject_faults(&mut self) {
+        let successions = self.fault_rates.successions;
+        let has_no_planner = !self.planners.iter().any(|p| p.holds_term(&self.store));
+        if has_no_planner || self.happens(successions) {
             let planner = ModelPlanner::take_over(self);
             self.planners.push(planner);
         }
-        let faults = self.chaos.agent_faults;
+        let faults = self.fault_rates.agent_faults;
         if self.happens(faults) {
             let i = self.rng.random_range(0..self.agents.len());
-            agent::fault(self, i);
+            agent::inject_fault(self, i);
         }
-        let crashes = self.chaos.crashes;
+        let crashes = self.fault_rates.crashes;
         if self.happens(crashes) {
             let i = self.rng.random_range(0..self.workers.len());
             worker::crash(self, i);
         }
     }
 
-    fn check(&mut self) {
+    fn check_single_runs(&mut self) {
         let mut seen: BTreeMap<&TaskId, (&str, u32)> = BTreeMap::new();
-        let mut found = Vec::new();
+        let mut duplicates = Vec::new();
         for worker in self.workers.iter().filter(|w| w.is_up()) {
             for run in worker.running.keys() {
-                let here = (worker.name.as_str(), run.number);
-                if let Some(other) = seen.insert(&run.task, here) {
-                    found.push(format!(
-                        "{} ms: {} on {other:?} and {here:?}",
+                let running = (worker.name.as_str(), run.number);
+                if let Some(other) = seen.insert(&run.task, running) {
+                    duplicates.push(format!(
+                        "{} ms: {} on {other:?} and {running:?}",
                         self.now, run.task
                     ));
                 }
             }
         }
-        self.violations.extend(found);
+        self.violations.extend(duplicates);
     }
 
     /// Returns whether all jobs have come to their end.
@@ -200,7 +201,7 @@
             _ => None,
         });
         let ended: std::collections::BTreeSet<_> = ended.collect();
-        ended.len() == self.jobs as usize
+        ended.len() == self.submitted_jobs as usize
     }
 }
 
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -24,18 +24,18 @@
     writes: VecDeque<(u64, Write)>,
     next_write: u64,
     retry_at: u64,
-    act_at: u64,
+    next_step_at: u64,
     reports_since: u64,
-    lost: bool,
+    is_replaced: bool,
 }
 
 impl ModelPlanner {
     /// Returns a planner that has just won the next term.
     pub(crate) fn take_over(world: &mut World) -> Self {
         world.store.term += 1;
-        let mut book = JobTable::default();
+        let mut job_table = JobTable::default();
         for record in &world.store.jobs {
-            book.fold(record.clone());
+            job_table.fold(record.clone());
         }
         let bounds = PlannerBounds {
             max_silence: Duration::from_millis(1_000),
@@ -44,7 +44,7 @@
             far_factor: 3.0,
             checkpoint_every: Duration::from_secs(2),
         };
-        let planner = Planner::take_over(bounds, &book, Timestamp::from_millis(world.now));
+        let planner = Planner::take_over(bounds, &job_table, Timestamp::from_millis(world.now));
         let workers = planner.fleet().workers().map(|(name, _)| name.to_string());
         let fences = workers.map(Write::Fence);
         let writes: VecDeque<_> = (0_u64..).zip(fences).collect();
@@ -56,15 +56,15 @@
             reports_read: 0,
             writes,
             retry_at: 0,
-            act_at: world.now,
+            next_step_at: world.now,
             reports_since: world.now,
-            lost: false,
+            is_replaced: false,
         }
     }
 
     /// Returns whether it holds the newest term.
-    pub(crate) fn holds(&self, store: &ModelStore) -> bool {
-        !self.lost && self.term == store.term
+    pub(crate) fn holds_term(&self, store: &ModelStore) -> bool {
+        !self.is_replaced && self.term == store.term
     }
 }
 
@@ -74,14 +74,14 @@
     for planner in &mut planners {
         step(world, planner);
     }
-    planners.retain(|o| !o.lost);
+    planners.retain(|p| !p.is_replaced);
     let newer = std::mem::replace(planners_mut(world), planners);
     planners_mut(world).extend(newer);
 }
 
 fn step(world: &mut World, planner: &mut ModelPlanner) {
     let now = world.now;
-    if now < planner.act_at {
+    if now < planner.next_step_at {
         return;
     }
     // A planner is now and then held up for seconds and then goes on as if nothing had happened.
@@ -90,7 +90,7 @@
     } else {
         40
     };
-    planner.act_at = now + world.rng.random_range(10..=pause);
+    planner.next_step_at = now + world.rng.random_range(10..=pause);
     if let Some((id, write)) = planner.writes.front().cloned() {
         do_write(world, planner, id, write);
         return;
@@ -142,7 +142,10 @@
     if world.now < planner.retry_at {
         return;
     }
-    let (late, lost) = (world.chaos.late_appends, world.chaos.lost_answers);
+    let (late, lost) = (
+        world.fault_rates.late_appends,
+        world.fault_rates.lost_answers,
+    );
     if world.happens(late) {
         let at = world.now + world.rng.random_range(1_000..6_000);
         world.store.write_late(at, planner.term, id, write);
@@ -150,7 +153,7 @@
         return;
     }
     let Some(offset) = world.store.write(planner.term, id, &write) else {
-        planner.lost = true;
+        planner.is_replaced = true;
         return;
     };
     if world.happens(lost) {
@@ -158,10 +161,10 @@
         return;
     }
     planner.writes.pop_front();
-    answered(world, planner, &write, offset);
+    write_answered(world, planner, &write, offset);
 }
 
-fn answered(world: &World, planner: &mut ModelPlanner, write: &Write, offset: u64) {
+fn write_answered(world: &World, planner: &mut ModelPlanner, write: &Write, offset: u64) {
     let now = Timestamp::from_millis(world.now);
     match write {
         Write::Plans(_) => {}
--- a/dragonflyrun/tests/workload_world/store.rs
+++ b/dragonflyrun/tests/workload_world/store.rs
@@ -17,7 +17,7 @@
 
 /// A write that is done later.
 #[derive(Debug)]
-struct Late {
+struct LateWrite {
     at: u64,
     term: u64,
     id: u64,
@@ -37,8 +37,8 @@
     pub(crate) term: u64,
     pub(crate) reports: Vec<Report>,
     lanes: BTreeMap<String, Lane>,
-    done: BTreeMap<(u64, u64), u64>,
-    late: Vec<Late>,
+    stored_offsets: BTreeMap<(u64, u64), u64>,
+    late_writes: Vec<LateWrite>,
     late_reports: Vec<(u64, Report)>,
 }
 
@@ -46,7 +46,7 @@
     /// Does a write; returns its offset, or nothing where the writer has been replaced. A repeat
     /// gets its first answer.
     pub(crate) fn write(&mut self, term: u64, id: u64, write: &Write) -> Option<u64> {
-        if let Some(offset) = self.done.get(&(term, id)) {
+        if let Some(offset) = self.stored_offsets.get(&(term, id)) {
             return Some(*offset);
         }
         let offset = match write {
@@ -68,7 +68,7 @@
             }
             Write::Fence(worker) => self.lane(worker, term)?.records.len() as u64,
         };
-        self.done.insert((term, id), offset);
+        self.stored_offsets.insert((term, id), offset);
         Some(offset)
     }
 
@@ -83,7 +83,7 @@
 
     /// Lets a write be done at `at`.
     pub(crate) fn write_late(&mut self, at: u64, term: u64, id: u64, write: Write) {
-        self.late.push(Late {
+        self.late_writes.push(LateWrite {
             at,
             term,
             id,
@@ -113,12 +113,12 @@
     }
 
     /// Does what is due.
-    pub(crate) fn run_late(&mut self, now: u64) {
-        let (due, rest) = std::mem::take(&mut self.late)
+    pub(crate) fn apply_late(&mut self, now: u64) {
+        let (due, rest) = std::mem::take(&mut self.late_writes)
             .into_iter()
             .partition(|l| l.at <= now);
-        self.late = rest;
-        let due: Vec<Late> = due;
+        self.late_writes = rest;
+        let due: Vec<LateWrite> = due;
         for late in due {
             self.write(late.term, late.id, &late.write);
         }
--- a/dragonflyrun/tests/workload_world/worker.rs
+++ b/dragonflyrun/tests/workload_world/worker.rs
@@ -16,10 +16,10 @@
     pub(crate) name: String,
     pub(crate) running: BTreeMap<RunId, u64>,
     index: usize,
-    lives: u32,
-    born: u64,
+    restarts: u32,
+    born_ms: u64,
     down_until: Option<u64>,
-    rate: f64,
+    clock_rate: f64,
     ends: Vec<End>,
     ended: BTreeMap<TaskId, u32>,
     next_end: u64,
@@ -32,15 +32,15 @@
 
 impl ModelWorker {
     /// Returns a worker that was born at `born` and whose clock runs at `rate`.
-    pub(crate) fn new(index: usize, born: u64, rate: f64) -> Self {
+    pub(crate) fn new(index: usize, born_ms: u64, clock_rate: f64) -> Self {
         Self {
             name: format!("w{index}"),
             running: BTreeMap::new(),
             index,
-            lives: 0,
-            born,
+            restarts: 0,
+            born_ms,
             down_until: None,
-            rate,
+            clock_rate,
             ends: Vec::new(),
             ended: BTreeMap::new(),
             next_end: 1,
@@ -58,12 +58,12 @@
     }
 
     /// Returns what tells this life of the worker from all others.
-    pub(crate) fn life(&self) -> (String, u64) {
-        (self.name.clone(), self.born)
+    pub(crate) fn incarnation(&self) -> (String, u64) {
+        (self.name.clone(), self.born_ms)
     }
 
     fn clock(&self, now: u64) -> u64 {
-        ((now - self.born) as f64 * self.rate) as u64
+        ((now - self.born_ms) as f64 * self.clock_rate) as u64
     }
 
     /// Returns its next heartbeat.
@@ -71,7 +71,7 @@
         self.sequence += 1;
         Heartbeat {
             worker: self.name.as_str().into(),
-            born_ms: self.born,
+            born_ms: self.born_ms,
             address: format!("host-{}", self.index).into(),
             service: "svc".into(),
             failure_domain: "north".into(),
@@ -98,9 +98,9 @@
             return StartOutcome::Started;
         }
         self.lease_until = self.lease_until.max(order.lease_until_ms);
-        let over = self.ended.get(&order.run.task).copied().unwrap_or(0);
-        let there = self.running.keys().any(|r| r.task == order.run.task);
-        if order.run.number <= over || there {
+        let last_ended = self.ended.get(&order.run.task).copied().unwrap_or(0);
+        let is_running = self.running.keys().any(|r| r.task == order.run.task);
+        if order.run.number <= last_ended || is_running {
             return StartOutcome::Superseded;
         }
         if self.clock(now) >= order.lease_until_ms {
@@ -122,8 +122,8 @@
         if self.running.contains_key(run) {
             self.end(0, run.clone(), EndKind::Stopped);
         }
-        let over = self.ended.entry(run.task.clone()).or_default();
-        *over = run.number.max(*over);
+        let last_ended = self.ended.entry(run.task.clone()).or_default();
+        *last_ended = run.number.max(*last_ended);
         true
     }
 
@@ -140,10 +140,10 @@
         }
         self.token = token;
         self.lease_until = self.lease_until.max(lease.unwrap_or(0));
-        let (gone, kept): (Vec<End>, Vec<End>) = std::mem::take(&mut self.ends)
+        let (confirmed_ends, pending): (Vec<End>, Vec<End>) = std::mem::take(&mut self.ends)
             .into_iter()
             .partition(|e| e.number <= confirmed);
-        self.ends = kept;
+        self.ends = pending;
         // An end that is confirmed only after the lease has lapsed does not count: the task may
         // have been started elsewhere by then.
         let lapsed_at = self.lapsed_at;
@@ -152,7 +152,7 @@
                 .get(&e.number)
                 .is_some_and(|at| lapsed_at < *at)
         };
-        let gone: Vec<End> = gone.into_iter().filter(counts).collect();
+        let counted: Vec<End> = confirmed_ends.into_iter().filter(counts).collect();
         let running = self.running.keys().map(|run| RunningTask {
             run: run.clone(),
             checkpoint: String::new(),
@@ -160,11 +160,11 @@
         });
         let lists = WorkerLists {
             clock_ms: self.clock(now),
-            born_ms: Some(self.born),
+            born_ms: Some(self.born_ms),
             running: running.collect(),
             ends: self.ends.clone(),
         };
-        Some((lists, gone))
+        Some((lists, counted))
     }
 
     fn end(&mut self, now: u64, run: RunId, kind: EndKind) {
@@ -190,15 +190,15 @@
     {
         // It comes back under its own name or, as after a loss of power, under another.
         let renamed = world.happens(500);
-        let rate = world.rng.random_range(0.98..1.0);
+        let clock_rate = world.rng.random_range(0.98..1.0);
         let worker = &mut world.workers[i];
-        let lives = worker.lives + 1;
+        let restarts = worker.restarts + 1;
         *worker = ModelWorker {
-            lives,
-            ..ModelWorker::new(i, now, rate)
+            restarts,
+            ..ModelWorker::new(i, now, clock_rate)
         };
         if renamed {
-            worker.name = format!("w{i}-{lives}");
+            worker.name = format!("w{i}-{restarts}");
         }
     }
     let worker = &mut world.workers[i];
@@ -237,8 +237,11 @@
 }
 
 /// Takes note of ends that were confirmed to a worker.
-pub(crate) fn confirmed(world: &mut World, ends: Vec<End>) {
+pub(crate) fn record_confirmed(world: &mut World, ends: Vec<End>) {
     for end in ends.into_iter().filter(|e| e.kind == EndKind::Done) {
-        world.done.entry(end.run.task).or_insert(world.now);
+        world
+            .confirmed_done
+            .entry(end.run.task)
+            .or_insert(world.now);
     }
 }
