--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -67,8 +67,9 @@
     pub session: u64,
     /// When the newest report arrived.
     pub reported_at: Timestamp,
-    /// Whether a report has arrived since this planner took over.
-    pub has_reported: bool,
+    /// Whether the agent is known to be alive: a report has arrived since this planner took over, or
+    /// the stored one was recent at that time.
+    pub is_known_alive: bool,
     /// Since when the agent reports that the worker doesn't answer.
     pub unreachable_since: Option<Timestamp>,
     /// The earliest time at which a draining worker leaves.
@@ -149,7 +150,7 @@
             report: None,
             session,
             reported_at: now,
-            has_reported: false,
+            is_known_alive: false,
             unreachable_since: None,
             leaves_at: None,
             session_state: SessionState::Open,
@@ -166,7 +167,7 @@
         let report = self.report.as_ref();
         let available =
             report.is_some_and(|r| !r.heartbeat.draining && !r.closed && !r.left && !r.unreachable);
-        available && self.has_reported && self.session_state == SessionState::Open
+        available && self.is_known_alive && self.session_state == SessionState::Open
     }
 
     /// Returns the rack of the worker, if its heartbeat names one.
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -207,7 +207,7 @@
         let worker = report.heartbeat.worker.clone();
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.has_reported = true;
+            known.is_known_alive = true;
         }
     }
 
@@ -220,7 +220,7 @@
         let age_ms = unix_ms.abs_diff(report.sent_ms);
         self.take_report(now, report);
         if let Some(known) = self.fleet.get_mut(&worker) {
-            known.has_reported |= age_ms < RECENT_REPORT_MS;
+            known.is_known_alive |= age_ms < RECENT_REPORT_MS;
         }
     }
 
