--- a/dragonflyrun/src/workload/job.rs
+++ b/dragonflyrun/src/workload/job.rs
@@ -180,7 +180,8 @@
     /// The priority; 0 is the highest.
     #[serde(rename = "i")]
     pub priority: u32,
-    /// The number of failed runs of one task after which the job has failed.
+    /// The number of failed runs of one task after which the job has failed; 0 counts as 1. A job
+    /// with a lasting step never fails this way.
     #[serde(rename = "x")]
     pub max_attempts: u32,
     /// The objective of the job is `stretch` times the duration of its critical path plus
--- a/dragonflyrun/src/workload/live.rs
+++ b/dragonflyrun/src/workload/live.rs
@@ -73,8 +73,8 @@
         waiting
     }
 
-    /// Returns whether the next run of a task, or of its gang, is a retry whose failure fails the
-    /// job.
+    /// Returns whether the next run of a task, or of its gang, is a retry that uses up the attempts.
+    /// If it fails, the job fails, unless the job has a lasting step.
     pub(super) fn is_last_attempt(&self, occurrence: u32, step: u32, index: u32) -> bool {
         let gang = self
             .job
--- a/dragonflyrun/src/workload/load.rs
+++ b/dragonflyrun/src/workload/load.rs
@@ -1,9 +1,9 @@
 //! Peak load of the more urgent work, learned from what runs and waits.
 //!
-//! Urgent gangs arrive in bursts at a pool that is full of less urgent work. Without reserved
-//! workers, each gang has to wait until other work has been stopped for it, which can take most of
-//! the time that it has. A fixed reserved share would be too small for one deployment and idle in
-//! another.
+//! Urgent gangs arrive in bursts at a pool that is full of less urgent work, which has time to wait.
+//! Without reserved workers, each gang has to wait until other work has been stopped for it, which
+//! can take most of the time that it has. A fixed reserved share would be too small for one
+//! deployment and idle in another.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -254,8 +254,9 @@
         found.is_some()
     }
 
-    /// Returns whether room is being made for the demand. Evicts other runs if stopping runs don't
-    /// free enough.
+    /// Returns whether the demand has been given room that will be free soon. The room comes from
+    /// runs that are being stopped or, without a guarantee, from runs that are about to end. Where
+    /// neither is enough, this orders evictions.
     fn make_room(&mut self, demand: &Demand<'_>, placed: &HashMap<Name, u32>) -> bool {
         if !may_evict(demand) {
             return false;
--- a/dragonflyrun/src/workload/progress.rs
+++ b/dragonflyrun/src/workload/progress.rs
@@ -22,11 +22,11 @@
 /// worker that becomes slow.
 const MAX_SAMPLES: usize = 10;
 
-/// Minimum progress between two samples, in percent points, from which a pace is derived: the
-/// worker rounds the progress down to whole percents.
+/// Minimum progress of a run over the kept samples, in percentage points, from which a pace is
+/// derived: the worker rounds the progress down to whole percents.
 const MIN_GAIN_PERCENT: u32 = 4;
 
-/// The progress of a finished run, in percent.
+/// The progress in percent at which no work is left. Running tasks that serve users report it too.
 const DONE_PERCENT: u32 = 100;
 
 /// The predicted times of a run.
--- a/dragonflyrun/src/workload/recent_failures.rs
+++ b/dragonflyrun/src/workload/recent_failures.rs
@@ -16,7 +16,7 @@
 /// may just have been given a task that fails anywhere.
 const MIN_FAULTY_WORKERS: usize = 2;
 
-/// Share of all workers above which failures on that many workers aren't chance.
+/// Share of all workers from which on failures on that many workers aren't chance.
 const MIN_FAULTY_SHARE: f64 = 0.02;
 
 /// Consecutive failures after which a worker counts as faulty; single failures happen anywhere.
--- a/dragonflyrun/src/workload/term.rs
+++ b/dragonflyrun/src/workload/term.rs
@@ -18,13 +18,14 @@
     workload::Term,
 };
 
-/// Time without a heartbeat after which a planner is replaced if the store answers without delay:
-/// three heartbeats and the pause between two reads of another entry. A claim fails if another one
-/// was stored in the meantime.
+/// Time without a heartbeat or a plan after which a planner is replaced if the store answers without
+/// delay: three heartbeat intervals and the pause between two reads of another entry. A claim fails
+/// if any record, such as a late heartbeat, was appended to the partition in the meantime, so a
+/// planner that is alive isn't replaced by mistake.
 const MAX_SILENCE: Duration = Duration::from_millis(800);
 
-/// Additional time without a heartbeat, as a multiple of the store's delay: on a slow store the
-/// planner's heartbeats queue behind all other appends.
+/// Additional silence, as a multiple of the store's delay: on a slow store the planner's heartbeats
+/// and plans queue behind all other appends.
 const SILENCE_STORE_DELAYS: u32 = 8;
 
 /// How long a planner has to be stale before another entry takes over. Its next heartbeat may
--- a/dragonflyrun/src/workload/tickets.rs
+++ b/dragonflyrun/src/workload/tickets.rs
@@ -24,7 +24,8 @@
 /// while to reach the worker.
 const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time after an answer until the step may be asked about again.
+/// Pause after an answer, or after a question that got none, before the step may be asked about
+/// again. It limits the questions while no worker with room has a ticket.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(500);
 
 type StepKey = (Name, u32, u32);
