--- a/dragonflyrun/benches/passes.rs
+++ b/dragonflyrun/benches/passes.rs
@@ -1,8 +1,8 @@
-//! Measures one pass of the planner over work that waits, by the number of queues that operators
-//! have in force: `cargo bench -p dragonflyrun --bench passes`.
+//! Measures one pass of the planner over waiting jobs, by the number of queues in the
+//! configuration: `cargo bench -p dragonflyrun --bench passes`.
 //!
-//! 50 workers are full, so each pass finds the same jobs waiting, of queues from all over the
-//! configuration.
+//! All 50 workers are full, so each pass finds the same jobs waiting. Their queues are spread
+//! evenly over the configuration.
 
 use std::time::Duration;
 
@@ -22,19 +22,19 @@
 const ACCELERATORS: u64 = 8;
 const WAITING_JOBS: [usize; 2] = [1, 300];
 
-/// Unix milliseconds at which all jobs are handed in.
+/// The Unix time in milliseconds at which all jobs are submitted.
 const EPOCH_MS: u64 = 1_000_000;
 
 fn main() {
     divan::main();
 }
 
-/// One pass in which nothing starts.
+/// Measures a pass in which nothing starts.
 #[divan::bench(args = QUEUES, consts = WAITING_JOBS)]
 fn pass_over_waiting<const JOBS: usize>(bencher: Bencher<'_, '_>, queues: usize) {
     let mut harness = PlannerHarness::new(queues, JOBS);
     let decisions = harness.decide();
-    assert_eq!(decisions.waiting.len(), JOBS, "all of them wait");
+    assert_eq!(decisions.waiting.len(), JOBS, "all jobs wait");
     assert!(decisions.orders.is_empty(), "nothing starts");
     bencher.bench_local(|| harness.decide());
 }
@@ -76,7 +76,7 @@
         harness
     }
 
-    /// Hands in `jobs` jobs of one task, of queues at even distances in the configuration.
+    /// Submits `jobs` jobs of one task, with queues at even distances in the configuration.
     fn submit(&mut self, name: &str, jobs: usize, accelerators: u64) {
         for number in 0..jobs {
             let queue = (2 * number + 1) * self.configuration.queues.len() / (2 * jobs);
--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -1,4 +1,4 @@
-//! What an agent does with orders, leases and its worker's lists.
+//! How an agent handles orders, leases and its worker's lists.
 
 use std::time::{Duration, Instant};
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns an agent in session 7 that has looked at its worker's clock at 1,000 ms.
+/// Returns an agent in session 7 that has read its worker's clock at 1,000 ms.
 fn agent() -> AgentTable {
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS));
     assert!(table.heartbeat(heartbeat("w", 5, 1), Instant::now()));
@@ -87,8 +87,9 @@
     table.request_lists().expect("a session").3
 }
 
-/// An agent is frozen between its look at the worker's clock and the answer of the store. The lease
-/// counts from the look, so it never reaches beyond what the store's answer proves.
+/// Guards against leases that are longer than the store's answer proves. The agent is frozen
+/// between the read of its worker's clock and the store's answer; the lease counts from the clock
+/// read.
 #[test]
 fn lease_from_clock_read() {
     let mut table = agent();
@@ -99,8 +100,9 @@
     assert_eq!(lease(&mut table), Some(1_000 + LEASE_MS));
 }
 
-/// The planner has given the agent up and starts its tasks elsewhere soon. From the fence on the
-/// agent extends no lease, stops what runs, and starts nothing more.
+/// Guards against tasks that run on after the planner has given up the agent, since it soon starts
+/// them elsewhere. From the fence on, the agent extends no lease, stops what is running, and starts
+/// nothing.
 #[test]
 fn fence_ends_session() {
     let mut table = agent();
@@ -125,8 +127,9 @@
     assert!(report(&mut table).closed);
 }
 
-/// A start had no answer, and a later try is refused. The first try may have begun the run: taken
-/// for refused, the task would start elsewhere while it runs here.
+/// Guards against a task that runs twice. A start call had no answer, and its retry is refused, but
+/// the first call may have started the run. If it were reported as refused, the task would be
+/// started elsewhere.
 #[test]
 fn uncertain_start() {
     let mut table = agent();
@@ -150,8 +153,8 @@
     assert!(reported.starting.is_empty());
 }
 
-/// Answers on two connections overtake each other. An older list, from before a start, would deny
-/// the run that is there.
+/// Guards against lists that arrive out of order on two connections: one from before a start would
+/// deny the run that exists.
 #[test]
 fn reordered_lists() {
     let mut table = agent();
@@ -162,14 +165,15 @@
     assert_eq!(
         report(&mut table).starting,
         vec![run(1)],
-        "asked for before the start"
+        "the lists were requested before the start"
     );
     update_lists(&mut table, lists(1_050, &[1]));
     table.lists(early_request, session, lists(1_010, &[]));
     assert_eq!(report(&mut table).running.len(), 1);
 }
 
-/// A heartbeat of the last life was held up by the network and comes after the new one.
+/// Guards against a delayed heartbeat of the previous incarnation that arrives after one of the
+/// current incarnation.
 #[test]
 fn late_heartbeat() {
     let mut table = agent();
@@ -179,8 +183,9 @@
     assert_eq!(table.worker(), Some(("w".into(), 9)));
 }
 
-/// The worker neither listens nor sends heartbeats: it has crashed. One of the two alone may be a
-/// worker that is cut off or sheds connections, and still runs its tasks.
+/// Guards against giving up a worker that still runs its tasks. It has crashed if it neither
+/// accepts connections nor sends heartbeats; with one of the two alone it may be cut off or
+/// overloaded.
 #[test]
 fn dead_worker() {
     let mut table = agent();
@@ -198,7 +203,7 @@
     assert_eq!(table.worker(), None);
 }
 
-/// The worker has said that it leaves. What is ordered in that moment is not started there.
+/// Guards against starts on a worker that has announced its departure.
 #[test]
 fn leaving_worker() {
     let mut table = agent();
@@ -218,8 +223,9 @@
     );
 }
 
-/// A worker has started and its agent has opened a session. The planner must hear of it at once: until
-/// then nothing starts there, and what its predecessor ran counts as running.
+/// Guards against a delayed first report. The agent of a worker that has just started opens a
+/// session; until the planner learns of it, nothing starts there, and what its predecessor ran
+/// counts as running.
 #[test]
 fn first_lists_reported() {
     let mut table = AgentTable::new(Duration::from_secs(6));
@@ -231,8 +237,8 @@
     assert!(!table.lists(requested_at, token, lists(1_010, &[])));
 }
 
-/// The answer to one look at the worker is lost on the way. The worker is well, and the planner goes on
-/// starting tasks there; only the second look in a row without an answer says otherwise.
+/// Guards against a healthy worker that counts as unreachable, and so gets no tasks, because a
+/// single answer was lost. Only two unanswered list requests in a row prove anything.
 #[test]
 fn lost_list_answer() {
     let mut table = agent();
@@ -240,20 +246,24 @@
     assert!(!table.unreachable(false, now));
     assert!(!report(&mut table).unreachable);
     update_lists(&mut table, lists(1_100, &[]));
-    assert!(!table.unreachable(false, now), "counted in a row");
+    assert!(
+        !table.unreachable(false, now),
+        "only failures in a row count"
+    );
     assert!(table.unreachable(false, now));
     assert!(report(&mut table).unreachable);
 }
 
-/// Returns the lists of a worker on which a run has saved so many checkpoints.
+/// Returns the lists of a worker on which a run has stored the given number of checkpoints.
 fn lists_with_checkpoints(clock_ms: u64, checkpoints: u64) -> WorkerLists {
     let mut lists = lists(clock_ms, &[1]);
     lists.running[0].checkpoint = checkpoints.to_string();
     lists
 }
 
-/// A run saves a checkpoint after each 500 ms of work, on a worker that takes 650 ms for that. Its
-/// agent tells the planner both, so that gangs in a hurry are kept off the worker.
+/// Guards against urgent gangs on slow workers. A run stores a checkpoint after each 500 ms of
+/// work, and its worker takes 650 ms for that; the agent reports both numbers, so that the planner
+/// can avoid the worker.
 #[test]
 fn pace_reported() {
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS))
@@ -271,8 +281,8 @@
     assert_eq!((pace.intervals, pace.took_ms), (6, 3_900));
 }
 
-/// Looks at the worker had no answer for longer than it takes to save two checkpoints. Counted as one,
-/// they would make the worker appear twice as slow as it is.
+/// Guards against a worker that appears twice as slow as it is. List requests were unanswered for
+/// longer than two checkpoints take, which would count as one.
 #[test]
 fn missed_checkpoints() {
     let mut table = AgentTable::new(Duration::from_millis(LEASE_MS))
@@ -285,8 +295,8 @@
     assert!(report(&mut table).paces.is_empty());
 }
 
-/// Guards against tasks that stand still for seconds after their worker has left as announced: it
-/// needs no missing heartbeat to prove that.
+/// Guards against tasks that stall for seconds after their worker has left as announced: that needs
+/// no missing heartbeat as proof.
 #[test]
 fn departed_as_announced() {
     let mut table = agent();
@@ -298,9 +308,15 @@
     };
     assert!(table.heartbeat(leaving, announced_at));
     table.unreachable(true, announced_at + Duration::from_millis(400));
-    assert!(!report(&mut table).closed, "it was to stay longer");
+    assert!(
+        !report(&mut table).closed,
+        "it had announced to stay longer"
+    );
     table.unreachable(false, announced_at + Duration::from_millis(600));
-    assert!(!report(&mut table).closed, "somebody listens there");
+    assert!(
+        !report(&mut table).closed,
+        "its address accepts connections"
+    );
     assert!(table.unreachable(true, announced_at + Duration::from_millis(700)));
     assert!(report(&mut table).closed);
 }
--- a/dragonflyrun/tests/caller_patience.rs
+++ b/dragonflyrun/tests/caller_patience.rs
@@ -1,4 +1,4 @@
-//! How long a caller is kept waiting for an answer.
+//! How long a caller waits for an answer.
 
 mod store_entry;
 
@@ -26,17 +26,17 @@
 
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// How long the store takes for an answer.
+/// The time that the store takes for an answer.
 const STORE_DELAY: Duration = Duration::from_millis(600);
 
-/// A slow store that takes no records and at last has no news.
+/// A slow store that never answers appends and eventually stops answering reads.
 #[derive(Default)]
 struct SlowStore {
-    /// Reads of the jobs that were answered.
+    /// Number of answered reads of the jobs.
     answered_job_reads: AtomicU32,
-    /// Whether no read is answered any more but those of `probed`.
+    /// Whether reads are no longer answered, except for probes if `answers_probes` is set.
     is_silent: AtomicBool,
-    /// Whether reads that do not wait for news are answered all the same.
+    /// Whether reads that don't wait for new records are still answered.
     answers_probes: AtomicBool,
 }
 
@@ -102,8 +102,8 @@
     }
 }
 
-/// Guards against answers after a caller's deadline: the time for the read that shows whether the store can
-/// be reached is the caller's as well.
+/// Guards against answers after a caller's deadline: the read that checks whether the store is
+/// reachable counts against it too.
 #[tokio::test]
 async fn probe_within_deadline() {
     let test = async {
@@ -117,7 +117,8 @@
             sleep(Duration::from_millis(10)).await;
         }
         store.is_silent.store(true, Ordering::Relaxed);
-        // Only an entry that has heard nothing for a while asks before it sends a record.
+        // An entry probes the store before it sends a record only if it has had no answer for a
+        // while.
         sleep(STORE_DELAY + Duration::from_millis(150)).await;
         store.answers_probes.store(true, Ordering::Relaxed);
         let called_at = Instant::now();
--- a/dragonflyrun/tests/ending_runs.rs
+++ b/dragonflyrun/tests/ending_runs.rs
@@ -1,12 +1,12 @@
-//! Urgent work that comes to a full pool of which some runs are about to end.
+//! Urgent work in a full pool in which some runs are about to end.
 
 mod workload_tables;
 
 use dragonflyrun::workload::Progress;
 use workload_tables::{Harness, task};
 
-/// Returns how many runs are stopped for an urgent task where a patient one, which fills the only worker,
-/// has so long left.
+/// Returns how many runs are stopped for an urgent task if a patient run, which occupies the only
+/// worker, has `left_ms` left.
 fn stopped_for_urgent(left_ms: u64) -> usize {
     let mut harness = Harness::new(1);
     harness.submit("patient", 2, vec![task(8)]);
@@ -23,19 +23,20 @@
     orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
-/// Guards against work that is thrown away though its room would have been free as soon by itself.
+/// Guards against stopping runs whose room would be free just as soon by itself.
 #[test]
 fn ending_awaited() {
     assert_eq!(stopped_for_urgent(100), 0);
 }
 
-/// Guards against urgent work that waits for others' ends.
+/// Guards against urgent work that waits for a run with much time left.
 #[test]
 fn others_stopped() {
     assert_eq!(stopped_for_urgent(5_000), 1);
 }
 
-/// Guards against urgent work that waits for a run which should have ended and has stopped to come on.
+/// Guards against urgent work that waits for a run that should have ended and makes no more
+/// progress.
 #[test]
 fn overrun_stopped() {
     assert_eq!(stopped_for_urgent(0), 1);
--- a/dragonflyrun/tests/gang_ends.rs
+++ b/dragonflyrun/tests/gang_ends.rs
@@ -1,4 +1,4 @@
-//! How the members of a gang come to their end.
+//! How the members of a gang end.
 
 mod workload_tables;
 
@@ -25,7 +25,7 @@
     decisions.orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
-/// Ends the first member of the gang and lets only its worker report.
+/// Ends the first member of the gang, lets only its worker report, and runs a pass.
 fn end_first_member(harness: &mut Harness, kind: EndKind) -> Decisions {
     let (worker, run) = harness.running("job")[0].clone();
     harness.end_run(&run, kind);
@@ -33,7 +33,8 @@
     harness.pass()
 }
 
-/// Guards against an order and a call for each member of a gang that is done: they end together.
+/// Guards against a needless order and call for each member of a completed gang: its members end
+/// together.
 #[test]
 fn done_gang_not_stopped() {
     let mut harness = running_gang();
@@ -42,7 +43,7 @@
     assert_eq!(stops(&decisions), 0);
 }
 
-/// Guards against a run that goes on for good though its job is done: nobody would free its room.
+/// Guards against a run that continues forever after its job has completed and occupies its worker.
 #[test]
 fn leftover_members_stopped() {
     let mut harness = running_gang();
--- a/dragonflyrun/tests/hedged_reads.rs
+++ b/dragonflyrun/tests/hedged_reads.rs
@@ -17,24 +17,26 @@
 
 const WAIT: Duration = Duration::from_millis(400);
 
-/// A store without news.
+/// A store without new records.
 #[derive(Default)]
 struct QuietStore {
-    /// Reads that were asked for.
+    /// Number of reads so far.
     reads: AtomicU32,
-    /// The read that is never answered.
+    /// The number of the read that is never answered.
     silent_read: Mutex<Option<u32>>,
-    /// Whether it refuses all reads.
+    /// Whether all reads are refused.
     refuses_reads: AtomicBool,
-    /// How late each answer is.
+    /// The delay of each answer.
     delay: Mutex<Duration>,
-    /// How long an answer takes from its beginning to its end.
+    /// The time from the first to the last byte of an answer.
     transfer: Mutex<Duration>,
 }
 
 impl Store for QuietStore {
     async fn append(&self, _: &Append, _: Duration) -> Result<Appended, AppendError> {
-        Err(AppendError::NotAppended("a store to read".to_owned()))
+        Err(AppendError::NotAppended(
+            "the test store is read-only".to_owned(),
+        ))
     }
 
     async fn read(
@@ -78,8 +80,7 @@
     follower
 }
 
-/// Guards against work that stands still for as long as a connection that has fallen silent is waited
-/// for.
+/// Guards against work that stalls until the read on a silent connection times out.
 #[tokio::test(start_paused = true)]
 async fn silent_connection() {
     let store = Arc::new(QuietStore::default());
@@ -91,7 +92,7 @@
     assert!(called_at.elapsed() < WAIT + Duration::from_millis(250));
 }
 
-/// Guards against twice the load on a store that is slow altogether.
+/// Guards against doubling the load on a store that is slow for all reads.
 #[tokio::test(start_paused = true)]
 async fn slow_store() {
     const ROUNDS: u32 = 20;
@@ -105,7 +106,8 @@
     assert!(reads < ROUNDS + 4, "{reads}");
 }
 
-/// Guards against work that stands still after the store's return for as long as a read waits for news.
+/// Guards against work that stalls after the store has returned because the first read waits for
+/// new records.
 #[tokio::test(start_paused = true)]
 async fn store_returned() {
     let store = Arc::new(QuietStore::default());
@@ -118,10 +120,14 @@
     assert!(called_at.elapsed() < Duration::from_millis(50));
     let called_at = Instant::now();
     follower.next(WAIT).await.expect("an answer");
-    assert!(called_at.elapsed() >= WAIT, "it waits for news again");
+    assert!(
+        called_at.elapsed() >= WAIT,
+        "it waits for new records again"
+    );
 }
 
-/// Guards against a large answer on a slow link that is cut short, or sent a second time beside the first.
+/// Guards against a large answer on a slow link that is aborted, or requested again while it
+/// arrives.
 #[tokio::test(start_paused = true)]
 async fn slow_transfer() {
     const TRANSFER: Duration = Duration::from_secs(5);
@@ -132,11 +138,11 @@
     follower.next(WAIT).await.expect("the whole answer");
     assert!(called_at.elapsed() >= WAIT + TRANSFER);
     assert_eq!(store.reads.load(Ordering::Relaxed), 1);
-    // Nor does it count as the store's delay.
+    // The transfer time isn't part of the store's delay.
     assert!(follower.usual_delay() < Duration::from_millis(50));
 }
 
-/// Guards against the same for the read after one that failed, which is given less time.
+/// Guards against the same for the read after a failed one, which has a shorter timeout.
 #[tokio::test(start_paused = true)]
 async fn slow_transfer_after_failure() {
     let store = Arc::new(QuietStore::default());
--- a/dragonflyrun/tests/last_attempt.rs
+++ b/dragonflyrun/tests/last_attempt.rs
@@ -1,11 +1,11 @@
-//! Where the last attempt of a task runs while workers fail all that they start.
+//! Where the last attempt of a task runs while workers fail everything that they start.
 
 mod workload_tables;
 
 use dragonflyrun::port::EndKind;
 use workload_tables::{Harness, task};
 
-/// Fails the job's first two runs, of three that it may have, each on another worker.
+/// Fails the first two of the job's three attempts, each on a different worker.
 fn failed_twice(workers: usize) -> Harness {
     let mut harness = Harness::new(workers);
     harness.submit("job", 0, vec![task(8)]);
@@ -37,7 +37,7 @@
     harness
 }
 
-/// Guards against a job that is called failed since its last attempt went to a sick worker as well.
+/// Guards against a job that fails because its last attempt went to a faulty worker as well.
 #[test]
 fn waits_for_healthy_worker() {
     let mut harness = faulty_workers(12);
@@ -50,7 +50,7 @@
     harness.pass();
     assert!(
         harness.running("job").is_empty(),
-        "nothing has worked since"
+        "no run has succeeded since"
     );
     harness.advance(3_000);
     harness.pass();
@@ -61,7 +61,7 @@
     );
 }
 
-/// Guards against waiting for proofs where nothing but single failures has been seen.
+/// Guards against waiting for a proven worker when there were only single failures.
 #[test]
 fn single_failures() {
     let mut harness = failed_twice(3);
@@ -69,7 +69,7 @@
     assert_eq!(harness.running("job").len(), 1);
 }
 
-/// Guards against a worker that has shown that it works and is passed over for one that has not.
+/// Guards against preferring an unproven worker to one on which a run has succeeded.
 #[test]
 fn healthy_worker_first() {
     let mut harness = Harness::new(4);
@@ -88,7 +88,8 @@
     assert_eq!(harness.running("job")[0].0, probed);
 }
 
-/// Guards against work that waits for proofs where a single job fails wherever it runs.
+/// Guards against first attempts that wait for a proven worker because a single job fails wherever
+/// it runs.
 #[test]
 fn first_attempts_go_on() {
     let mut harness = failed_twice(3);
@@ -97,8 +98,8 @@
     assert_eq!(harness.running("other").len(), 1);
 }
 
-/// Guards against a last attempt that is used up in the first second in which workers fail what they
-/// start, before any of them has failed twice.
+/// Guards against a last attempt that is used up within the first second in which workers fail what
+/// they start, before any of them has failed twice.
 #[test]
 fn fails_at_once() {
     let mut harness = Harness::new(12);
--- a/dragonflyrun/tests/late_urgent.rs
+++ b/dragonflyrun/tests/late_urgent.rs
@@ -1,12 +1,12 @@
-//! Urgent work that is late, in a full pool.
+//! Urgent work in a full pool after its objective has passed.
 
 mod workload_tables;
 
 use dragonflyrun::workload::Step;
 use workload_tables::{Harness, task};
 
-/// Returns a full pool to which an urgent gang came `ms` ago, with a guess that allows 1.3 s, while
-/// nothing could be started.
+/// Returns a full pool at which an urgent gang arrived `ms` ago that could not be started. The
+/// caller's estimate gives it an objective of 1.3 s.
 fn late_by(ms: u64) -> Harness {
     let mut harness = Harness::new(2);
     let patient = Step {
@@ -38,14 +38,15 @@
     orders.iter().any(|o| !o.order.stops.is_empty())
 }
 
-/// Guards against urgent work that is left waiting as soon as its objective is past: callers' guesses are
-/// far too short at times, and the work is of use for three times as long.
+/// Guards against urgent work that is no longer preferred as soon as its objective has passed.
+/// Callers' estimates are sometimes far too short, and the work stays useful for three times as
+/// long.
 #[test]
 fn late_but_useful() {
     assert!(stops_runs(&mut late_by(2_000)));
 }
 
-/// Guards against work that is thrown away for a job that is of no use any more.
+/// Guards against evictions for a job that is no longer useful.
 #[test]
 fn late_useless() {
     assert!(!stops_runs(&mut late_by(5_000)));
--- a/dragonflyrun/tests/load_replay.rs
+++ b/dragonflyrun/tests/load_replay.rs
@@ -1,4 +1,4 @@
-//! The planner's decisions under recorded loads, beside the naive policy.
+//! The planner's decisions under recorded loads, compared with the naive policy.
 
 mod replay;
 mod workload_tables;
@@ -44,9 +44,9 @@
     (naive, planned)
 }
 
-/// More comes than fits, or workers fail, stand still or leave meanwhile. A clerk with an urgent check
-/// must be served no worse than if everybody simply waited in line, and nobody's job may be left
-/// lying for good.
+/// Guards against a planner that serves urgent jobs worse than first come, first served would, or
+/// leaves a job unfinished. More jobs arrive than fit, or workers fail, stall or leave in the
+/// meantime.
 #[test]
 fn no_worse_than_naive() {
     println!(
--- a/dragonflyrun/tests/lost_majority.rs
+++ b/dragonflyrun/tests/lost_majority.rs
@@ -1,11 +1,11 @@
-//! More than half of all workers gone for good.
+//! More than half of all workers are lost permanently.
 
 mod workload_tables;
 
 use workload_tables::{Harness, task};
 
-/// Guards against jobs that stand still for ever: the hosts of most workers are lost for good, and while the
-/// others report, none of the lost ones is ever given up.
+/// Guards against jobs that stall forever because no lost worker is given up: the hosts of most
+/// workers are lost permanently while the others report.
 #[test]
 fn lost_majority() {
     let mut harness = Harness::new(5);
@@ -24,8 +24,8 @@
     );
 }
 
-/// Guards against sessions closed since workers that left long ago count as ones that report: the store is
-/// slow, and all that runs on the workers that are late would be stopped.
+/// Guards against fencing the sessions of late workers, which would stop everything on them. The
+/// store is slow, and workers that left long ago must not count as ones that report.
 #[test]
 fn departed_not_counted() {
     let mut harness = Harness::new(9);
--- a/dragonflyrun/tests/overdue_runs.rs
+++ b/dragonflyrun/tests/overdue_runs.rs
@@ -1,11 +1,11 @@
-//! Runs that take far longer than they should.
+//! Runs that take far longer than expected.
 
 mod workload_tables;
 
 use dragonflyrun::port::EndKind;
 use workload_tables::{Harness, task};
 
-/// Milliseconds after which a task that is guessed to take 2 s is overdue for certain.
+/// Run time in milliseconds after which a task with an estimate of 2 s is certainly overdue.
 const OVERDUE_MS: u64 = 7_000;
 
 fn stops(harness: &mut Harness) -> usize {
@@ -13,7 +13,8 @@
     decisions.orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
-/// Returns a planner whose only worker runs two urgent jobs, and a second worker that comes after.
+/// Returns a planner with two overdue urgent jobs on its first worker and a second worker, which
+/// joined later.
 fn two_late_jobs() -> Harness {
     let mut harness = Harness::new(1);
     harness.submit("one", 0, vec![task(4)]);
@@ -25,8 +26,8 @@
     harness
 }
 
-/// All tasks on a worker stand still, though it says that it is well. A clerk would wait for as long as
-/// the worker is sick, while another one stands idle.
+/// Guards against urgent jobs that wait as long as their worker is faulty although another one is
+/// idle: all tasks on the worker stall, but it reports that it is healthy.
 #[test]
 fn moved_elsewhere() {
     let mut harness = two_late_jobs();
@@ -42,8 +43,8 @@
     }
 }
 
-/// A task is long itself, and so is another beside it. Stopped over and over neither would ever come to
-/// its end.
+/// Guards against long tasks that never complete because they are moved again and again: two of
+/// them run on the same worker, and both are overdue.
 #[test]
 fn moved_once() {
     let mut harness = two_late_jobs();
@@ -58,8 +59,8 @@
     assert_eq!(stops(&mut harness), 0);
 }
 
-/// One job alone is late on its worker: its caller's guess may have been wrong, and its work must not
-/// be thrown away for that.
+/// Guards against losing the work of a job whose caller's estimate may be wrong: it is the only one
+/// that is overdue on its worker.
 #[test]
 fn single_late_run() {
     let mut harness = Harness::new(1);
@@ -71,7 +72,7 @@
     assert_eq!(stops(&mut harness), 0);
 }
 
-/// Work that is not urgent is late: it goes on, since a move throws away what it has done.
+/// Guards against moving overdue work that isn't urgent, which would lose what it has done.
 #[test]
 fn not_urgent() {
     let mut harness = Harness::new(1);
--- a/dragonflyrun/tests/packed_starts.rs
+++ b/dragonflyrun/tests/packed_starts.rs
@@ -1,4 +1,4 @@
-//! Orders as they are written to the store.
+//! The encoding of orders in the store.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Guards against a start that gets what another job's caller handed in.
+/// Guards against a start with the payload of another job.
 #[test]
 fn payloads_round_trip() {
     arbtest::arbtest(|u| {
@@ -47,8 +47,8 @@
     });
 }
 
-/// Guards against orders that grow with tasks times what their caller handed in: on a slow link all
-/// that comes later waits for them.
+/// Guards against orders whose size is the number of tasks times the payload: on a slow link
+/// everything after them is delayed.
 #[test]
 fn payload_sent_once() {
     let payload = "x".repeat(1_500);
--- a/dragonflyrun/tests/partial_pages.rs
+++ b/dragonflyrun/tests/partial_pages.rs
@@ -1,4 +1,4 @@
-//! What an entry answers while it has read only a part of what the store holds.
+//! What an entry answers while it has read only a part of the store's records.
 
 mod store_entry;
 
@@ -23,27 +23,28 @@
 use store_entry::{NoAdvisor, settings};
 use tokio::{task::LocalSet, time::sleep};
 
-/// How long the store's link takes for a page, which holds one record.
+/// The time that the store's link takes for a page of one record.
 const PAGE_TIME: Duration = Duration::from_millis(100);
 
-/// Records that come at once.
+/// Number of records that are appended at once.
 const BACKLOG: u64 = 80;
 
-/// Records that were read when the caller comes: their pages took longer than any proof is good for.
+/// Number of records read before the call. Their pages take longer than any proof that the state is
+/// current is valid.
 const READ_BEFORE_CALL: u64 = 35;
 
-/// A bound on keys that were taken away which is shorter than the time for those pages.
+/// A time limit for revoked keys that is shorter than the time for those pages.
 const SHORT_REVOKE: Duration = Duration::from_secs(1);
 
-/// One that is longer.
+/// A time limit that is longer.
 const LONG_REVOKE: Duration = Duration::from_secs(60);
 
-/// A store that is read over a slow link, one record a page.
+/// A store that is read over a slow link, one record per page.
 #[derive(Default)]
 struct PagedStore {
     jobs: Mutex<Vec<StoreRecord>>,
     operators: Mutex<Vec<StoreRecord>>,
-    /// Records that the entry has been given of what came at once.
+    /// Number of records that have been returned to the entry.
     returned_records: AtomicU64,
 }
 
@@ -59,7 +60,9 @@
 
 impl Store for PagedStore {
     async fn append(&self, _: &Append, _: Duration) -> Result<Appended, AppendError> {
-        Err(AppendError::NotAppended("a store to read".to_owned()))
+        Err(AppendError::NotAppended(
+            "the test store is read-only".to_owned(),
+        ))
     }
 
     async fn read(
@@ -97,7 +100,7 @@
 
 type Entry = StoreEntry<PagedStore, NoAdvisor>;
 
-/// Starts an entry that has read a store with the first version of the configuration.
+/// Starts an entry and waits until it has read a store with the first version of the configuration.
 async fn start_entry(store: &Arc<PagedStore>, revoke: Duration) -> Arc<Entry> {
     lock(&store.operators).push(version(1));
     let mut settings = settings();
@@ -115,7 +118,7 @@
     entry
 }
 
-/// Waits until the entry has been given so much of what came at once, and much is left.
+/// Waits until the entry has read a part of the records, with many left.
 async fn wait_for_partial_read(store: &PagedStore) {
     while store.returned_records.load(Ordering::Relaxed) < READ_BEFORE_CALL {
         sleep(PAGE_TIME / 4).await;
@@ -130,7 +133,7 @@
     }
 }
 
-/// Returns a version of the configuration; the last one has taken the key away.
+/// Returns a version of the configuration. The last one revokes the key.
 fn configuration(version: u64) -> Configuration {
     let keys = if version < BACKLOG {
         vec!["key".into()]
@@ -183,8 +186,8 @@
     }
 }
 
-/// Guards against a caller who is told that there is no such job, where the entry has not yet read the
-/// page in which it stands.
+/// Guards against telling a caller that a job doesn't exist when the entry hasn't read the page
+/// with the job yet.
 #[tokio::test]
 async fn unread_job() {
     let test = async {
@@ -199,7 +202,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a key that goes on being served since each older version that is read counts as the
+/// Guards against serving a revoked key because each older version that is read counts as the
 /// newest one.
 #[tokio::test]
 async fn unread_version() {
--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -1,4 +1,4 @@
-//! Which entry stands for planner, when, and with which term.
+//! Which entry becomes planner, when, and with which term.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 const LONG_SILENCE: Duration = Duration::from_secs(5);
 
-/// A candidate that can prove the configuration on a store that answers at once.
+/// A candidate that can prove its configuration, on a store that answers immediately.
 const PROMPT: Candidate = Candidate {
     store_delay: Duration::ZERO,
     has_fresh_configuration: true,
 };
 
-/// The same without that proof.
+/// The same candidate without that proof.
 const STALE_CONFIGURATION: Candidate = Candidate {
     has_fresh_configuration: false,
     ..PROMPT
@@ -25,7 +25,7 @@
     Timestamp::from_millis(ms)
 }
 
-/// A term of the rank `rank`, held by `entry`.
+/// Returns a term of round `rank`, held by `entry`.
 fn term(rank: u64, entry: &str, resigned: bool) -> Term {
     Term {
         number: rank << 20,
@@ -38,12 +38,13 @@
 fn claimed(step: TermStep) -> Term {
     match step {
         TermStep::Claim(term) => term,
-        TermStep::Wait => panic!("it should stand"),
+        TermStep::Wait => panic!("it should claim a term"),
     }
 }
 
-/// Two entries see the planner fall silent at the same time and both stand. With equal terms the
-/// store would take the second append for a repeat of the first and confirm both.
+/// Guards against two planners at once. Two entries see the planner become silent at the same time
+/// and both claim a term. If the terms were equal, the store would take the second append for a
+/// repeat of the first and confirm both.
 #[test]
 fn terms_differ() {
     let mut one = Election::new("one".into(), 17, at(0));
@@ -74,7 +75,8 @@
     ));
 }
 
-/// The planner stops as planned and says so. Callers should not wait out its silence.
+/// Guards against callers that wait until a planner counts as silent although it has resigned in a
+/// graceful stop.
 #[test]
 fn resigned() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -86,8 +88,8 @@
     ));
 }
 
-/// The entry itself could not read for a while. What it calls silence is its own, and standing on
-/// it would replace a planner that is well.
+/// Guards against replacing a healthy planner because the entry itself could not read for a while
+/// and saw no heartbeats.
 #[test]
 fn election_read_outage() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -97,7 +99,8 @@
     assert_eq!(election.step(at(9_500), PROMPT), TermStep::Wait);
 }
 
-/// A record of a term that was succeeded arrives late. It is no sign of life of the planner of now.
+/// Guards against a late record of a superseded term that counts as a heartbeat of the current
+/// planner.
 #[test]
 fn old_term() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -111,9 +114,9 @@
     ));
 }
 
-/// All hosts lose power, the planner's among them, and start again. Nobody plans, and the entry that
-/// planned last knows it: it should not wait for a sign of life of its own earlier process, in which
-/// time a caller would see all work stand still.
+/// Guards against work that stalls longer than necessary after all hosts have lost power and
+/// started again. There is no planner, and the entry that planned last knows it, so it must not
+/// wait for a heartbeat of its own previous process.
 #[test]
 fn own_term() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -123,9 +126,9 @@
     assert!(next.number > known.number);
 }
 
-/// A candidate's claim is not done since the partition has moved on, but the store keeps its number, and
-/// the candidate dies. The others must not be refused for ever: nobody would plan, and callers
-/// would see all accepted jobs stand still.
+/// Guards against candidates that are refused forever, without a planner and with all jobs stalled.
+/// The store doesn't execute a claim because the partition has grown but remembers its number, and
+/// the candidate crashes.
 #[test]
 fn refused_claim() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -148,7 +151,7 @@
     assert_eq!(next.number >> 20, (second.number >> 20) + 1);
 }
 
-/// Guards against a planner that is replaced since its signs of life queue on a slow store.
+/// Guards against replacing a planner whose heartbeats queue on a slow store.
 #[test]
 fn slow_store() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -161,7 +164,8 @@
     assert!(matches!(election.step(at(9_000), slow), TermStep::Claim(_)));
 }
 
-/// Guards against a crowd of candidates: their claims queue on the partition that the planner writes to.
+/// Guards against many candidates at once: their claims queue on the partition that the planner
+/// writes to.
 #[test]
 fn few_candidates() {
     const ENTRIES: usize = 55;
@@ -177,12 +181,12 @@
         counts.push(candidates.count());
     }
     let first = counts.iter().position(|n| *n > 0).expect("a candidate");
-    // A claim takes some 40 ms to be won and read by the others.
+    // It takes about 40 ms until a claim is stored and read by the others.
     assert!(counts[first + 2] <= 12, "{:?}", &counts[first..first + 5]);
     assert_eq!(counts.last(), Some(&ENTRIES));
 }
 
-/// Returns the sign of life of a planner that can't prove the configuration.
+/// Returns the term in the heartbeat of a planner that can't prove its configuration.
 fn stale_term(rank: u64, entry: &str) -> Term {
     Term {
         stale: true,
@@ -190,7 +194,7 @@
     }
 }
 
-/// Guards against a planner that keeps the term by its signs of life though it starts nothing.
+/// Guards against a planner that keeps the term by its heartbeats although it starts nothing.
 #[test]
 fn stale_planner() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -201,8 +205,8 @@
     assert!(!next.stale);
 }
 
-/// Guards against a term that goes from one planner without a proof to the next while nobody has one: ends
-/// would be noted by none of them.
+/// Guards against a term that passes from one planner without a proof to the next while nobody has
+/// one: none of them would record the ends of runs.
 #[test]
 fn stale_everywhere() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -215,7 +219,7 @@
     }
 }
 
-/// Guards against a change of planner for a gap that was over when it was heard of.
+/// Guards against replacing a planner that was stale only briefly.
 #[test]
 fn briefly_stale() {
     let mut election = Election::new("one".into(), 17, at(0));
@@ -223,7 +227,7 @@
     assert_eq!(election.step(at(1_100), PROMPT), TermStep::Wait);
     election.saw_heartbeat(at(1_200), &term(1, "other", false));
     assert_eq!(election.step(at(1_900), PROMPT), TermStep::Wait);
-    // On a slow store the next sign of life comes later.
+    // On a slow store the next heartbeat comes later.
     election.saw_heartbeat(at(1_950), &stale_term(1, "other"));
     let slow = Candidate {
         store_delay: Duration::from_millis(250),
@@ -231,14 +235,14 @@
     };
     assert_eq!(election.step(at(3_900), slow), TermStep::Wait);
     election.saw_heartbeat(at(3_950), &term(1, "other", false));
-    // An entry that was cut off itself has heard of it late.
+    // An entry that was disconnected itself learns of it late.
     election.saw_heartbeat(at(4_000), &stale_term(1, "other"));
     election.store_regained(at(9_000));
     assert_eq!(election.step(at(9_100), PROMPT), TermStep::Wait);
 }
 
-/// Guards against a successor that can't start anything where another one could, and against none at all
-/// where nobody can: ends have to be noted.
+/// Guards against a successor that can't start anything although another entry could, and against
+/// having no planner at all when none can: the ends of runs have to be recorded.
 #[test]
 fn stale_candidate() {
     for resigned in [false, true] {
@@ -246,8 +250,8 @@
         election.saw_heartbeat(at(0), &term(1, "other", resigned));
         let first =
             |candidate| (0..20_000).find(|ms| election.step(at(*ms), candidate) != TermStep::Wait);
-        let fresh_at = first(PROMPT).expect("it stands");
-        let stale_at = first(STALE_CONFIGURATION).expect("it stands at last");
+        let fresh_at = first(PROMPT).expect("a claim");
+        let stale_at = first(STALE_CONFIGURATION).expect("a late claim");
         assert!(stale_at > fresh_at + 1_000, "{fresh_at} {stale_at}");
         assert!(claimed(election.step(at(stale_at), STALE_CONFIGURATION)).stale);
     }
--- a/dragonflyrun/tests/planner_terms.rs
+++ b/dragonflyrun/tests/planner_terms.rs
@@ -1,4 +1,4 @@
-//! Planners that die, freeze, race each other, or lose the answer to their claim.
+//! Planners that crash, freeze, compete with each other, or lose the answer to their claim.
 
 mod gang_world;
 
@@ -12,7 +12,7 @@
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
 
-/// When the test's job is submitted.
+/// The time in milliseconds at which the first job is submitted.
 const SUBMIT: u64 = 10_000;
 
 fn world(seed: u64) -> World {
@@ -26,8 +26,8 @@
     world.ran().iter().map(|r| r.attempt).max().unwrap_or(0)
 }
 
-/// The planner dies at any step of a job's start, run and end. A user would notice a job that is
-/// lost, that runs twice, or that hangs.
+/// Guards against a job that is lost, runs twice or hangs because the planner is killed at any
+/// point of the job's start, run or end.
 #[test]
 fn planner_killed() {
     for step in 0..60 {
@@ -45,8 +45,8 @@
     }
 }
 
-/// The planner is frozen at any step, another takes its place, and then it goes on as if nothing
-/// had happened: for a moment there are two. Its orders and records must change nothing.
+/// Guards against orders and records of a superseded planner. It is frozen at any point, replaced,
+/// and then continues as if nothing had happened, so that there are briefly two planners.
 #[test]
 fn planner_frozen() {
     for step in 0..60 {
@@ -63,8 +63,8 @@
     }
 }
 
-/// The log is down and the planner's host is lost besides. The tasks that run have all they need,
-/// and a user would be right to complain if they were stopped.
+/// Guards against stopping a running gang because the log is unavailable and the planner's host is
+/// lost too: its tasks have all that they need.
 #[test]
 fn healthy_gang() {
     let mut world = world(1);
@@ -81,8 +81,8 @@
     assert_eq!(attempts(&world), 1);
 }
 
-/// Claims of a term take effect late, twice or not at all. Jobs would stand still if no entry held
-/// the term in its own eyes, and be doubled if two did.
+/// Guards against jobs that stall because no entry considers itself the planner, or run twice
+/// because two do. Claims of a term take effect late, twice or not at all.
 #[test]
 fn claim_in_doubt() {
     for seed in 0..40 {
@@ -97,7 +97,8 @@
     }
 }
 
-/// Every entry is replaced at once while a gang runs. Its new planner knows it from the log only.
+/// Guards against losing a running gang when all entries are replaced at once. Its new planner
+/// knows it only from the log.
 #[test]
 fn all_entries_replaced() {
     let mut world = world(2);
@@ -111,8 +112,8 @@
     assert_eq!(world.end(&"job-0".into()), Some(JobEnd::Finished));
 }
 
-/// A planner was frozen while its record was on the way, and it reaches the log after the claim of
-/// the next planner, which has already decided otherwise about the job.
+/// Guards against a record of a frozen planner that reaches the log after the claim of its
+/// successor, which has already decided otherwise about the job.
 #[test]
 fn older_record() {
     let term = |entry: &str, term| RecordBody::Term {
@@ -137,7 +138,7 @@
         ("entry-0", term("entry-0", 1), true),
         ("entry-1", term("entry-1", 2), true),
         ("entry-0", started(1, "worker-0"), false),
-        // Nor does it help to write the new term on an old planner's record.
+        // An old planner's record has no effect with the new term either.
         ("entry-0", started(2, "worker-0"), false),
         ("entry-1", started(2, "worker-1"), true),
     ];
--- a/dragonflyrun/tests/queue_lookup.rs
+++ b/dragonflyrun/tests/queue_lookup.rs
@@ -1,12 +1,12 @@
-//! Which queue of the configuration a waiting job is taken to be of.
+//! Which queue of the configuration a waiting job belongs to.
 
 mod workload_tables;
 
 use dragonflyrun::port::Queue;
 use workload_tables::{Harness, task};
 
-/// Returns a planner with one worker, of the service `svc`, and a job of the queue `q`, where the
-/// configuration has these queues, each a name and a service.
+/// Returns a planner with one worker of the service `svc` and a job of the queue `q`. The
+/// configuration has the given queues, each a name and a service.
 fn harness(queues: &[(&str, &str)]) -> Harness {
     let mut harness = Harness::new(1);
     let known = harness.configuration.queues[0].clone();
@@ -26,7 +26,7 @@
     harness.pass();
     assert!(
         harness.running("job").is_empty(),
-        "its queue leads elsewhere"
+        "its queue has another service"
     );
     harness.configuration.queues[1].service = "svc".into();
     harness.pass();
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Replays a load pattern against a policy: workers that run what they are told, on a clock of its own.
+//! Replays a recorded load pattern against a policy, with simulated workers and a simulated clock.
 
 mod naive;
 mod pattern;
@@ -14,73 +14,73 @@
 
 use pattern::{Change, PatternJob, PatternStep};
 
-/// Milliseconds of one step of the replay.
+/// Simulated milliseconds per step of the replay.
 const TICK_MS: u64 = 20;
 
-/// Milliseconds that a stop takes.
+/// The time in milliseconds that a stop takes.
 const STOP_MS: u64 = 200;
 
-/// Milliseconds from the last job on in which jobs may still come to their end.
+/// The time in milliseconds after the last job's arrival in which jobs may still end.
 const DRAIN_TIME_MS: u64 = 120_000;
 
-/// A task takes so many times as long on more than one rack, and on a worker that is slow.
+/// Factors by which a task takes longer if its gang spans several racks, and on a slow worker.
 const FAR_FACTOR: u64 = 3;
 const SLOW_FACTOR: u64 = 6;
 
-/// Milliseconds of work from one checkpoint to the next.
+/// Milliseconds of work between two checkpoints.
 const CHECKPOINT_MS: u64 = 2_000;
 
-/// Workers of a rack, which is a failure domain too.
+/// Number of workers per rack. Each rack is a failure domain.
 const WORKERS_PER_RACK: usize = 3;
 
-/// A job is of use, though late, up to so many times its objective.
+/// A late job is still useful if it takes at most this multiple of its objective.
 const USEFUL_FACTOR: u64 = 3;
 
-/// Accelerators of a worker.
+/// Number of accelerators per worker.
 pub(crate) const ACCELERATORS: u64 = 8;
 
-/// What a policy wants.
+/// A decision of a policy.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
-    /// A run begins on a worker, with work of so many milliseconds done before.
+    /// Start a run on a worker. `done_ms` milliseconds of its work were done by earlier runs.
     Start {
         run: RunId,
         worker: usize,
         done_ms: u64,
     },
-    /// A run ends.
+    /// Stop a run.
     Stop { run: RunId },
 }
 
-/// Decides what runs where.
+/// A policy decides which tasks run on which workers.
 pub(crate) trait Policy {
-    /// A job has come.
+    /// A job has arrived.
     fn submit(&mut self, number: usize, job: &PatternJob);
-    /// A job's caller has cancelled it.
+    /// The caller of a job has cancelled it.
     fn cancel(&mut self, number: usize);
-    /// A run has ended, with work of so many milliseconds saved.
+    /// A run has ended. `saved_ms` milliseconds of the task's work are checkpointed.
     fn run_ended(&mut self, worker: usize, run: &RunId, kind: EndKind, saved_ms: u64);
-    /// A worker is gone with all that it ran, or there again.
+    /// A worker and all its runs were lost, or it has returned.
     fn worker_changed(&mut self, worker: usize, is_present: bool);
-    /// A failure domain is out of service, or back in it.
+    /// A failure domain was taken out of service, or put back into it.
     fn domain_changed(&mut self, domain: &str, out: bool);
-    /// Returns what to do now.
+    /// Returns the commands to execute now.
     fn decide(&mut self, now_ms: u64) -> Vec<Command>;
 }
 
-/// A run on a worker.
+/// A running run.
 struct Running {
     run: RunId,
     job: usize,
     worker: usize,
     done_before_ms: u64,
     started_ms: u64,
-    /// Milliseconds of work done in this run.
+    /// The milliseconds of work done in this run.
     worked: f64,
     stop_at_ms: Option<u64>,
 }
 
-/// What became of the jobs of one priority.
+/// The results for the jobs of one priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PriorityOutcome {
     pub(crate) jobs: usize,
@@ -88,36 +88,38 @@
     pub(crate) late: usize,
 }
 
-/// What a replay shows.
+/// The results of a replay.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// By priority.
+    /// The results by priority.
     pub(crate) by_priority: [PriorityOutcome; 3],
-    /// Accelerator-seconds of work that counted, that was thrown away, and idle up to the last job's arrival.
+    /// Accelerator-seconds of work that counted, that was lost, and that were idle until the last
+    /// job's arrival.
     pub(crate) useful: f64,
     pub(crate) wasted: f64,
     pub(crate) idle: f64,
-    /// Milliseconds to the start of each gang of a whole rack's size or half of it.
+    /// The milliseconds from a job's arrival to the start of its gang, for each gang that needs at
+    /// least the accelerators of two workers.
     pub(crate) large_starts_ms: Vec<u64>,
-    /// Jobs that never came to an end.
+    /// The number of jobs that did not end.
     pub(crate) unfinished: usize,
 }
 
 impl Outcome {
-    /// Returns the share of the jobs of a priority that were done while they were of use.
+    /// Returns the share of the jobs of a priority that completed while they were still useful.
     pub(crate) fn share(&self, priority: usize) -> f64 {
         let jobs = self.by_priority[priority];
         (jobs.in_time + jobs.late) as f64 / jobs.jobs.max(1) as f64
     }
 
-    /// Returns the share of the jobs of a priority that were in time.
+    /// Returns the share of the jobs of a priority that met their objective.
     pub(crate) fn in_time(&self, priority: usize) -> f64 {
         let jobs = self.by_priority[priority];
         jobs.in_time as f64 / jobs.jobs.max(1) as f64
     }
 }
 
-/// A replay under way.
+/// The state of a replay.
 struct Replay<'a> {
     pattern: &'a Pattern,
     now_ms: u64,
@@ -252,7 +254,7 @@
             && u64::from(pattern_step.tasks) * pattern_step.accelerators >= 2 * ACCELERATORS
     }
 
-    /// Lets a tick of work go by and ends what is due.
+    /// Advances all runs by one tick and ends those that are due.
     fn work(&mut self, policy: &mut dyn Policy) {
         let mut ended_runs = Vec::new();
         for i in 0..self.running.len() {
@@ -334,7 +336,8 @@
         }
     }
 
-    /// Takes a run out; returns its worker and the milliseconds of work that are saved.
+    /// Removes a run. Returns its worker and the milliseconds of the task's work that are
+    /// checkpointed.
     fn remove_run(&mut self, run: &RunId, done: bool) -> Option<(usize, u64)> {
         let at = self.running.iter().position(|r| r.run == *run)?;
         let pattern_step = self.step_of(&self.running[at]);
--- a/dragonflyrun/tests/replay/naive.rs
+++ b/dragonflyrun/tests/replay/naive.rs
@@ -1,4 +1,4 @@
-//! The naive policy: first come, first served, each task on the first worker that takes it.
+//! The naive policy: first come, first served, each task on the first worker with room.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use super::{ACCELERATORS, Command, Policy, job_name, job_number, pattern::PatternJob};
 
-/// Processor and memory of a worker.
+/// Processor time and memory of a worker.
 const CPU_MILLIS: u64 = 64_000;
 const MEMORY_MB: u64 = 128_000;
 
@@ -22,7 +22,7 @@
     next_run: u32,
 }
 
-/// The policy.
+/// The state of the naive policy.
 pub(crate) struct Naive {
     jobs: Vec<NaiveJob>,
     placed: Vec<(usize, RunId, Resources)>,
@@ -31,7 +31,7 @@
 }
 
 impl Naive {
-    /// Returns the policy for so many workers.
+    /// Returns the policy for the given number of workers.
     pub(crate) fn new(workers: usize) -> Self {
         Self {
             jobs: Vec::new(),
@@ -58,7 +58,7 @@
                 .contains(&format!("d{}", worker / super::WORKERS_PER_RACK))
     }
 
-    /// Starts the tasks `indexes` of a step all together, where they fit.
+    /// Starts the tasks `indexes` of a step if all of them fit.
     fn start(&mut self, job: usize, step: u32, indexes: &[u32]) -> Vec<Command> {
         let needs = self.jobs[job].job.steps[step as usize].step().needs;
         let before = self.placed.len();
--- a/dragonflyrun/tests/replay/pattern.rs
+++ b/dragonflyrun/tests/replay/pattern.rs
@@ -1,4 +1,4 @@
-//! Load patterns, recorded from days and kept as files.
+//! Recorded load patterns, kept as files in `tests/loads`.
 
 use std::{fs, path::PathBuf};
 
@@ -9,40 +9,40 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Pattern {
-    /// Its name.
+    /// The name of the pattern, which is also its file name.
     pub(crate) name: String,
-    /// What it shows.
+    /// The load or fault that the pattern represents.
     #[serde(rename = "why")]
     pub(crate) _why: String,
-    /// How many workers there are.
+    /// The number of workers.
     pub(crate) workers: usize,
-    /// The pattern that has the jobs, where this one only adds events.
+    /// The pattern whose jobs are used, if this one only adds events.
     #[serde(default)]
     pub(crate) jobs_of: Option<String>,
-    /// The jobs, in the order of their arrival.
+    /// The jobs in the order of their arrival.
     #[serde(default)]
     pub(crate) jobs: Vec<PatternJob>,
-    /// What befalls workers, in the order of time.
+    /// The events in the order of their time.
     #[serde(default)]
     pub(crate) events: Vec<Event>,
 }
 
-/// A job.
+/// A job of a pattern.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PatternJob {
-    /// When it comes.
+    /// The time of its arrival.
     pub(crate) at_ms: u64,
-    /// When its caller cancels it.
+    /// The time at which its caller cancels it.
     #[serde(default)]
     pub(crate) cancel_ms: Option<u64>,
-    /// 0 comes first.
+    /// The priority; 0 is the most urgent.
     pub(crate) priority: u32,
-    /// Its steps.
+    /// The steps of the job.
     pub(crate) steps: Vec<PatternStep>,
 }
 
-/// A step, with the time that its tasks really take.
+/// A step and the time that its tasks really take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct PatternStep {
@@ -64,7 +64,7 @@
     pub(crate) after: Vec<u32>,
 }
 
-/// What befalls a worker or a failure domain.
+/// A change of a worker or of a failure domain.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Event {
@@ -76,7 +76,7 @@
     pub(crate) what: Change,
 }
 
-/// How a worker or a failure domain is from now on.
+/// The state of a worker or of a failure domain after an event.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Change {
@@ -95,12 +95,12 @@
 }
 
 impl Pattern {
-    /// Reads the pattern in the file `name`.
+    /// Reads the pattern `name` from its file.
     pub(crate) fn read(name: &str) -> Self {
         let path =
             PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/loads/{name}.json"));
-        let text = fs::read_to_string(path).expect("a pattern");
-        let mut pattern: Self = serde_json::from_str(&text).expect("a pattern");
+        let text = fs::read_to_string(path).expect("a readable pattern file");
+        let mut pattern: Self = serde_json::from_str(&text).expect("a valid pattern");
         if let Some(base) = &pattern.jobs_of {
             pattern.jobs = Self::read(base).jobs;
         }
@@ -109,7 +109,8 @@
 }
 
 impl PatternJob {
-    /// Returns the milliseconds in which the job should be done, by what its tasks really take.
+    /// Returns the objective of the job in milliseconds, based on the time that its tasks really
+    /// take.
     pub(crate) fn objective_ms(&self) -> u64 {
         let total_ms: u64 = self.steps.iter().map(|s| s.true_ms).sum();
         let (stretch, target_ms) = objective(self.priority);
@@ -117,7 +118,8 @@
     }
 }
 
-/// Returns stretch and target of the queue with a priority, as in the days that were recorded.
+/// Returns stretch and target of the queue with a priority, as configured when the loads were
+/// recorded.
 pub(crate) fn objective(priority: u32) -> (f64, u64) {
     match priority {
         0 => (1.5, 250),
@@ -127,7 +129,7 @@
 }
 
 impl PatternStep {
-    /// Returns the step as it is handed in.
+    /// Returns the step as a caller submits it.
     pub(crate) fn step(&self) -> Step {
         Step {
             tasks: self.tasks,
--- a/dragonflyrun/tests/replay/planned.rs
+++ b/dragonflyrun/tests/replay/planned.rs
@@ -1,4 +1,4 @@
-//! The product's planner as a policy: its table alone, with reports that come at once.
+//! The real planner as a policy: its decision table alone, with reports that arrive immediately.
 
 use std::time::Duration;
 
@@ -13,23 +13,23 @@
 };
 use crate::workload_tables::{EPOCH_MS, Harness};
 
-/// Milliseconds between two reports of a worker where nothing happens.
+/// Milliseconds between two reports of a worker without changes.
 const REPORT_MS: u64 = 1_000;
 
-/// Milliseconds between two passes where nothing happens.
+/// Milliseconds between two passes without changes.
 const PASS_MS: u64 = 100;
 
-/// The policy.
+/// The planner with its simulated workers.
 pub(crate) struct Planned {
     harness: Harness,
     next_report_ms: u64,
     next_pass_ms: u64,
-    /// How long the passes took.
+    /// The durations of the passes.
     pub(crate) pass_times: Vec<Duration>,
 }
 
 impl Planned {
-    /// Returns the policy for so many workers.
+    /// Returns the policy for the given number of workers.
     pub(crate) fn new(workers: usize) -> Self {
         let mut harness = Harness::new(workers);
         let queue = harness.configuration.queues[0].clone();
--- a/dragonflyrun/tests/reserved_room.rs
+++ b/dragonflyrun/tests/reserved_room.rs
@@ -1,4 +1,4 @@
-//! Room that is kept ready for urgent work.
+//! Workers that are reserved for urgent work.
 
 mod workload_tables;
 
@@ -10,7 +10,7 @@
 
 const WORKERS: usize = 10;
 
-/// Hands a gang of so many whole workers in, and a flood of patient tasks, each of one accelerator.
+/// Submits as many patient tasks, of one accelerator each, as the pool has accelerators.
 fn submit_patient(harness: &mut Harness, name: &str) {
     let tasks = Step {
         tasks: 8 * WORKERS as u32,
@@ -28,9 +28,9 @@
     }
 }
 
-/// Urgent gangs come again and again to a pool with more patient work than fits. The first has to
-/// wait until others are stopped for it; from then on the room that they take up at their peaks is
-/// kept, and the next one starts in the moment in which it comes.
+/// Guards against urgent gangs that have to wait each time until other work has been stopped. They
+/// arrive repeatedly at a pool with more patient work than fits. The first one waits; from then on
+/// the share that they need at their peaks is reserved, and the next one starts immediately.
 #[test]
 fn second_gang_starts() {
     let mut harness = Harness::new(WORKERS);
@@ -43,7 +43,11 @@
     harness.end_runs("flood", EndKind::Stopped);
     harness.pass();
     harness.report_all();
-    assert_eq!(harness.running("first").len(), 5, "room was made");
+    assert_eq!(
+        harness.running("first").len(),
+        5,
+        "others were stopped for it"
+    );
     harness.advance(2_000);
     harness.end_runs("first", EndKind::Done);
     harness.pass();
@@ -53,8 +57,8 @@
     assert_eq!(harness.running("second").len(), 5);
 }
 
-/// No urgent work has come for minutes. The room that was kept for it goes back to the patient work,
-/// which would otherwise wait beside idle workers for good.
+/// Guards against patient work that waits beside idle workers forever: a few minutes after the last
+/// urgent work the reserved workers are released.
 #[test]
 fn reservation_released() {
     let mut harness = Harness::new(WORKERS);
@@ -67,7 +71,7 @@
     let kept = harness.running("flood").len();
     assert!(
         kept <= 8 * WORKERS / 2,
-        "{kept} patient tasks started beside kept room"
+        "{kept} patient tasks started in spite of the reservation"
     );
     harness.advance(200_000);
     harness.pass();
@@ -76,9 +80,9 @@
     assert!(given >= 8 * 8, "{given} patient tasks run minutes later");
 }
 
-/// Half of the pool is in use and the rest is kept for urgent work that does not come. A patient job of
-/// which nothing has run for many seconds must not stand still beside free workers: one of its tasks
-/// begins there, and the others go on waiting.
+/// Guards against a starved patient job beside free workers. Half of the pool is in use, and the
+/// rest is reserved for urgent work that doesn't arrive. After some seconds one of the job's tasks
+/// starts there, and the others go on waiting.
 #[test]
 fn starved_job_starts() {
     let mut harness = Harness::new(WORKERS);
@@ -100,7 +104,7 @@
     harness.pass();
     assert!(
         harness.running("waiting").is_empty(),
-        "kept from the free room"
+        "the free workers are reserved"
     );
     harness.advance(9_000);
     harness.pass();
--- a/dragonflyrun/tests/run_progress.rs
+++ b/dragonflyrun/tests/run_progress.rs
@@ -1,4 +1,4 @@
-//! What runs' progress tells of the time that they take.
+//! Run times predicted from the progress of runs.
 
 mod workload_tables;
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// Returns what an agent reports that has looked at a run each 400 ms and found it so far done.
+/// Returns the progress that an agent reports after it has read the given percents of a run at
+/// intervals of 400 ms.
 fn progress_after(percents: &[u32]) -> Progress {
     let mut table = AgentTable::new(Duration::from_secs(10));
     assert!(table.heartbeat(heartbeat(), Instant::now()));
@@ -61,7 +62,7 @@
     report.progress[0]
 }
 
-/// Guards against times that count the wait for a gang's other members, or for a restore.
+/// Guards against run times that include the wait for other members of a gang or for a restore.
 #[test]
 fn pace_reported() {
     let progress = progress_after(&[20, 20, 20, 30, 40]);
@@ -69,7 +70,7 @@
     assert_eq!(progress.total_ms, 4_000);
 }
 
-/// Guards against times told of a run that has not come on, or only by what a look rounds off.
+/// Guards against run times for a run without progress, or with so little that rounding dominates.
 #[test]
 fn pace_unknown() {
     assert_eq!(progress_after(&[0, 0, 0]), Progress::default());
@@ -77,7 +78,8 @@
     assert_eq!(progress_after(&[100]), Progress::default());
 }
 
-/// Guards against a pace of seconds ago: a worker that turns slow shows in what its runs have left.
+/// Guards against an outdated pace: if a worker becomes slow, the remaining time of its runs shows
+/// it.
 #[test]
 fn pace_slows() {
     let fast: Vec<u32> = (0..10).map(|sample| sample * 5).collect();
@@ -86,8 +88,8 @@
     assert!(progress.remaining_ms > Some(15_000), "{progress:?}");
 }
 
-/// Lets a job's run say that it has `left_ms` on a worker that stays for two seconds, and returns
-/// whether it is moved.
+/// Returns whether a run that reports `reported_ms` of remaining time is moved from a worker that
+/// leaves in two seconds.
 fn is_moved(estimate_ms: u64, reported_ms: u64) -> bool {
     let mut harness = Harness::new(2);
     let step = Step {
@@ -112,8 +114,8 @@
     orders.iter().any(|o| !o.order.stops.is_empty())
 }
 
-/// Guards against stops of runs that would be done in time, and losses of runs that would not, where the
-/// caller's guess is far off.
+/// Guards against wrong estimates of callers: stopping a run that would complete in time, or losing
+/// one that would not.
 #[test]
 fn estimate_replaced() {
     assert!(!is_moved(60_000, 500));
--- a/dragonflyrun/tests/run_proofs.rs
+++ b/dragonflyrun/tests/run_proofs.rs
@@ -1,4 +1,4 @@
-//! When the planner may take a run for over: by proof only.
+//! When the planner may consider a run ended: only with proof.
 
 mod workload_tables;
 
@@ -13,8 +13,9 @@
 };
 use workload_tables::{EPOCH_MS, Harness, bounds, task};
 
-/// A worker falls silent with a task on it. It may run on under its lease, so the task starts
-/// elsewhere only when the lease must have run out; a user whose task ran twice would pay twice.
+/// Guards against a task that runs twice, for which its user would pay twice. A silent worker may
+/// continue the task under its lease, so it starts elsewhere only after the lease must have
+/// expired.
 #[test]
 fn silent_worker() {
     let mut harness = Harness::new(2);
@@ -44,7 +45,7 @@
     harness.pass();
     assert!(
         harness.running("job").is_empty(),
-        "its lease may still hold"
+        "its lease may still be valid"
     );
     harness.advance(1_000);
     harness.pass();
@@ -52,8 +53,8 @@
     assert_eq!(harness.running("job")[0].1.number, 2);
 }
 
-/// The planner itself can't read reports for a while. That says nothing about the agents, and
-/// closing their sessions would throw all running work away.
+/// Guards against sessions that are fenced, and running work that is stopped, because the planner
+/// itself can't read reports for a while. That proves nothing about the agents.
 #[test]
 fn planner_read_outage() {
     let mut harness = Harness::new(2);
@@ -73,11 +74,12 @@
     let decisions = harness.planner.decide(&view(61_000, reads_since));
     assert!(
         decisions.orders.is_empty(),
-        "agents have a while to report again"
+        "agents have some time to report again"
     );
 }
 
-/// A worker starts again. Nothing of its last life runs, so its tasks start anew at once.
+/// Guards against tasks that wait after their worker has restarted: nothing of its last incarnation
+/// is running, so they start again immediately.
 #[test]
 fn restarted_worker() {
     let mut harness = Harness::new(1);
@@ -95,8 +97,8 @@
     assert_eq!(harness.running("job")[0].1.number, 2);
 }
 
-/// Guards against runs of cancelled jobs that go on: a stop that was sent to an agent's session before its
-/// process ended is never carried out, and the next session has to be told anew.
+/// Guards against runs of cancelled jobs that continue. A stop for an agent's session is never
+/// executed if its process ends first, so it has to be sent to the next session again.
 #[test]
 fn stop_after_restart() {
     let mut harness = Harness::new(1);
@@ -112,7 +114,10 @@
         let mut orders = orders.iter().filter(|o| o.session == session);
         orders.any(|o| o.order.stops.contains(&run))
     };
-    assert!(stops(&mut harness, 1), "the first session is told");
+    assert!(
+        stops(&mut harness, 1),
+        "the first session is ordered to stop"
+    );
     harness.change_report("w0", |report| {
         report.session = 100;
         report.sequence = 0;
@@ -120,12 +125,12 @@
     });
     assert!(
         stops(&mut harness, 100),
-        "the second session is told as well"
+        "the second session is ordered to stop too"
     );
 }
 
-/// After a loss of power another worker answers at the address of the old one. The old one can't
-/// run any more, and its tasks need not wait for its lease.
+/// Guards against tasks that wait for the lease of a worker that can't be running: after a power
+/// failure another worker answers at its address.
 #[test]
 fn replaced_at_address() {
     let mut harness = Harness::new(1);
@@ -142,7 +147,7 @@
     assert_eq!((&*runs[0].0, runs[0].1.number), ("new", 2));
 }
 
-/// A report arrives twice, or seconds late. What has changed since must not be undone.
+/// Guards against changes that are undone by a report that arrives twice or seconds late.
 #[test]
 fn late_report() {
     let mut harness = Harness::new(2);
@@ -162,8 +167,8 @@
     assert_eq!(harness.outcome("job"), Some(Outcome::Completed));
 }
 
-/// One member of a gang is refused. The others would wait for it in vain, so they are stopped and
-/// the gang starts anew with one number for all.
+/// Guards against gang members that wait in vain for one that was refused. They are stopped, and
+/// the gang starts again with one run number for all.
 #[test]
 fn refused_member() {
     let mut harness = Harness::new(3);
@@ -197,8 +202,8 @@
     assert!(runs.iter().all(|(_, run)| run.number == 2));
 }
 
-/// Several members of a gang report the failure of one run. It counts as one attempt; counted for
-/// each member, a job that could be done would be given up.
+/// Guards against a job that is given up too early because each member's report of one failed gang
+/// run counts as an attempt.
 #[test]
 fn gang_fails_once() {
     let mut harness = Harness::new(4);
@@ -224,8 +229,9 @@
     assert_eq!(harness.outcome("gang"), Some(Outcome::Failed));
 }
 
-/// All processes are killed. The next planner knows from the plan what runs, keeps it, and starts
-/// nothing a second time before the agents' reports are read.
+/// Guards against second starts after all processes were killed. The next planner learns from the
+/// stored plan what is running, keeps it, and starts nothing again before it has read the agents'
+/// reports.
 #[test]
 fn take_over() {
     let mut harness = Harness::new(1);
@@ -280,8 +286,9 @@
     assert!(decisions.orders.is_empty(), "{decisions:?}");
 }
 
-/// The store turns so slow that no report comes for a while. All agents seem silent, but they are
-/// not gone; closing all sessions would stop all running work. Only after twice the time it is done.
+/// Guards against fencing all sessions, which would stop all running work, when the store becomes
+/// so slow that no report arrives for a while. The agents are given up only after twice the usual
+/// silence.
 #[test]
 fn all_agents_silent() {
     let mut harness = Harness::new(4);
@@ -301,8 +308,8 @@
     assert_eq!(fences.count(), 4);
 }
 
-/// All hosts have lost power, and the store still has the reports of workers that are gone. A job
-/// that was started on one of them would stand still until somebody noticed.
+/// Guards against jobs that are started on workers that are gone and stall there unnoticed: all
+/// hosts have lost power, and the store still contains the workers' reports.
 #[test]
 fn stale_reports() {
     let mut harness = Harness::new(0);
@@ -319,9 +326,9 @@
     assert_eq!(&*harness.running("job")[0].0, "new");
 }
 
-/// All hosts have lost power, and a new planner reads of a worker that is gone after its successor at
-/// the same address. Its tasks must start again at once, not when the successor reports the next
-/// time: callers would see all work stand still for another second.
+/// Guards against work that stalls for another second after a power failure of all hosts. A new
+/// planner reads the report of the worker that is gone after that of its replacement at the same
+/// address. The tasks must start again immediately, not with the replacement's next report.
 #[test]
 fn successor_read_first() {
     let now = Timestamp::default();
@@ -354,8 +361,8 @@
     assert_eq!((&over[0].run, &over[0].why), (&run, &RunOverReason::Gone));
 }
 
-/// Guards against agents given up one by one on a slow store, where the reports of all of them queue:
-/// everything that runs on their workers would be stopped.
+/// Guards against giving up agents one by one on a slow store, where the reports of all agents
+/// queue: everything on their workers would be stopped.
 #[test]
 fn all_reports_late() {
     const WORKERS: u64 = 7;
@@ -369,7 +376,8 @@
     }
 }
 
-/// Guards against an agent that is never given up since others are late too.
+/// Guards against a silent agent that is never given up because the reports of the others are late
+/// too.
 #[test]
 fn silent_among_late() {
     const WORKERS: u64 = 7;
--- a/dragonflyrun/tests/run_schedules.rs
+++ b/dragonflyrun/tests/run_schedules.rs
@@ -1,14 +1,14 @@
-//! Whatever is late, lost or replaced: no task has two runs at once, none runs again after it was
-//! done, and in the end every job is done.
+//! Under seeded schedules of faults, no task has two runs at once, none runs again after it was
+//! completed, and every job ends.
 
 mod workload_world;
 
 use workload_world::{FaultRates, World};
 
-/// Seeds that CI runs; `docs/PROMISES.md` says how many were run by hand.
+/// Number of seeds that CI runs; `docs/PROMISES.md` says how many were run by hand.
 const SEEDS: u64 = 60;
 
-/// Steps with faults, and without.
+/// Number of steps with faults, and of the steps without faults that follow.
 const FAULT_STEPS: u32 = 4_000;
 const FAULTLESS_STEPS: u32 = 6_000;
 
@@ -48,7 +48,7 @@
         "seed {seed}: {:?}",
         world.violations
     );
-    assert!(world.all_ended(), "seed {seed}: jobs stand still");
+    assert!(world.all_ended(), "seed {seed}: jobs did not end");
 }
 
 const NO_FAULTS: FaultRates = FaultRates {
@@ -60,14 +60,15 @@
     crashes: 0,
 };
 
-/// Nothing goes wrong; the model itself must let work be done.
+/// Guards against a model that itself keeps jobs from completing.
 #[test]
 fn no_faults() {
     run_schedule(0, &NO_FAULTS);
 }
 
-/// Calls to workers are carried out seconds late, answers are lost, agents freeze, restart and lose
-/// the store, workers crash and come back. A user whose task ran twice at once would pay twice.
+/// Guards against tasks that run twice at once, for which a user would pay twice. Calls to workers
+/// are executed seconds late, answers are lost, agents freeze, restart and lose the store, and
+/// workers crash and return.
 #[test]
 fn agents_and_workers() {
     for seed in seeds() {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Planners are replaced at any moment and go on for a while, and the store does their writes
-/// late. A user whose task ran twice at once would pay twice.
+/// Guards against tasks that run twice at once, for which a user would pay twice. Planners are
+/// replaced at any time and continue for a while, and the store executes their writes late.
 #[test]
 fn planners_and_store() {
     for seed in seeds() {
@@ -97,7 +98,7 @@
     }
 }
 
-/// All of it together.
+/// Guards against the same under all faults together.
 #[test]
 fn all_faults() {
     for seed in seeds() {
--- a/dragonflyrun/tests/shared_workers.rs
+++ b/dragonflyrun/tests/shared_workers.rs
@@ -1,12 +1,12 @@
-//! Tasks that serve users of their own, and tasks that take what processor time is left over.
+//! Tasks that serve users, and tasks that use leftover processor time.
 
 mod workload_tables;
 
 use dragonflyrun::{port::EndKind, workload::Step};
 use workload_tables::{Harness, task};
 
-/// A task that takes leftovers slows those that serve users beside it, by amounts that change within
-/// seconds. They never stand on one worker.
+/// Guards against slow answers to users: a task that uses leftover time slows the serving tasks
+/// beside it by amounts that change within seconds. The two kinds never share a worker.
 #[test]
 fn serving_kept_apart() {
     let mut harness = Harness::new(2);
@@ -40,8 +40,8 @@
     );
 }
 
-/// A task that lasts fails or ends now and then. Its users notice each gap, so it starts again
-/// however often it failed, and nothing is started in its place.
+/// Guards against a lasting task that isn't restarted, which its users would notice. It fails or
+/// ends occasionally, is restarted regardless of the number of failures, and is never evicted.
 #[test]
 fn lasting_task_restarts() {
     let mut harness = Harness::new(1);
--- a/dragonflyrun/tests/slow_appends.rs
+++ b/dragonflyrun/tests/slow_appends.rs
@@ -6,7 +6,7 @@
 
 const MIN_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Guards against appends that are given up and repeated while they stand in a queue of up to 2 s.
+/// Guards against appends that time out and are repeated while they wait in a queue of up to 2 s.
 #[test]
 fn queue_waited_out() {
     assert!(append_timeout(MIN_TIMEOUT, Duration::from_millis(280)) > Duration::from_secs(2));
@@ -16,34 +16,37 @@
     );
 }
 
-/// Guards against records that say nothing and keep the next plan waiting.
+/// Guards against heartbeat records that carry no news and delay the next plan.
 #[test]
 fn plans_as_heartbeats() {
     let mut heartbeat = PlannerHeartbeat::default();
-    assert!(heartbeat.is_due(false), "nothing was shown");
+    assert!(heartbeat.is_due(false), "no heartbeat was stored");
     heartbeat.plan_sent();
     for _ in 0..5 {
-        assert!(!heartbeat.is_due(false), "the plan is under way");
+        assert!(!heartbeat.is_due(false), "a plan is being appended");
     }
     heartbeat.plan_stored();
-    assert!(!heartbeat.is_due(false), "it has just been shown");
+    assert!(!heartbeat.is_due(false), "a plan has just been stored");
     assert!(heartbeat.is_due(false));
 }
 
-/// Guards against a planner that has turned stale and whose plans hide it.
+/// Guards against a planner whose plans hide that it has become stale.
 #[test]
 fn stale_reported() {
     let mut heartbeat = PlannerHeartbeat::default();
     heartbeat.plan_stored();
     assert!(
         heartbeat.is_due(true),
-        "a plan does not tell that it is stale"
+        "a plan does not say that the planner is stale"
     );
     heartbeat.record_sent(true);
     heartbeat.plan_stored();
-    assert!(!heartbeat.is_due(true), "it has been told");
+    assert!(!heartbeat.is_due(true), "the heartbeat has said it");
     heartbeat.plan_sent();
-    assert!(heartbeat.is_due(false), "nor that it no longer is");
+    assert!(
+        heartbeat.is_due(false),
+        "a plan does not say that it is no longer stale"
+    );
     let mut claimed = PlannerHeartbeat::claimed(true);
     claimed.plan_stored();
     assert!(claimed.is_due(false));
--- a/dragonflyrun/tests/slow_orders.rs
+++ b/dragonflyrun/tests/slow_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of a planner whose host has a slow link.
+//! Orders of a planner on a host with a slow link.
 
 mod store_entry;
 
@@ -27,36 +27,36 @@
     time::{sleep, timeout},
 };
 
-/// Partitions of a topic.
+/// Number of partitions per topic.
 const PARTITIONS: u32 = 24;
 
 const WORKERS: u32 = 50;
 
-/// Jobs that come at once, each with a task for each worker.
+/// Number of jobs that arrive at once, each with a task for each worker.
 const JOBS: usize = 5;
 
-/// The longest text that a caller hands in with a job.
+/// The largest payload that a caller submits with a job.
 const PAYLOAD_BYTES: usize = 4_000;
 
-/// Bytes a second of a link with 2 Mbit/s.
+/// The bandwidth of a link of 2 Mbit/s, in bytes per second.
 const LINK_BYTES_PER_S: u32 = 250_000;
 
-/// Bytes that the link carries before it is the next append's turn.
+/// Number of bytes that the link transfers before the next append gets its turn.
 const CHUNK_BYTES: usize = 4_096;
 
-/// How often the appends of one partition may run out of time before they will never be done.
+/// Number of timeouts of one partition's appends after which the test considers them stuck.
 const MAX_TIMEOUTS: u32 = 8;
 
-/// A store at the end of a slow link, which all appends share.
+/// A store behind a slow link that all appends share.
 #[derive(Default)]
 struct SlowLinkStore {
     link: tokio::sync::Mutex<()>,
     jobs: Mutex<Vec<StoreRecord>>,
-    /// Runs whose orders stand.
+    /// Runs whose start orders are stored.
     ordered_runs: Mutex<HashSet<RunId>>,
-    /// How often orders of a partition have run out of time.
+    /// Number of timed-out appends of orders per partition.
     timeouts: Mutex<HashMap<Partition, u32>>,
-    /// Numbers the reports.
+    /// The sequence number of the newest report.
     report_sequence: Mutex<u64>,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the newest report of each worker that has them in a partition.
+    /// Returns a new report of each worker that reports in the partition.
     fn reports_in(&self, partition: Partition) -> Vec<StoreRecord> {
         let mut sequence = lock(&self.report_sequence);
         let lanes = Lanes::new(PARTITIONS);
@@ -242,8 +242,8 @@
     }
 }
 
-/// Guards against orders that are never sent: those for many workers share a slow link, all run out of
-/// time at once, and each is begun anew, while the planner shows that it lives and keeps the term.
+/// Guards against orders that are never stored. Those for many workers share a slow link, all time
+/// out at once and are appended again from the start, while the planner's heartbeats keep its term.
 #[tokio::test]
 async fn burst_orders_sent() {
     let test = async {
@@ -263,7 +263,7 @@
             let timeouts = lock(&store.timeouts).values().copied().max().unwrap_or(0);
             assert!(
                 timeouts < MAX_TIMEOUTS,
-                "orders of {ordered_runs} of {all} runs, and one partition cut off {timeouts} times"
+                "orders of {ordered_runs} of {all} runs, one partition timed out {timeouts} times"
             );
             sleep(Duration::from_millis(10)).await;
         }
--- a/dragonflyrun/tests/starving_gangs.rs
+++ b/dragonflyrun/tests/starving_gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs that wait behind small tasks, and work that must not be stopped once more.
+//! Gangs that are starved by small tasks, and late work that must not be evicted again.
 
 mod workload_tables;
 
@@ -36,17 +36,22 @@
     }
 }
 
-/// Guards against a gang of normal urgency that small patient tasks keep from whole workers for good.
+/// Guards against a gang of normal urgency that never gets whole workers because of small patient
+/// tasks.
 #[test]
 fn gang_clears_room() {
     let mut harness = full_pool();
     harness.submit("gang", 1, vec![gang()]);
-    assert_eq!(stopped(&harness.pass(), "flood"), 0, "it may wait a while");
+    assert_eq!(
+        stopped(&harness.pass(), "flood"),
+        0,
+        "it has not waited long"
+    );
     harness.advance(9_000);
     assert!(stopped(&harness.pass(), "flood") > 0);
 }
 
-/// Guards against clearing room for small tasks, which find some by themselves.
+/// Guards against evictions for small tasks, which find room without them.
 #[test]
 fn small_tasks_wait() {
     let mut harness = full_pool();
@@ -55,8 +60,8 @@
     assert_eq!(stopped(&harness.pass(), "flood"), 0);
 }
 
-/// Guards against stopping the job that has waited longest, since its objective is lost anyway: it would
-/// be of no use at all.
+/// Guards against evicting the job that has waited longest because its objective is missed anyway:
+/// it would become useless.
 #[test]
 fn late_job_spared() {
     let mut harness = Harness::new(2);
--- a/dragonflyrun/tests/step_tickets.rs
+++ b/dragonflyrun/tests/step_tickets.rs
@@ -1,4 +1,4 @@
-//! Steps of queues whose policy asks the advisor run only where it has given a ticket.
+//! Steps of queues with an advice policy run only where the advisor has issued a ticket.
 
 mod workload_tables;
 
@@ -36,7 +36,7 @@
     assert_eq!(decisions.questions.len(), 1);
     assert!(
         harness.pass().questions.is_empty(),
-        "one question at a time"
+        "only one question per step is open"
     );
     let now = Timestamp::from_millis(harness.now_ms);
     harness
@@ -48,9 +48,9 @@
     assert_eq!(&*harness.running("job")[0].0, "w2");
 }
 
-/// The advisor does not answer, and later its ticket runs out or a worker that has started again
-/// does not take it. The step is asked about again, and nothing starts without a ticket, since the
-/// worker would only refuse it.
+/// Guards against starts without a ticket, which the worker would only refuse, and against steps
+/// that are never asked about again. The advisor doesn't answer the first question, and later a
+/// worker refuses its ticket.
 #[test]
 fn tickets_run_out() {
     let mut harness = harness();
@@ -66,7 +66,7 @@
     harness
         .planner
         .apply_advice(Timestamp::from_millis(harness.now_ms), &question, None);
-    assert!(harness.pass().questions.is_empty(), "not at once again");
+    assert!(harness.pass().questions.is_empty(), "not immediately again");
     harness.advance(1_000);
     let question = harness.pass().questions.remove(0);
     harness.planner.apply_advice(
--- a/dragonflyrun/tests/store_entry/mod.rs
+++ b/dragonflyrun/tests/store_entry/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of an entry on a store of their own have in common.
+//! Common parts of the tests that run an entry on a store of their own.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     process::on_store::{StoreBounds, StoreSettings},
 };
 
-/// The advisor of a deployment that has none.
+/// An advisor that never answers.
 pub(crate) struct NoAdvisor;
 
 impl Advisor for NoAdvisor {
--- a/dragonflyrun/tests/store_reachability.rs
+++ b/dragonflyrun/tests/store_reachability.rs
@@ -1,4 +1,4 @@
-//! When callers are refused since the store is away.
+//! When callers are refused because the store is unreachable.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
     reachability
 }
 
-/// Guards against callers that wait while it is known that the store turns this host away.
+/// Guards against callers that wait although the store is known to refuse this host.
 #[test]
 fn refused_reads() {
     let start = Instant::now();
@@ -24,26 +24,27 @@
     reachability.read_failed();
     assert!(
         !reachability.is_unreachable(start + ms(200), PROMPT_DELAY),
-        "it is bridged"
+        "a short outage is bridged"
     );
     assert!(reachability.is_unreachable(start + ms(400), PROMPT_DELAY));
     reachability.answered(start + ms(500));
     assert!(!reachability.is_unreachable(start + ms(900), PROMPT_DELAY));
 }
 
-/// Guards against records sent into a partition, whose callers could not try elsewhere any more.
+/// Guards against records that are sent into a network partition: their callers could not try
+/// another entry any more.
 #[test]
 fn silent_reads() {
     let start = Instant::now();
     let reachability = reachable_at(start);
     assert!(
         !reachability.is_unreachable(start + ms(1_000), PROMPT_DELAY),
-        "no news"
+        "a read may wait for records"
     );
     assert!(reachability.is_unreachable(start + ms(1_400), PROMPT_DELAY));
 }
 
-/// Guards against refusing work that a slow store would still take.
+/// Guards against refusing work that a slow store would still accept.
 #[test]
 fn slow_store() {
     let start = Instant::now();
@@ -61,7 +62,7 @@
     assert!(reachability.is_unreachable(start + ms(950), PROMPT_DELAY));
 }
 
-/// Guards against callers that use up their few tries while an outage of some seconds lasts.
+/// Guards against callers that use up their few tries during an outage of some seconds.
 #[test]
 fn retries_outlast() {
     const TRIES: u32 = 5;
@@ -74,6 +75,6 @@
     assert!(tried_at > start + ms(6_000));
     assert!(
         reachability.retry_after(start) <= ms(1_000),
-        "a short refusal"
+        "a short wait at first"
     );
 }
--- a/dragonflyrun/tests/task_placement.rs
+++ b/dragonflyrun/tests/task_placement.rs
@@ -1,4 +1,4 @@
-//! Where the planner starts tasks, in which order, and for whom it makes room.
+//! Where and in which order the planner starts tasks, and for which demands it evicts others.
 
 mod workload_tables;
 
@@ -51,8 +51,8 @@
     );
 }
 
-/// Two of three workers are full. A gang of three whole workers must not start in part: a part
-/// would wait for the rest in vain and hold the room of others.
+/// Guards against gangs that start in part. One of three workers is occupied, and the gang needs
+/// all three. A part of it would wait in vain and occupy workers that others need.
 #[test]
 fn gang_all_or_none() {
     let mut harness = Harness::new(3);
@@ -141,8 +141,8 @@
     assert!(harness.running("nowhere").is_empty());
 }
 
-/// Operators take a failure domain out of service, or a worker says that it is about to leave.
-/// A task that started there now would be lost with it.
+/// Guards against starts where the task would soon be lost: in a failure domain that operators have
+/// taken out of service, and on a worker that has announced its departure.
 #[test]
 fn draining_gets_nothing() {
     let mut harness = Harness::new(6);
@@ -165,8 +165,8 @@
     );
 }
 
-/// The configuration can't be proved to be in force. A start now could be on a failure domain that
-/// was taken out of service meanwhile.
+/// Guards against starts under a configuration that can't be proven to be in force: the failure
+/// domain may have been taken out of service in the meantime.
 #[test]
 fn stale_starts_nothing() {
     let mut harness = Harness::new(1);
@@ -176,8 +176,9 @@
     assert!(harness.running("job").is_empty());
 }
 
-/// The pool is full of patient work when an urgent gang comes that its workspace is guaranteed.
-/// Just as many workers are cleared as it needs, all on one rack, and it starts there.
+/// Guards against guarantees that aren't kept, and against needless evictions. The pool is full of
+/// patient work when an urgent gang arrives that its workspace is guaranteed. Exactly the workers
+/// that it needs are vacated, all in one rack, and it starts there.
 #[test]
 fn guarantee_clears_workers() {
     let mut harness = Harness::new(6);
@@ -201,7 +202,7 @@
     harness.submit_as("sure", "urgent", 0, vec![gang]);
     let decisions = harness.pass();
     let stopped: usize = decisions.orders.iter().map(|o| o.order.stops.len()).sum();
-    assert_eq!(stopped, 16, "two workers are cleared, no more");
+    assert_eq!(stopped, 16, "two workers are vacated, not more");
     for order in &decisions.orders {
         for run in &order.order.stops {
             harness.end_run(run, EndKind::Stopped);
@@ -213,8 +214,8 @@
     assert_eq!(urgent.len(), 2);
 }
 
-/// Other workspaces' urgent jobs have taken all workers. They only borrowed the room: the job
-/// that is guaranteed it gets it back.
+/// Guards against lent accelerators that are not returned: urgent jobs of another workspace occupy
+/// all workers when a job arrives that is guaranteed one of them.
 #[test]
 fn lent_room_reclaimed() {
     let mut harness = Harness::new(2);
@@ -240,7 +241,7 @@
     assert_eq!(&*stopped[0].task.job, "borrower");
 }
 
-/// A worker that is full of small tasks, each of which has run for 30 s of its 60.
+/// Returns a worker full of small tasks, each of which has run for 30 s of its 60.
 fn full_of_long_running() -> Harness {
     let mut harness = Harness::new(1);
     harness.submit(
@@ -257,8 +258,8 @@
     harness
 }
 
-/// An urgent job without a guarantee finds the pool full of work that has run for long. Throwing
-/// all that away would cost others more than the urgent job is worth, so it waits.
+/// Guards against evictions that cost others more than they are worth to the urgent job. The pool
+/// is full of tasks that have run for long, and the job has no guarantee, so it waits.
 #[test]
 fn costly_eviction_avoided() {
     let mut harness = full_of_long_running();
@@ -274,7 +275,7 @@
     let stops = |d: &dragonflyrun::workload::Decisions| -> usize {
         d.orders.iter().map(|o| o.order.stops.len()).sum()
     };
-    assert_eq!(stops(&before), 1, "one small task is cheap enough");
+    assert_eq!(stops(&before), 1, "one small task is cheap enough to evict");
     let mut harness = full_of_long_running();
     harness.submit(
         "urgent",
@@ -287,12 +288,13 @@
     assert_eq!(
         stops(&harness.pass()),
         0,
-        "a whole worker of old work is not"
+        "a whole worker of long-running tasks is not"
     );
 }
 
-/// Small tasks end one by one on two full workers while more of them wait. The task that needs a
-/// whole worker keeps the room that becomes free first, and does not wait for ever.
+/// Guards against a large task that waits forever because small tasks take each piece of room as
+/// soon as it is free. The small tasks on two full workers end one by one while more of them wait;
+/// the task that needs a whole worker holds the room that becomes free first.
 #[test]
 fn large_task_holds_room() {
     let mut harness = Harness::new(2);
@@ -339,8 +341,9 @@
     assert_eq!(harness.running("large").len(), 1);
 }
 
-/// A worker fails all that it starts and so is always free. After two failures it is left alone,
-/// and the job comes to its end elsewhere instead of using up its attempts there.
+/// Guards against a job that uses up its attempts on one worker. The worker fails everything that
+/// it starts and so is always free. After two failures it is quarantined, and the jobs run
+/// elsewhere.
 #[test]
 fn failing_worker_quarantined() {
     let mut harness = Harness::new(2);
@@ -366,7 +369,7 @@
     }
 }
 
-/// Callers cancel a job in the moment in which it runs: its tasks are told to stop at once.
+/// Guards against running tasks of a cancelled job: they are stopped immediately.
 #[test]
 fn cancelled_tasks_stop() {
     let mut harness = Harness::new(1);
--- a/dragonflyrun/tests/unread_orders.rs
+++ b/dragonflyrun/tests/unread_orders.rs
@@ -1,16 +1,16 @@
-//! Agents that report and do not read their orders.
+//! Agents that report but don't read their orders.
 
 mod workload_tables;
 
 use dragonflyrun::{Timestamp, workload::View};
 use workload_tables::{EPOCH_MS, Harness, task};
 
-/// Seconds after which the planner has to see that an order was not read: ten times what it takes for
-/// the silence of an agent.
+/// Seconds within which the planner has to notice that an order isn't read: ten times the silence
+/// after which an agent is given up.
 const MAX_DETECTION_S: u32 = 30;
 
-/// Guards against a job that stands still for ever beside an idle worker: its agent's reports come, its
-/// orders are not read, and the run that the plan names there neither begins nor is given up.
+/// Guards against a job that stalls forever beside an idle worker. The agent reports but doesn't
+/// read its orders, so the planned run neither starts nor is given up.
 #[test]
 fn order_never_read() {
     let mut harness = Harness::new(2);
@@ -26,11 +26,11 @@
         let mut here = orders.iter().filter(|o| o.worker == worker);
         here.any(|o| o.order.fence)
     });
-    assert!(given_up, "the run is still taken for ordered");
+    assert!(given_up, "the run still counts as ordered");
 }
 
-/// Guards against a session closed as soon as an order stands whose append was late: the agent can't have read
-/// it before, and what runs on its worker would be stopped.
+/// Guards against fencing a session, and stopping everything on its worker, as soon as a late
+/// append of an order is stored: the agent could not have read it before.
 #[test]
 fn late_order() {
     let mut harness = Harness::new(3);
--- a/dragonflyrun/tests/withheld_starts.rs
+++ b/dragonflyrun/tests/withheld_starts.rs
@@ -1,4 +1,4 @@
-//! When the log says that waiting work is not started for want of a proof of the configuration.
+//! When it is logged that starts are withheld because the configuration can't be proven.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Timestamp::from_millis(ms)
 }
 
-/// Guards against a planner whose log looks like that of one without work.
+/// Guards against a planner that withholds starts and logs no more than one without work.
 #[test]
 fn withholding_logged() {
     let mut withheld = WithheldStarts::default();
@@ -24,7 +24,7 @@
     assert_eq!(withheld.observe_pass(at(1_800), true, 3), None);
 }
 
-/// Guards against a line for each of the ten passes a second.
+/// Guards against a log line for each of the ten passes per second.
 #[test]
 fn lines_bounded() {
     let mut withheld = WithheldStarts::default();
@@ -33,7 +33,7 @@
     assert!((10..=13).contains(&lines), "{lines} lines in a minute");
 }
 
-/// Guards against lines about an idle planner: nothing is withheld from anybody.
+/// Guards against log lines of a planner without waiting work, which withholds nothing.
 #[test]
 fn idle_not_logged() {
     let mut withheld = WithheldStarts::default();
--- a/dragonflyrun/tests/worker_departure.rs
+++ b/dragonflyrun/tests/worker_departure.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs on workers that have said when they leave.
+//! Runs on workers that have announced when they leave.
 
 mod workload_tables;
 
@@ -8,10 +8,10 @@
 };
 use workload_tables::{Harness, task};
 
-/// Milliseconds at which the tests' workers say that they leave.
+/// The notice in milliseconds that the tests' workers give before they leave.
 const NOTICE_MS: u64 = 2_000;
 
-/// A task that takes far longer than the notice.
+/// Returns a task that takes far longer than the notice.
 fn long_task(checkpoints: bool) -> Step {
     Step {
         estimate_ms: 20_000,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Starts a job on so many workers and lets it run for a second.
+/// Starts a job on the given number of workers and lets it run for a second.
 fn start_job(priority: u32, step: Step, workers: usize) -> Harness {
     let mut harness = Harness::new(workers);
     harness.submit("job", priority, vec![step]);
@@ -52,17 +52,18 @@
     orders.into_iter().flat_map(|o| o.order.stops).collect()
 }
 
-/// Guards against losing what a run has saved since its last report together with its worker.
+/// Guards against losing the checkpoint that a run has stored since its last report together with
+/// its worker.
 #[test]
 fn checkpointed_before_departure() {
     let mut harness = start_job(2, long_task(true), 1);
     announce_departure(&mut harness, "w0");
-    assert!(stops(&mut harness).is_empty(), "it still works there");
+    assert!(stops(&mut harness).is_empty(), "it may go on there for now");
     harness.advance(NOTICE_MS - 800);
     assert_eq!(stops(&mut harness).len(), 1);
 }
 
-/// Guards against work that stands still from the loss of its worker on, while others are idle.
+/// Guards against work that stalls from the loss of its worker on although others are idle.
 #[test]
 fn moved_at_notice() {
     let mut harness = start_job(2, long_task(true), 2);
@@ -74,7 +75,7 @@
     assert_ne!(harness.running("job")[0].0, worker);
 }
 
-/// Guards against an urgent gang that breaks with one worker and only then begins again.
+/// Guards against an urgent gang that restarts only after one of its workers is lost and it breaks.
 #[test]
 fn urgent_gang_moves() {
     let mut harness = start_job(0, gang(false), 4);
@@ -83,7 +84,7 @@
     assert_eq!(stops(&mut harness).len(), 2, "a gang moves as a whole");
 }
 
-/// Guards against throwing away work that would be done before its worker leaves.
+/// Guards against stopping work that would complete before its worker leaves.
 #[test]
 fn ends_in_time() {
     let step = Step {
@@ -96,8 +97,8 @@
     assert!(stops(&mut harness).is_empty());
 }
 
-/// Guards against throwing away patient work that saves nothing: its worker may stay longer than it
-/// has said.
+/// Guards against stopping patient work that stores no checkpoints: its worker may stay longer than
+/// announced.
 #[test]
 fn unsaved_work_stays() {
     let mut harness = start_job(2, long_task(false), 2);
@@ -107,7 +108,7 @@
     assert!(stops(&mut harness).is_empty());
 }
 
-/// Guards against more runs stopped for room elsewhere than that room takes.
+/// Guards against stopping more runs than fit into the free room elsewhere.
 #[test]
 fn room_counted_once() {
     let mut harness = Harness::new(2);
--- a/dragonflyrun/tests/worker_speeds.rs
+++ b/dragonflyrun/tests/worker_speeds.rs
@@ -1,4 +1,4 @@
-//! How fast workers are, and who gets the fast ones.
+//! Workers of different speed, and which work gets the fast ones.
 
 mod workload_tables;
 
@@ -9,8 +9,8 @@
 };
 use workload_tables::{Harness, task};
 
-/// Lets a worker say that a task on it came on from checkpoint to checkpoint, each 2 s of work, in
-/// so many milliseconds.
+/// Adds a pace to a worker's report: a task on it took `interval_ms` from one checkpoint to the
+/// next, each after 2 s of work.
 fn report_pace(harness: &mut Harness, worker: &str, job: &str, interval_ms: u64) {
     let run = run_on(harness, worker, job);
     harness.change_report(worker, |report| {
@@ -28,8 +28,8 @@
     runs_there.next().expect("a run on the worker").1
 }
 
-/// Returns six workers on each of which a patient task has run: the second of each three works a
-/// third slower.
+/// Returns six workers on each of which a patient task has run. The second one of each three is
+/// slower by a third.
 fn workers_with_paces() -> Harness {
     let mut harness = Harness::new(6);
     let steps = Step {
@@ -55,9 +55,9 @@
     workers
 }
 
-/// Some workers of the pool take a third longer, and nobody has said so. A clerk's urgent gang is as
-/// slow as the slowest of its workers, so with one of these it would come too late however early it
-/// began.
+/// Guards against urgent gangs on slow workers. Some workers take a third longer, which is not
+/// configured anywhere. A gang is as slow as its slowest worker, so with one of these it would be
+/// late however early it started.
 #[test]
 fn urgent_on_fast() {
     let mut harness = workers_with_paces();
@@ -75,8 +75,8 @@
     );
 }
 
-/// Work that has time to wait would take the fast workers first just as well; the next urgent gang
-/// would then find only slow ones.
+/// Guards against fast workers that are occupied by work that has time to wait: the next urgent
+/// gang would find only slow ones.
 #[test]
 fn patient_on_slow() {
     let mut harness = workers_with_paces();
@@ -90,8 +90,8 @@
     assert_eq!(workers_of(&harness, "later"), ["w1", "w4"].map(Name::from));
 }
 
-/// A worker says how fast tasks came on that ran away from their data. They are slow on any worker;
-/// taken for a slow worker, it would be spared for nothing.
+/// Guards against a healthy worker that counts as slow because its tasks ran far from their data,
+/// which is slow on any worker. It would be avoided without reason.
 #[test]
 fn far_from_data() {
     let mut harness = Harness::new(3);
@@ -113,8 +113,8 @@
     assert_eq!(workers_of(&harness, "urgent"), ["w0"].map(Name::from));
 }
 
-/// A gang over two workers comes on as its slower one does. Its other worker is not slow for that
-/// and has to be free for urgent work.
+/// Guards against a fast worker that counts as slow because of a gang. A gang on two workers
+/// progresses at the pace of the slower one; the other one has to be available for urgent work.
 #[test]
 fn mixed_gang_pace() {
     let mut harness = Harness::new(3);
--- a/dragonflyrun/tests/workload_tables/mod.rs
+++ b/dragonflyrun/tests/workload_tables/mod.rs
@@ -1,4 +1,5 @@
-//! A planner's table with workers that do as they are told, for tests of single decisions.
+//! A planner with simulated workers that execute its orders immediately, for tests of single
+//! decisions.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -24,10 +25,10 @@
     },
 };
 
-/// Unix milliseconds at which every test begins.
+/// The Unix time in milliseconds at which every test starts.
 pub(crate) const EPOCH_MS: u64 = 1_000_000;
 
-/// A planner and its workers.
+/// A planner and its simulated workers.
 pub(crate) struct Harness {
     pub(crate) planner: Planner,
     pub(crate) now_ms: u64,
@@ -36,12 +37,12 @@
     pub(crate) is_fresh: bool,
     /// The newest report of each worker.
     pub(crate) reports: Vec<Report>,
-    /// All records that were written into the plan.
+    /// All plan records that the planner has written.
     pub(crate) written_records: Vec<JobRecord>,
     offset: u64,
 }
 
-/// A task with so many accelerators.
+/// Returns a step of one task with the given number of accelerators.
 pub(crate) fn task(accelerators: u64) -> Step {
     Step {
         tasks: 1,
@@ -66,7 +67,7 @@
 }
 
 impl Harness {
-    /// Returns a planner with so many workers of 8 accelerators, three to a rack.
+    /// Returns a planner with the given number of workers of 8 accelerators, three per rack.
     pub(crate) fn new(workers: usize) -> Self {
         let mut harness = Self {
             planner: Planner::take_over(bounds(), &JobTable::default(), Timestamp::default()),
@@ -84,7 +85,7 @@
         harness
     }
 
-    /// Lets a worker report for the first time.
+    /// Adds a worker and sends its first report.
     pub(crate) fn add_worker(&mut self, name: &str, rack: &str) {
         self.reports.push(Report {
             heartbeat: Heartbeat {
@@ -121,12 +122,12 @@
         self.report(name);
     }
 
-    /// Hands a job in and returns its name.
+    /// Submits a job of the workspace `w` and returns its name.
     pub(crate) fn submit(&mut self, name: &str, priority: u32, steps: Vec<Step>) -> Name {
         self.submit_as("w", name, priority, steps)
     }
 
-    /// Hands a job of a workspace in.
+    /// Submits a job of a workspace and returns its name.
     pub(crate) fn submit_as(
         &mut self,
         workspace: &str,
@@ -156,7 +157,7 @@
         name
     }
 
-    /// Lets the planner decide, and the workers carry its orders out.
+    /// Runs one pass of the planner and lets the workers execute its orders.
     pub(crate) fn pass(&mut self) -> Decisions {
         let decisions = self.planner.decide(&View {
             now: Timestamp::from_millis(self.now_ms),
@@ -190,7 +191,7 @@
         decisions
     }
 
-    /// Lets all workers report.
+    /// Sends a report of every worker.
     pub(crate) fn report_all(&mut self) {
         let names: Vec<Name> = self
             .reports
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Lets a worker report.
+    /// Sends a report of one worker.
     pub(crate) fn report(&mut self, worker: &str) {
         let now = Timestamp::from_millis(self.now_ms);
         let report = self
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Lets time go by in which all workers report each second.
+    /// Advances the time. All workers report every second.
     pub(crate) fn advance(&mut self, ms: u64) {
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Ends all runs of a job in `kind`, and lets their workers report.
+    /// Ends all runs of a job in the given way and sends the reports.
     pub(crate) fn end_runs(&mut self, job: &str, kind: EndKind) {
         let runs: Vec<RunId> = self.running(job).into_iter().map(|(_, run)| run).collect();
         for run in runs {
@@ -233,7 +234,7 @@
         self.report_all();
     }
 
-    /// Ends one run.
+    /// Ends one run without sending a report.
     pub(crate) fn end_run(&mut self, run: &RunId, kind: EndKind) {
         for report in &mut self.reports {
             let before = report.running.len();
@@ -264,7 +265,7 @@
         runs.filter(|(_, run)| &*run.task.job == job).collect()
     }
 
-    /// Returns how a job has ended, by the newest plan.
+    /// Returns the outcome of a job in its newest plan.
     pub(crate) fn outcome(&self, job: &str) -> Option<Outcome> {
         self.plan(job).and_then(|p| p.outcome)
     }
@@ -280,7 +281,7 @@
             })
     }
 
-    /// Makes a worker's report say something else from now on.
+    /// Changes a worker's report permanently and sends it.
     pub(crate) fn change_report(&mut self, worker: &str, change: impl FnOnce(&mut Report)) {
         if let Some(report) = self
             .reports
@@ -292,7 +293,7 @@
         self.report(worker);
     }
 
-    /// Makes a worker refuse a run.
+    /// Replaces a running run by a refusal and sends the reports.
     pub(crate) fn refuse_run(&mut self, run: &RunId, outcome: StartOutcome) {
         for report in &mut self.reports {
             if report.running.iter().any(|r| r.run == *run) {
--- a/dragonflyrun/tests/workload_world/agent.rs
+++ b/dragonflyrun/tests/workload_world/agent.rs
@@ -1,4 +1,4 @@
-//! An agent with its calls under way.
+//! An agent of the model and its calls in flight.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 
 use super::{LEASE_MS, World, worker};
 
-/// What is on its way between an agent and its worker, or the store.
+/// A message in flight between an agent and its worker or the store.
 #[derive(Debug)]
 enum Event {
-    /// A call arrives that was meant for this life of the worker: its name and its birth.
+    /// A call for one incarnation of the worker, given by its name and time of birth, arrives.
     Call {
         incarnation: (String, u64),
         call: Call,
         answered: bool,
     },
-    /// An answer arrives.
+    /// An answer arrives at the agent.
     Answer(Answer),
     /// A read of orders reaches the store.
     Read {
@@ -55,7 +55,7 @@
     },
 }
 
-/// An agent.
+/// An agent of the model.
 pub(crate) struct ModelAgent {
     table: AgentTable,
     next_offset: u64,
@@ -68,7 +68,7 @@
 }
 
 impl ModelAgent {
-    /// Returns an agent that has heard of no worker.
+    /// Returns an agent that has not received a heartbeat of any worker.
     pub(crate) fn new() -> Self {
         Self {
             table: AgentTable::new(Duration::from_millis(LEASE_MS)),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Freezes, restarts or cuts off an agent.
+/// Freezes, restarts or disconnects an agent.
 pub(crate) fn inject_fault(world: &mut World, i: usize) {
     let now = world.now;
     let until = now + world.rng.random_range(200..9_000);
@@ -93,8 +93,7 @@
         0 => agent.frozen_until = until,
         1 => agent.disconnected_until = until,
         _ => {
-            // Calls that the worker has not carried out yet are still on their way; their answers
-            // find nobody.
+            // Calls that the worker has not executed yet still arrive; their answers are lost.
             let calls = agent
                 .events
                 .drain(..)
@@ -121,13 +120,13 @@
     }
 }
 
-/// Lets an agent do what is due.
+/// Processes the messages that are due, then lets the agent act.
 pub(crate) fn step(world: &mut World, i: usize) {
     let now = world.now;
     let events = std::mem::take(&mut world.agents[i].events);
     let frozen = now < world.agents[i].frozen_until;
     for (at, event) in events {
-        // What is on its way to the worker arrives also while the agent is frozen.
+        // Messages to the worker and the store arrive also while the agent is frozen.
         let is_for_agent = matches!(event, Event::Answer(_));
         if at > now || (is_for_agent && frozen) {
             world.agents[i].events.push((at, event));
@@ -315,14 +314,14 @@
     let task_ms = world.rng.random_range(200..2_500);
     let worker = &mut world.workers[i];
     if !worker.is_up() {
-        // Nobody listens there; the agent hears so at once.
+        // The connection is refused, which the agent notices immediately.
         if let (true, Call::Lists { .. }) = (answered, &call) {
             let instant = world.instant();
             world.agents[i].table.unreachable(true, instant);
         }
         return;
     }
-    // Any other life of the worker refuses the call and does nothing.
+    // Any other incarnation of the worker rejects the call.
     if worker.incarnation() != *incarnation {
         return;
     }
@@ -362,7 +361,7 @@
         let at = now + world.rng.random_range(1..40);
         world.agents[i].events.push((at, Event::Answer(answer)));
     } else if let Answer::Start(run, token, _) = answer {
-        // The agent's call runs out of time.
+        // The agent's call times out.
         let unknown = Answer::Start(run, token, StartResult::Unknown);
         world.agents[i]
             .events
--- a/dragonflyrun/tests/workload_world/mod.rs
+++ b/dragonflyrun/tests/workload_world/mod.rs
@@ -1,8 +1,8 @@
-//! A model of the store, of workers and of everything between them, for seeded schedules of faults.
+//! A model of the store, the workers and the network between them, for seeded schedules of faults.
 //!
-//! The decision tables run as they are. Calls are held up, carried out late, or lose their answers;
+//! The decision tables are the real ones. Calls are delayed, executed late, or lose their answers;
 //! planners are replaced while they still act; agents freeze, restart and lose the store; workers
-//! crash and come back under their own name or another; their clocks run slow.
+//! crash and return under their own name or another one; workers' clocks run slow.
 
 #![allow(dead_code, reason = "each test uses a part of the model")]
 
@@ -31,26 +31,26 @@
 use store::ModelStore;
 use worker::ModelWorker;
 
-/// Milliseconds of one step of the model.
+/// Simulated milliseconds per step.
 const STEP_MS: u64 = 10;
 
-/// Milliseconds of a worker's longest lease.
+/// The longest lease of a worker in milliseconds.
 pub(crate) const LEASE_MS: u64 = 3_000;
 
-/// Faults of one schedule, as chances per thousand.
+/// The faults of one schedule. All rates are chances per thousand.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultRates {
-    /// Calls to workers that are carried out 2 to 12 s late and never answered.
+    /// Calls to workers that are executed 2 to 12 s late and never answered.
     pub(crate) late_calls: u32,
     /// Calls, reads and appends whose answer is lost.
     pub(crate) lost_answers: u32,
-    /// Appends that are done 1 to 6 s late and never answered.
+    /// Appends that are executed 1 to 6 s late and never answered.
     pub(crate) late_appends: u32,
-    /// Chance in each step that a new planner takes over from one that may be well.
+    /// The chance per step that a new planner takes over although the current one may be healthy.
     pub(crate) successions: u32,
-    /// Chance in each step that some agent freezes, restarts or loses the store.
+    /// The chance per step that an agent freezes, restarts or loses the store.
     pub(crate) agent_faults: u32,
-    /// Chance in each step that some worker crashes.
+    /// The chance per step that a worker crashes.
     pub(crate) crashes: u32,
 }
 
@@ -65,14 +65,15 @@
     pub(crate) agents: Vec<ModelAgent>,
     planners: Vec<ModelPlanner>,
     submitted_jobs: u32,
-    /// Tasks of which a done run has been confirmed to its worker.
+    /// Tasks for which a completed run was confirmed to its worker, with the time of the
+    /// confirmation.
     pub(crate) confirmed_done: BTreeMap<TaskId, u64>,
-    /// What must never happen and did.
+    /// The invariant violations found.
     pub(crate) violations: Vec<String>,
 }
 
 impl World {
-    /// Returns a world with so many workers.
+    /// Returns a world with the given number of workers, each with an agent.
     pub(crate) fn new(seed: u64, workers: usize, fault_rates: FaultRates) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let model_workers =
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Returns whether something of this chance per thousand happens.
+    /// Draws whether an event with this chance per thousand occurs.
     pub(crate) fn happens(&mut self, chance: u32) -> bool {
         self.rng.random_range(0..1_000) < chance
     }
 
-    /// Returns the present as the agents' clock has it.
+    /// Returns the current time of the agents' clock.
     pub(crate) fn instant(&self) -> Instant {
         self.started_at + Duration::from_millis(self.now)
     }
 
-    /// Hands a job in.
+    /// Submits a job of two steps. The first step of every third job is a gang.
     pub(crate) fn submit(&mut self) {
         let name = format!("job-{}", self.submitted_jobs);
         self.submitted_jobs += 1;
@@ -145,7 +146,7 @@
         self.store.jobs.push(JobRecord::Accepted(Box::new(job)));
     }
 
-    /// Lets one step go by.
+    /// Advances the model by one step.
     pub(crate) fn step(&mut self) {
         self.now += STEP_MS;
         self.store.apply_late(self.now);
@@ -194,7 +195,7 @@
         self.violations.extend(duplicates);
     }
 
-    /// Returns whether all jobs have come to their end.
+    /// Returns whether all submitted jobs have ended.
     pub(crate) fn all_ended(&self) -> bool {
         let ended = self.store.jobs.iter().filter_map(|record| match record {
             JobRecord::Plan(name, Some(plan)) if plan.outcome.is_some() => Some(name),
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -1,4 +1,4 @@
-//! A planner in its term, which may act on long after it has been replaced.
+//! A planner of the model, which may go on acting long after it has been replaced.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,7 +15,7 @@
     store::{ModelStore, Write},
 };
 
-/// A planner.
+/// A planner with the writes that it has not finished.
 pub(crate) struct ModelPlanner {
     planner: Planner,
     term: u64,
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Returns whether it holds the newest term.
+    /// Returns whether the planner holds the newest term.
     pub(crate) fn holds_term(&self, store: &ModelStore) -> bool {
         !self.is_replaced && self.term == store.term
     }
 }
 
-/// Lets all planners act, those that were replaced too.
+/// Lets all planners act, including replaced ones that have not noticed yet.
 pub(crate) fn step_all(world: &mut World) {
     let mut planners = std::mem::take(planners_mut(world));
     for planner in &mut planners {
@@ -84,7 +84,8 @@
     if now < planner.next_step_at {
         return;
     }
-    // A planner is now and then held up for seconds and then goes on as if nothing had happened.
+    // Occasionally a planner is delayed for up to 4 s and then continues as if nothing had
+    // happened.
     let pause = if world.rng.random_range(0..400) == 0 {
         4_000
     } else {
--- a/dragonflyrun/tests/workload_world/store.rs
+++ b/dragonflyrun/tests/workload_world/store.rs
@@ -1,4 +1,5 @@
-//! The store: a log of jobs and plans, orders by lane, reports, and the terms that it refuses.
+//! The store of the model: a log of jobs and plans, a lane of orders per worker, and reports. It
+//! rejects writes of superseded terms.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +8,15 @@
 /// A write of a planner.
 #[derive(Clone, Debug)]
 pub(crate) enum Write {
-    /// Plans.
+    /// Records of plans for the jobs log.
     Plans(Vec<JobRecord>),
-    /// An order on the lane of its worker.
+    /// An order for the lane of its worker.
     Order(WorkerOrder),
-    /// Nothing: only earlier planners are shut out of a worker's lane.
+    /// No record: from now on earlier planners can't write to the worker's lane.
     Fence(String),
 }
 
-/// A write that is done later.
+/// A write that is executed later.
 #[derive(Debug)]
 struct LateWrite {
     at: u64,
@@ -30,7 +31,7 @@
     records: Vec<OrderMessage>,
 }
 
-/// The store.
+/// The state of the store.
 #[derive(Debug, Default)]
 pub(crate) struct ModelStore {
     pub(crate) jobs: Vec<JobRecord>,
@@ -43,8 +44,8 @@
 }
 
 impl ModelStore {
-    /// Does a write; returns its offset, or nothing where the writer has been replaced. A repeat
-    /// gets its first answer.
+    /// Executes a write and returns its offset, or `None` if the writer's term has been superseded.
+    /// A repeated write gets its first answer.
     pub(crate) fn write(&mut self, term: u64, id: u64, write: &Write) -> Option<u64> {
         if let Some(offset) = self.stored_offsets.get(&(term, id)) {
             return Some(*offset);
@@ -81,7 +82,7 @@
         Some(lane)
     }
 
-    /// Lets a write be done at `at`.
+    /// Schedules a write for `at`.
     pub(crate) fn write_late(&mut self, at: u64, term: u64, id: u64, write: Write) {
         self.late_writes.push(LateWrite {
             at,
@@ -91,7 +92,7 @@
         });
     }
 
-    /// Appends a session; returns its number.
+    /// Appends a session record and returns its number.
     pub(crate) fn open_session(&mut self, worker: &str) -> u64 {
         let lane = self.lanes.entry(worker.to_owned()).or_default();
         lane.records.push(OrderMessage::Session {
@@ -100,19 +101,19 @@
         lane.records.len() as u64 - 1
     }
 
-    /// Returns the records of a worker's lane from an offset on.
+    /// Returns the records of a worker's lane starting at offset `from`.
     pub(crate) fn read_lane(&self, worker: &str, from: u64) -> Vec<OrderMessage> {
         let lane = self.lanes.get(worker);
         lane.map(|l| l.records[from as usize..].to_vec())
             .unwrap_or_default()
     }
 
-    /// Lets a report come at `at`.
+    /// Schedules the arrival of a report for `at`.
     pub(crate) fn report_late(&mut self, at: u64, report: Report) {
         self.late_reports.push((at, report));
     }
 
-    /// Does what is due.
+    /// Executes the writes and delivers the reports that are due.
     pub(crate) fn apply_late(&mut self, now: u64) {
         let (due, rest) = std::mem::take(&mut self.late_writes)
             .into_iter()
--- a/dragonflyrun/tests/workload_world/worker.rs
+++ b/dragonflyrun/tests/workload_world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs, ends, a fencing token and a lease on its own slow clock.
+//! A worker of the model: its runs, their ends, a fencing token, and a lease on its own slow clock.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use super::World;
 
-/// A worker in its present life.
+/// A worker in its current incarnation.
 #[derive(Debug)]
 pub(crate) struct ModelWorker {
     pub(crate) name: String,
@@ -31,7 +31,7 @@
 }
 
 impl ModelWorker {
-    /// Returns a worker that was born at `born` and whose clock runs at `rate`.
+    /// Returns a worker that started at `born_ms` and whose clock runs at `clock_rate`.
     pub(crate) fn new(index: usize, born_ms: u64, clock_rate: f64) -> Self {
         Self {
             name: format!("w{index}"),
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Returns whether it runs.
+    /// Returns whether the worker process is running.
     pub(crate) fn is_up(&self) -> bool {
         self.down_until.is_none()
     }
 
-    /// Returns what tells this life of the worker from all others.
+    /// Returns the name and time of birth, which identify this incarnation of the worker.
     pub(crate) fn incarnation(&self) -> (String, u64) {
         (self.name.clone(), self.born_ms)
     }
@@ -66,7 +66,7 @@
         ((now - self.born_ms) as f64 * self.clock_rate) as u64
     }
 
-    /// Returns its next heartbeat.
+    /// Returns the worker's next heartbeat.
     pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Carries out a start.
+    /// Executes a start call.
     pub(crate) fn start(&mut self, now: u64, order: &StartOrder, task_ms: u64) -> StartOutcome {
         if order.token < self.token {
             return StartOutcome::Fenced;
@@ -113,7 +113,7 @@
         StartOutcome::Started
     }
 
-    /// Carries out a stop.
+    /// Executes a stop call and returns whether the token was accepted.
     pub(crate) fn stop(&mut self, run: &RunId, token: u64) -> bool {
         if token < self.token {
             return false;
@@ -127,7 +127,8 @@
         true
     }
 
-    /// Carries out a look: confirms ends, extends the lease, and lists.
+    /// Executes a list call: removes confirmed ends, extends the lease, and returns the lists with
+    /// the confirmed ends that count. Returns `None` for a superseded token.
     pub(crate) fn renew(
         &mut self,
         now: u64,
@@ -144,8 +145,8 @@
             .into_iter()
             .partition(|e| e.number <= confirmed);
         self.ends = pending;
-        // An end that is confirmed only after the lease has lapsed does not count: the task may
-        // have been started elsewhere by then.
+        // An end that is confirmed only after the lease has expired doesn't count, because the task
+        // may have been started elsewhere by then.
         let lapsed_at = self.lapsed_at;
         let counts = |e: &End| {
             self.ended_at
@@ -181,14 +182,14 @@
     }
 }
 
-/// Lets tasks end, leases run out, and a worker that is down come back.
+/// Ends the runs that are due or whose lease has expired, and restarts a worker that is down.
 pub(crate) fn step(world: &mut World, i: usize) {
     let now = world.now;
     if world.workers[i]
         .down_until
         .is_some_and(|until| until <= now)
     {
-        // It comes back under its own name or, as after a loss of power, under another.
+        // The worker returns under its own name or, as after a power failure, under another one.
         let renamed = world.happens(500);
         let clock_rate = world.rng.random_range(0.98..1.0);
         let worker = &mut world.workers[i];
@@ -226,7 +227,7 @@
     }
 }
 
-/// Lets a worker crash for a while.
+/// Crashes a worker for 0.3 to 6 s.
 pub(crate) fn crash(world: &mut World, i: usize) {
     let until = world.now + world.rng.random_range(300..6_000);
     let worker = &mut world.workers[i];
@@ -236,7 +237,7 @@
     }
 }
 
-/// Takes note of ends that were confirmed to a worker.
+/// Records the completed runs whose ends were confirmed to a worker.
 pub(crate) fn record_confirmed(world: &mut World, ends: Vec<End>) {
     for end in ends.into_iter().filter(|e| e.kind == EndKind::Done) {
         world
