--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -298,7 +298,7 @@
 /// Guards against tasks that stall for seconds after their worker has left as announced: that needs
 /// no missing heartbeat as proof.
 #[test]
-fn departed_as_announced() {
+fn announced_departure() {
     let mut table = agent();
     let announced_at = Instant::now();
     let leaving = Heartbeat {
--- a/dragonflyrun/tests/last_attempt.rs
+++ b/dragonflyrun/tests/last_attempt.rs
@@ -39,7 +39,7 @@
 
 /// Guards against a job that fails because its last attempt went to a faulty worker as well.
 #[test]
-fn waits_for_healthy_worker() {
+fn waits_for_proven_worker() {
     let mut harness = faulty_workers(12);
     harness.submit("job", 0, vec![task(8)]);
     for _ in 0..2 {
@@ -71,7 +71,7 @@
 
 /// Guards against preferring an unproven worker to one on which a run has succeeded.
 #[test]
-fn healthy_worker_first() {
+fn proven_worker_first() {
     let mut harness = Harness::new(4);
     harness.submit("job", 0, vec![task(8)]);
     harness.pass();
--- a/dragonflyrun/tests/overdue_runs.rs
+++ b/dragonflyrun/tests/overdue_runs.rs
@@ -15,7 +15,7 @@
 
 /// Returns a planner with two overdue urgent jobs on its first worker and a second worker, which
 /// joined later.
-fn two_late_jobs() -> Harness {
+fn two_overdue_jobs() -> Harness {
     let mut harness = Harness::new(1);
     harness.submit("one", 0, vec![task(4)]);
     harness.submit("other", 0, vec![task(4)]);
@@ -30,7 +30,7 @@
 /// idle: all tasks on the worker stall, but it reports that it is healthy.
 #[test]
 fn moved_elsewhere() {
-    let mut harness = two_late_jobs();
+    let mut harness = two_overdue_jobs();
     assert_eq!(stops(&mut harness), 2);
     for job in ["one", "other"] {
         harness.end_runs(job, EndKind::Stopped);
@@ -47,7 +47,7 @@
 /// them run on the same worker, and both are overdue.
 #[test]
 fn moved_once() {
-    let mut harness = two_late_jobs();
+    let mut harness = two_overdue_jobs();
     assert_eq!(stops(&mut harness), 2);
     for job in ["one", "other"] {
         harness.end_runs(job, EndKind::Stopped);
--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -102,7 +102,7 @@
 /// Guards against a late record of a superseded term that counts as a heartbeat of the current
 /// planner.
 #[test]
-fn old_term() {
+fn superseded_term() {
     let mut election = Election::new("one".into(), 17, at(0));
     let known = term(9, "other", false);
     election.saw_heartbeat(at(1_000), &known);
--- a/dragonflyrun/tests/planner_terms.rs
+++ b/dragonflyrun/tests/planner_terms.rs
@@ -66,7 +66,7 @@
 /// Guards against stopping a running gang because the log is unavailable and the planner's host is
 /// lost too: its tasks have all that they need.
 #[test]
-fn healthy_gang() {
+fn gang_outlives_planner() {
     let mut world = world(1);
     world.noise = false;
     let planner = world.planners()[0];
@@ -84,7 +84,7 @@
 /// Guards against jobs that stall because no entry considers itself the planner, or run twice
 /// because two do. Claims of a term take effect late, twice or not at all.
 #[test]
-fn claim_in_doubt() {
+fn claim_uncertain() {
     for seed in 0..40 {
         let mut world = World::new(seed, ENTRIES, AGENTS);
         world.fault(1_001, 15_000, Fault::LogLoses);
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -76,7 +76,7 @@
     done_before_ms: u64,
     started_ms: u64,
     /// The milliseconds of work done in this run.
-    worked: f64,
+    worked_ms: f64,
     stop_at_ms: Option<u64>,
 }
 
@@ -175,7 +175,7 @@
                 self.ended_ms[number] = Some(self.now_ms);
             }
         }
-        self.work(policy);
+        self.advance_runs(policy);
         for command in policy.decide(self.now_ms) {
             self.execute(command);
         }
@@ -229,7 +229,7 @@
                     worker,
                     done_before_ms: done_ms,
                     started_ms: self.now_ms,
-                    worked: 0.0,
+                    worked_ms: 0.0,
                     stop_at_ms: None,
                 });
                 let used: u64 = self
@@ -255,13 +255,13 @@
     }
 
     /// Advances all runs by one tick and ends those that are due.
-    fn work(&mut self, policy: &mut dyn Policy) {
+    fn advance_runs(&mut self, policy: &mut dyn Policy) {
         let mut ended_runs = Vec::new();
         for i in 0..self.running.len() {
             let speed = self.speed(&self.running[i]);
-            self.running[i].worked += TICK_MS as f64 * speed;
+            self.running[i].worked_ms += TICK_MS as f64 * speed;
             let run = &self.running[i];
-            let total = run.done_before_ms as f64 + run.worked;
+            let total = run.done_before_ms as f64 + run.worked_ms;
             let fails = self.state[run.worker] == Change::Failing;
             let stopped = run.stop_at_ms.is_some_and(|at| at <= self.now_ms);
             if fails && self.now_ms > run.started_ms {
@@ -273,7 +273,7 @@
             }
         }
         for (run, kind) in ended_runs {
-            self.end(&run, kind, policy);
+            self.end_run(&run, kind, policy);
         }
     }
 
@@ -302,7 +302,7 @@
         if stalled { 0.0 } else { 1.0 / factor as f64 }
     }
 
-    fn end(&mut self, run: &RunId, kind: EndKind, policy: &mut dyn Policy) {
+    fn end_run(&mut self, run: &RunId, kind: EndKind, policy: &mut dyn Policy) {
         let Some(first) = self.running.iter().find(|r| r.run == *run) else {
             return;
         };
@@ -319,13 +319,13 @@
                 _ if is_own => kind,
                 _ => EndKind::GangBroken,
             };
-            let Some((worker, saved)) = self.remove_run(&member, kind == EndKind::Done) else {
+            let Some((worker, saved_ms)) = self.remove_run(&member, kind == EndKind::Done) else {
                 continue;
             };
             if kind == EndKind::Done {
                 self.done.insert((job, step, member.task.index), true);
             }
-            policy.run_ended(worker, &member, member_kind, saved);
+            policy.run_ended(worker, &member, member_kind, saved_ms);
         }
         let steps = self.pattern.jobs[job].steps.iter().enumerate();
         let mut tasks =
@@ -344,21 +344,21 @@
         let (accelerators, checkpoints) =
             (pattern_step.accelerators as f64, pattern_step.checkpoints);
         let run = self.running.remove(at);
-        let total = run.done_before_ms + run.worked as u64;
-        let saved = if checkpoints {
+        let total = run.done_before_ms + run.worked_ms as u64;
+        let saved_ms = if checkpoints {
             total - total % CHECKPOINT_MS
         } else {
             0
         };
-        let kept = if done {
+        let kept_ms = if done {
             total
         } else {
-            saved.max(run.done_before_ms)
+            saved_ms.max(run.done_before_ms)
         };
-        let kept_in_run = (kept - run.done_before_ms) as f64;
-        self.outcome.useful += kept_in_run * accelerators / 1_000.0;
-        self.outcome.wasted += (run.worked - kept_in_run).max(0.0) * accelerators / 1_000.0;
-        Some((run.worker, saved.max(run.done_before_ms)))
+        let kept_in_run_ms = (kept_ms - run.done_before_ms) as f64;
+        self.outcome.useful += kept_in_run_ms * accelerators / 1_000.0;
+        self.outcome.wasted += (run.worked_ms - kept_in_run_ms).max(0.0) * accelerators / 1_000.0;
+        Some((run.worker, saved_ms.max(run.done_before_ms)))
     }
 
     fn summarize(mut self) -> Outcome {
--- a/dragonflyrun/tests/slow_appends.rs
+++ b/dragonflyrun/tests/slow_appends.rs
@@ -8,7 +8,7 @@
 
 /// Guards against appends that time out and are repeated while they wait in a queue of up to 2 s.
 #[test]
-fn queue_waited_out() {
+fn queued_append_awaited() {
     assert!(append_timeout(MIN_TIMEOUT, Duration::from_millis(280)) > Duration::from_secs(2));
     assert_eq!(
         append_timeout(MIN_TIMEOUT, Duration::from_millis(5)),
--- a/dragonflyrun/tests/task_placement.rs
+++ b/dragonflyrun/tests/task_placement.rs
@@ -180,7 +180,7 @@
 /// patient work when an urgent gang arrives that its workspace is guaranteed. Exactly the workers
 /// that it needs are vacated, all in one rack, and it starts there.
 #[test]
-fn guarantee_clears_workers() {
+fn guarantee_vacates_workers() {
     let mut harness = Harness::new(6);
     harness.submit(
         "patient",
--- a/dragonflyrun/tests/workload_world/agent.rs
+++ b/dragonflyrun/tests/workload_world/agent.rs
@@ -131,7 +131,7 @@
         if at > now || (is_for_agent && frozen) {
             world.agents[i].events.push((at, event));
         } else {
-            handle(world, i, event);
+            handle_event(world, i, event);
         }
     }
     if frozen {
@@ -155,7 +155,7 @@
     if !connected || (agent.table.session().is_some() && !closed) {
         return;
     }
-    if let Some((worker, born)) = agent.table.worker() {
+    if let Some((worker, born_ms)) = agent.table.worker() {
         if closed {
             let reports = agent.table.reports(0);
             agent.table.forget_departed();
@@ -167,7 +167,7 @@
         }
         let number = world.store.open_session(&worker);
         let agent = &mut world.agents[i];
-        agent.table.begin_session(&worker, born, number);
+        agent.table.begin_session(&worker, born_ms, number);
         agent.next_offset = number + 1;
         agent.reading = false;
     }
@@ -218,14 +218,14 @@
 }
 
 fn send_actions(world: &mut World, i: usize, actions: Vec<AgentAction>) {
-    let Some((worker, born)) = world.agents[i].table.worker() else {
+    let Some((worker, born_ms)) = world.agents[i].table.worker() else {
         return;
     };
     let Some(session) = world.agents[i].table.session() else {
         return;
     };
     for action in actions {
-        let incarnation = (worker.to_string(), born);
+        let incarnation = (worker.to_string(), born_ms);
         send(world, i, incarnation, Call::Act(session, action));
     }
 }
@@ -263,7 +263,7 @@
     }
 }
 
-fn handle(world: &mut World, i: usize, event: Event) {
+fn handle_event(world: &mut World, i: usize, event: Event) {
     match event {
         Event::Call {
             incarnation,
--- a/dragonflyrun/tests/workload_world/planner.rs
+++ b/dragonflyrun/tests/workload_world/planner.rs
@@ -93,7 +93,7 @@
     };
     planner.next_step_at = now + world.rng.random_range(10..=pause);
     if let Some((id, write)) = planner.writes.front().cloned() {
-        do_write(world, planner, id, write);
+        execute_write(world, planner, id, write);
         return;
     }
     read(world, planner);
@@ -115,14 +115,14 @@
         .filter_map(JobRecord::decode)
         .collect();
     if !plans.is_empty() {
-        push(planner, Write::Plans(plans));
+        queue_write(planner, Write::Plans(plans));
     }
     for order in decisions.orders {
-        push(planner, Write::Order(order));
+        queue_write(planner, Write::Order(order));
     }
 }
 
-fn push(planner: &mut ModelPlanner, write: Write) {
+fn queue_write(planner: &mut ModelPlanner, write: Write) {
     planner.writes.push_back((planner.next_write, write));
     planner.next_write += 1;
 }
@@ -139,7 +139,7 @@
     planner.reports_read = world.store.reports.len();
 }
 
-fn do_write(world: &mut World, planner: &mut ModelPlanner, id: u64, write: Write) {
+fn execute_write(world: &mut World, planner: &mut ModelPlanner, id: u64, write: Write) {
     if world.now < planner.retry_at {
         return;
     }
--- a/dragonflyrun/tests/workload_world/worker.rs
+++ b/dragonflyrun/tests/workload_world/worker.rs
@@ -25,7 +25,7 @@
     next_end: u64,
     token: u64,
     lease_until: u64,
-    lapsed_at: u64,
+    expired_at: u64,
     ended_at: BTreeMap<u64, u64>,
     sequence: u64,
 }
@@ -46,7 +46,7 @@
             next_end: 1,
             token: 0,
             lease_until: 0,
-            lapsed_at: 0,
+            expired_at: 0,
             ended_at: BTreeMap::new(),
             sequence: 0,
         }
@@ -147,11 +147,11 @@
         self.ends = pending;
         // An end that is confirmed only after the lease has expired doesn't count, because the task
         // may have been started elsewhere by then.
-        let lapsed_at = self.lapsed_at;
+        let expired_at = self.expired_at;
         let counts = |e: &End| {
             self.ended_at
                 .get(&e.number)
-                .is_some_and(|at| lapsed_at < *at)
+                .is_some_and(|at| expired_at < *at)
         };
         let counted: Vec<End> = confirmed_ends.into_iter().filter(counts).collect();
         let running = self.running.keys().map(|run| RunningTask {
@@ -206,19 +206,19 @@
     if !worker.is_up() {
         return;
     }
-    let lapsed = worker.clock(now) >= worker.lease_until;
-    if lapsed {
-        worker.lapsed_at = now;
+    let has_expired = worker.clock(now) >= worker.lease_until;
+    if has_expired {
+        worker.expired_at = now;
     }
     let due: Vec<RunId> = worker
         .running
         .iter()
-        .filter(|(_, end)| lapsed || **end <= now)
+        .filter(|(_, end)| has_expired || **end <= now)
         .map(|(run, _)| run.clone())
         .collect();
     for run in due {
         let fails = world.rng.random_range(0..20) == 0;
-        let kind = match (lapsed, fails) {
+        let kind = match (has_expired, fails) {
             (true, _) => EndKind::LeaseExpired,
             (_, true) => EndKind::Failed,
             _ => EndKind::Done,
