--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -21,9 +21,10 @@
 const STOP_MS: u64 = 200;
 
 /// The time in milliseconds after the last job's arrival in which jobs may still end.
-const DRAIN_TIME_MS: u64 = 120_000;
+const AFTER_LAST_JOB_MS: u64 = 120_000;
 
-/// Factors by which a task takes longer if its gang spans several racks, and on a slow worker.
+/// Factor by which a task takes longer if its gang spans several racks but should run in one, and
+/// factor on a slow worker.
 const FAR_FACTOR: u64 = 3;
 const SLOW_FACTOR: u64 = 6;
 
@@ -142,7 +143,8 @@
         outcome: Outcome::default(),
     };
     let last_ms = pattern.jobs.last().map_or(0, |j| j.at_ms);
-    while replay.now_ms < last_ms + DRAIN_TIME_MS && replay.ended_ms.iter().any(Option::is_none) {
+    while replay.now_ms < last_ms + AFTER_LAST_JOB_MS && replay.ended_ms.iter().any(Option::is_none)
+    {
         replay.step(policy, last_ms);
         replay.now_ms += TICK_MS;
     }
--- a/dragonflyrun/tests/starving_gangs.rs
+++ b/dragonflyrun/tests/starving_gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs that are starved by small tasks, and late work that must not be evicted again.
+//! Gangs that are starved by small tasks, and late work that must not be evicted.
 
 mod workload_tables;
 
--- a/dragonflyrun/tests/withheld_starts.rs
+++ b/dragonflyrun/tests/withheld_starts.rs
@@ -11,7 +11,8 @@
     Timestamp::from_millis(ms)
 }
 
-/// Guards against a planner that withholds starts and logs no more than one without work.
+/// Guards against a planner that withholds starts without a log line, so that its log looks like
+/// that of a planner without work.
 #[test]
 fn withholding_logged() {
     let mut withheld = WithheldStarts::default();
