--- a/dragonflyrun/tests/hedged_reads.rs
+++ b/dragonflyrun/tests/hedged_reads.rs
@@ -17,24 +17,26 @@
 
 const WAIT: Duration = Duration::from_millis(400);
 
-/// A store without news.
+/// A store without new records.
 #[derive(Default)]
 struct QuietStore {
-    /// Reads that were asked for.
+    /// Number of reads so far.
     reads: AtomicU32,
-    /// The read that is never answered.
-    silent: Mutex<Option<u32>>,
-    /// Whether it refuses all reads.
-    refuses: AtomicBool,
-    /// How late each answer is.
+    /// The number of the read that is never answered.
+    silent_read: Mutex<Option<u32>>,
+    /// Whether all reads are refused.
+    refuses_reads: AtomicBool,
+    /// The delay of each answer.
     delay: Mutex<Duration>,
-    /// How long an answer takes from its beginning to its end.
+    /// The time from the first to the last byte of an answer.
     transfer: Mutex<Duration>,
 }
 
 impl Store for QuietStore {
     async fn append(&self, _: &Append, _: Duration) -> Result<Appended, AppendError> {
-        Err(AppendError::NotAppended("a store to read".to_owned()))
+        Err(AppendError::NotAppended(
+            "the test store is read-only".to_owned(),
+        ))
     }
 
     async fn read(
@@ -44,10 +46,10 @@
         wait: Duration,
     ) -> Result<PageBody<'_>, ReadError> {
         let number = self.reads.fetch_add(1, Ordering::Relaxed);
-        if self.refuses.load(Ordering::Relaxed) {
+        if self.refuses_reads.load(Ordering::Relaxed) {
             return Err(ReadError::Unavailable("refused".to_owned()));
         }
-        if *lock(&self.silent) == Some(number) {
+        if *lock(&self.silent_read) == Some(number) {
             std::future::pending::<()>().await;
         }
         let delay = *lock(&self.delay);
@@ -72,31 +74,30 @@
     }
 }
 
-async fn follower(store: &Arc<QuietStore>) -> Follower<QuietStore> {
+async fn start_follower(store: &Arc<QuietStore>) -> Follower<QuietStore> {
     let mut follower = Follower::new(store.clone(), Partition::JOBS);
     follower.next(WAIT).await.expect("the newest records");
     follower
 }
 
-/// Guards against work that stands still for as long as a connection that has fallen silent is waited
-/// for.
+/// Guards against work that stalls until the read on a silent connection times out.
 #[tokio::test(start_paused = true)]
 async fn silent_connection() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     follower.next(WAIT).await.expect("an answer");
-    *lock(&store.silent) = Some(store.reads.load(Ordering::Relaxed));
-    let asked = Instant::now();
+    *lock(&store.silent_read) = Some(store.reads.load(Ordering::Relaxed));
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("the second answer");
-    assert!(asked.elapsed() < WAIT + Duration::from_millis(250));
+    assert!(called_at.elapsed() < WAIT + Duration::from_millis(250));
 }
 
-/// Guards against twice the load on a store that is slow altogether.
+/// Guards against doubling the load on a store that is slow for all reads.
 #[tokio::test(start_paused = true)]
 async fn slow_store() {
     const ROUNDS: u32 = 20;
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     *lock(&store.delay) = Duration::from_millis(300);
     for _ in 0..ROUNDS {
         follower.next(WAIT).await.expect("an answer");
@@ -105,45 +106,50 @@
     assert!(reads < ROUNDS + 4, "{reads}");
 }
 
-/// Guards against work that stands still after the store's return for as long as a read waits for news.
+/// Guards against work that stalls after the store has returned because the first read waits for
+/// new records.
 #[tokio::test(start_paused = true)]
 async fn store_returned() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
-    store.refuses.store(true, Ordering::Relaxed);
+    let mut follower = start_follower(&store).await;
+    store.refuses_reads.store(true, Ordering::Relaxed);
     follower.next(WAIT).await.expect_err("a refusal");
-    store.refuses.store(false, Ordering::Relaxed);
-    let asked = Instant::now();
+    store.refuses_reads.store(false, Ordering::Relaxed);
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("an answer");
-    assert!(asked.elapsed() < Duration::from_millis(50));
-    let asked = Instant::now();
+    assert!(called_at.elapsed() < Duration::from_millis(50));
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("an answer");
-    assert!(asked.elapsed() >= WAIT, "it waits for news again");
+    assert!(
+        called_at.elapsed() >= WAIT,
+        "it waits for new records again"
+    );
 }
 
-/// Guards against a large answer on a slow link that is cut short, or sent a second time beside the first.
+/// Guards against a large answer on a slow link that is aborted, or requested again while it
+/// arrives.
 #[tokio::test(start_paused = true)]
-async fn arriving_answer() {
+async fn slow_transfer() {
     const TRANSFER: Duration = Duration::from_secs(5);
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
+    let mut follower = start_follower(&store).await;
     *lock(&store.transfer) = TRANSFER;
-    let asked = Instant::now();
+    let called_at = Instant::now();
     follower.next(WAIT).await.expect("the whole answer");
-    assert!(asked.elapsed() >= WAIT + TRANSFER);
+    assert!(called_at.elapsed() >= WAIT + TRANSFER);
     assert_eq!(store.reads.load(Ordering::Relaxed), 1);
-    // Nor does it count as the store's delay.
+    // The transfer time isn't part of the store's delay.
     assert!(follower.usual_delay() < Duration::from_millis(50));
 }
 
-/// Guards against the same for the read after one that failed, which is given less time.
+/// Guards against the same for the read after a failed one, which has a shorter timeout.
 #[tokio::test(start_paused = true)]
-async fn arriving_probe() {
+async fn slow_transfer_after_failure() {
     let store = Arc::new(QuietStore::default());
-    let mut follower = follower(&store).await;
-    store.refuses.store(true, Ordering::Relaxed);
+    let mut follower = start_follower(&store).await;
+    store.refuses_reads.store(true, Ordering::Relaxed);
     follower.next(WAIT).await.expect_err("a refusal");
-    store.refuses.store(false, Ordering::Relaxed);
+    store.refuses_reads.store(false, Ordering::Relaxed);
     *lock(&store.transfer) = Duration::from_secs(5);
     follower.next(WAIT).await.expect("the whole answer");
 }
--- a/dragonflyrun/tests/load_replay.rs
+++ b/dragonflyrun/tests/load_replay.rs
@@ -1,4 +1,4 @@
-//! The planner's decisions under recorded loads, beside the naive policy.
+//! The planner's decisions under recorded loads, compared with the naive policy.
 
 mod replay;
 mod workload_tables;
@@ -17,7 +17,7 @@
     "rolling",
 ];
 
-fn print(name: &str, policy: &str, outcome: &Outcome) {
+fn print_row(name: &str, policy: &str, outcome: &Outcome) {
     let mut starts = outcome.large_starts_ms.clone();
     starts.sort_unstable();
     let median = starts.get(starts.len() / 2).copied().unwrap_or(0);
@@ -34,26 +34,26 @@
     );
 }
 
-fn outcomes(name: &str) -> (Outcome, Outcome) {
+fn replay_both(name: &str) -> (Outcome, Outcome) {
     let pattern = Pattern::read(name);
     assert_eq!(pattern.name, name);
     let naive = replay(&pattern, &mut Naive::new(pattern.workers));
     let planned = replay(&pattern, &mut Planned::new(pattern.workers));
-    print(name, "naive", &naive);
-    print(name, "planner", &planned);
+    print_row(name, "naive", &naive);
+    print_row(name, "planner", &planned);
     (naive, planned)
 }
 
-/// More comes than fits, or workers fail, stand still or leave meanwhile. A clerk with an urgent check
-/// must be served no worse than if everybody simply waited in line, and nobody's job may be left
-/// lying for good.
+/// Guards against a planner that serves urgent jobs worse than first come, first served would, or
+/// leaves a job unfinished. More jobs arrive than fit, or workers fail, stall or leave in the
+/// meantime.
 #[test]
 fn no_worse_than_naive() {
     println!(
         "| load | policy | urgent | normal | patient | useful | wasted | idle | large gangs |"
     );
     for name in PATTERNS {
-        let (naive, planned) = outcomes(name);
+        let (naive, planned) = replay_both(name);
         assert!(
             planned.share(0) >= naive.share(0),
             "{name}: urgent jobs served"
--- a/dragonflyrun/tests/overdue_runs.rs
+++ b/dragonflyrun/tests/overdue_runs.rs
@@ -1,85 +1,86 @@
-//! Runs that take far longer than they should.
+//! Runs that take far longer than expected.
 
 mod workload_tables;
 
 use dragonflyrun::port::EndKind;
-use workload_tables::{Bed, task};
+use workload_tables::{Harness, task};
 
-/// Milliseconds after which a task that is guessed to take 2 s is overdue for certain.
-const LATE_MS: u64 = 7_000;
+/// Run time in milliseconds after which a task with an estimate of 2 s is certainly overdue.
+const OVERDUE_MS: u64 = 7_000;
 
-fn stops(bed: &mut Bed) -> usize {
-    let decisions = bed.pass();
+fn stops(harness: &mut Harness) -> usize {
+    let decisions = harness.pass();
     decisions.orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
-/// Returns a planner whose only worker runs two urgent jobs, and a second worker that comes after.
-fn two_late_jobs() -> Bed {
-    let mut bed = Bed::new(1);
-    bed.submit("one", 0, vec![task(4)]);
-    bed.submit("other", 0, vec![task(4)]);
-    bed.pass();
-    bed.report_all();
-    bed.add_worker("w1", "r0");
-    bed.wait(LATE_MS);
-    bed
+/// Returns a planner with two overdue urgent jobs on its first worker and a second worker, which
+/// joined later.
+fn two_overdue_jobs() -> Harness {
+    let mut harness = Harness::new(1);
+    harness.submit("one", 0, vec![task(4)]);
+    harness.submit("other", 0, vec![task(4)]);
+    harness.pass();
+    harness.report_all();
+    harness.add_worker("w1", "r0");
+    harness.advance(OVERDUE_MS);
+    harness
 }
 
-/// All tasks on a worker stand still, though it says that it is well. A clerk would wait for as long as
-/// the worker is sick, while another one stands idle.
+/// Guards against urgent jobs that wait as long as their worker is faulty although another one is
+/// idle: all tasks on the worker stall, but it reports that it is healthy.
 #[test]
 fn moved_elsewhere() {
-    let mut bed = two_late_jobs();
-    assert_eq!(stops(&mut bed), 2);
+    let mut harness = two_overdue_jobs();
+    assert_eq!(stops(&mut harness), 2);
     for job in ["one", "other"] {
-        bed.end(job, EndKind::Stopped);
+        harness.end_runs(job, EndKind::Stopped);
     }
-    bed.pass();
+    harness.pass();
     for job in ["one", "other"] {
-        let running = bed.running(job);
+        let running = harness.running(job);
         assert_eq!(running.len(), 1);
         assert_eq!(&*running[0].0, "w1");
     }
 }
 
-/// A task is long itself, and so is another beside it. Stopped over and over neither would ever come to
-/// its end.
+/// Guards against long tasks that never complete because they are moved again and again: two of
+/// them run on the same worker, and both are overdue.
 #[test]
 fn moved_once() {
-    let mut bed = two_late_jobs();
-    assert_eq!(stops(&mut bed), 2);
+    let mut harness = two_overdue_jobs();
+    assert_eq!(stops(&mut harness), 2);
     for job in ["one", "other"] {
-        bed.end(job, EndKind::Stopped);
+        harness.end_runs(job, EndKind::Stopped);
     }
-    bed.pass();
-    bed.report_all();
-    bed.add_worker("w2", "r0");
-    bed.wait(LATE_MS);
-    assert_eq!(stops(&mut bed), 0);
+    harness.pass();
+    harness.report_all();
+    harness.add_worker("w2", "r0");
+    harness.advance(OVERDUE_MS);
+    assert_eq!(stops(&mut harness), 0);
 }
 
-/// One job alone is late on its worker: its caller's guess may have been wrong, and its work must not
-/// be thrown away for that.
+/// Guards against losing the work of a job whose caller's estimate may be wrong: it is the only one
+/// that is overdue on its worker.
 #[test]
 fn single_late_run() {
-    let mut bed = Bed::new(1);
-    bed.submit("one", 0, vec![task(4)]);
-    bed.pass();
-    bed.report_all();
-    bed.add_worker("w1", "r0");
-    bed.wait(LATE_MS);
-    assert_eq!(stops(&mut bed), 0);
+    let mut harness = Harness::new(1);
+    harness.submit("one", 0, vec![task(4)]);
+    harness.pass();
+    harness.report_all();
+    harness.add_worker("w1", "r0");
+    harness.advance(OVERDUE_MS);
+    assert_eq!(stops(&mut harness), 0);
 }
 
-/// Work that is not urgent is late: it goes on, since a move throws away what it has done.
+/// Guards against moving overdue work that isn't urgent, which would lose what it has done.
 #[test]
 fn not_urgent() {
-    let mut bed = Bed::new(1);
-    bed.submit("one", 1, vec![task(4)]);
-    bed.submit("other", 1, vec![task(4)]);
-    bed.pass();
-    bed.report_all();
-    bed.add_worker("w1", "r0");
-    bed.wait(LATE_MS);
-    assert_eq!(stops(&mut bed), 0);
+    let mut harness = Harness::new(1);
+    harness.submit("one", 1, vec![task(4)]);
+    harness.submit("other", 1, vec![task(4)]);
+    harness.pass();
+    harness.report_all();
+    harness.add_worker("w1", "r0");
+    harness.advance(OVERDUE_MS);
+    assert_eq!(stops(&mut harness), 0);
 }
--- a/dragonflyrun/tests/run_schedules.rs
+++ b/dragonflyrun/tests/run_schedules.rs
@@ -1,16 +1,16 @@
-//! Whatever is late, lost or replaced: no task has two runs at once, none runs again after it was
-//! done, and in the end every job is done.
+//! Under seeded schedules of faults, no task has two runs at once, none runs again after it was
+//! completed, and every job ends.
 
 mod workload_world;
 
-use workload_world::{Chaos, World};
+use workload_world::{FaultRates, World};
 
-/// Seeds that CI runs; `docs/PROMISES.md` says how many were run by hand.
+/// Number of seeds that CI runs; `docs/PROMISES.md` says how many were run by hand.
 const SEEDS: u64 = 60;
 
-/// Steps with faults, and without.
-const TROUBLED_STEPS: u32 = 4_000;
-const CALM_STEPS: u32 = 6_000;
+/// Number of steps with faults, and of the steps without faults that follow.
+const FAULT_STEPS: u32 = 4_000;
+const FAULTLESS_STEPS: u32 = 6_000;
 
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
@@ -20,12 +20,12 @@
     0..number("DRAGONFLYRUN_SEEDS").unwrap_or(SEEDS)
 }
 
-fn play(seed: u64, chaos: &Chaos) {
+fn run_schedule(seed: u64, fault_rates: &FaultRates) {
     if std::env::var_os("DRAGONFLYRUN_SEED").is_some() {
         dragonflyrun::process::logging::start();
     }
-    let mut world = World::new(seed, 4, chaos.clone());
-    for step in 0..TROUBLED_STEPS {
+    let mut world = World::new(seed, 4, fault_rates.clone());
+    for step in 0..FAULT_STEPS {
         if step % 150 == 0 {
             world.submit();
         }
@@ -36,8 +36,8 @@
             world.violations
         );
     }
-    world.chaos = CALM;
-    for _ in 0..CALM_STEPS {
+    world.fault_rates = NO_FAULTS;
+    for _ in 0..FAULTLESS_STEPS {
         world.step();
         if world.all_ended() {
             break;
@@ -48,10 +48,10 @@
         "seed {seed}: {:?}",
         world.violations
     );
-    assert!(world.all_ended(), "seed {seed}: jobs stand still");
+    assert!(world.all_ended(), "seed {seed}: jobs did not end");
 }
 
-const CALM: Chaos = Chaos {
+const NO_FAULTS: FaultRates = FaultRates {
     late_calls: 0,
     lost_answers: 0,
     late_appends: 0,
@@ -60,48 +60,49 @@
     crashes: 0,
 };
 
-/// Nothing goes wrong; the model itself must let work be done.
+/// Guards against a model that itself keeps jobs from completing.
 #[test]
-fn calm() {
-    play(0, &CALM);
+fn no_faults() {
+    run_schedule(0, &NO_FAULTS);
 }
 
-/// Calls to workers are carried out seconds late, answers are lost, agents freeze, restart and lose
-/// the store, workers crash and come back. A user whose task ran twice at once would pay twice.
+/// Guards against tasks that run twice at once, for which a user would pay twice. Calls to workers
+/// are executed seconds late, answers are lost, agents freeze, restart and lose the store, and
+/// workers crash and return.
 #[test]
 fn agents_and_workers() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             late_calls: 40,
             lost_answers: 40,
             agent_faults: 8,
             crashes: 3,
-            ..CALM
+            ..NO_FAULTS
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
 
-/// Planners are replaced at any moment and go on for a while, and the store does their writes
-/// late. A user whose task ran twice at once would pay twice.
+/// Guards against tasks that run twice at once, for which a user would pay twice. Planners are
+/// replaced at any time and continue for a while, and the store executes their writes late.
 #[test]
 fn planners_and_store() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             lost_answers: 40,
             late_appends: 40,
             successions: 4,
-            ..CALM
+            ..NO_FAULTS
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
 
-/// All of it together.
+/// Guards against tasks that run twice at once under all these faults together.
 #[test]
-fn everything() {
+fn all_faults() {
     for seed in seeds() {
-        let chaos = Chaos {
+        let fault_rates = FaultRates {
             late_calls: 30,
             lost_answers: 30,
             late_appends: 30,
@@ -109,6 +110,6 @@
             agent_faults: 5,
             crashes: 2,
         };
-        play(seed, &chaos);
+        run_schedule(seed, &fault_rates);
     }
 }
--- a/dragonflyrun/tests/slow_appends.rs
+++ b/dragonflyrun/tests/slow_appends.rs
@@ -4,40 +4,49 @@
 
 use dragonflyrun::{process::on_store::append_timeout, workload::PlannerHeartbeat};
 
-const LEAST: Duration = Duration::from_millis(900);
+const MIN_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Guards against appends that are given up and repeated while they stand in a queue of up to 2 s.
+/// Guards against appends that time out and are repeated while they wait in a queue of up to 2 s.
 #[test]
-fn queue_waited_out() {
-    assert!(append_timeout(LEAST, Duration::from_millis(280)) > Duration::from_secs(2));
-    assert_eq!(append_timeout(LEAST, Duration::from_millis(5)), LEAST);
+fn queued_append_awaited() {
+    assert!(append_timeout(MIN_TIMEOUT, Duration::from_millis(280)) > Duration::from_secs(2));
+    assert_eq!(
+        append_timeout(MIN_TIMEOUT, Duration::from_millis(5)),
+        MIN_TIMEOUT
+    );
 }
 
-/// Guards against records that say nothing and keep the next plan waiting.
+/// Guards against heartbeat records that carry no news and delay the next plan.
 #[test]
-fn plans_show_life() {
-    let mut signs = PlannerHeartbeat::default();
-    assert!(signs.is_due(false), "nothing was shown");
-    signs.plan_sent();
+fn plans_as_heartbeats() {
+    let mut heartbeat = PlannerHeartbeat::default();
+    assert!(heartbeat.is_due(false), "no heartbeat was stored");
+    heartbeat.plan_sent();
     for _ in 0..5 {
-        assert!(!signs.is_due(false), "the plan is under way");
+        assert!(!heartbeat.is_due(false), "a plan is being appended");
     }
-    signs.plan_stored();
-    assert!(!signs.is_due(false), "it has just been shown");
-    assert!(signs.is_due(false));
+    heartbeat.plan_stored();
+    assert!(!heartbeat.is_due(false), "a plan has just been stored");
+    assert!(heartbeat.is_due(false));
 }
 
-/// Guards against a planner that has turned stale and whose plans hide it.
+/// Guards against a planner whose plans hide that it has become stale.
 #[test]
-fn stale_is_told() {
-    let mut signs = PlannerHeartbeat::default();
-    signs.plan_stored();
-    assert!(signs.is_due(true), "a plan does not tell that it is stale");
-    signs.record_sent(true);
-    signs.plan_stored();
-    assert!(!signs.is_due(true), "it has been told");
-    signs.plan_sent();
-    assert!(signs.is_due(false), "nor that it no longer is");
+fn stale_reported() {
+    let mut heartbeat = PlannerHeartbeat::default();
+    heartbeat.plan_stored();
+    assert!(
+        heartbeat.is_due(true),
+        "a plan does not say that the planner is stale"
+    );
+    heartbeat.record_sent(true);
+    heartbeat.plan_stored();
+    assert!(!heartbeat.is_due(true), "the heartbeat has said it");
+    heartbeat.plan_sent();
+    assert!(
+        heartbeat.is_due(false),
+        "a plan does not say that it is no longer stale"
+    );
     let mut claimed = PlannerHeartbeat::claimed(true);
     claimed.plan_stored();
     assert!(claimed.is_due(false));
--- a/dragonflyrun/tests/withheld_starts.rs
+++ b/dragonflyrun/tests/withheld_starts.rs
@@ -1,4 +1,4 @@
-//! When the log says that waiting work is not started for want of a proof of the configuration.
+//! When it is logged that starts are withheld because the configuration can't be proven.
 
 use std::time::Duration;
 
@@ -11,9 +11,10 @@
     Timestamp::from_millis(ms)
 }
 
-/// Guards against a planner whose log looks like that of one without work.
+/// Guards against a planner that withholds starts without a log line, so that its log looks like
+/// that of a planner without work.
 #[test]
-fn spell_logged() {
+fn withholding_logged() {
     let mut withheld = WithheldStarts::default();
     assert_eq!(withheld.observe_pass(at(0), true, 3), None);
     let began = withheld.observe_pass(at(1_000), false, 3);
@@ -24,7 +25,7 @@
     assert_eq!(withheld.observe_pass(at(1_800), true, 3), None);
 }
 
-/// Guards against a line for each of the ten passes a second.
+/// Guards against a log line for each of the ten passes per second.
 #[test]
 fn lines_bounded() {
     let mut withheld = WithheldStarts::default();
@@ -33,9 +34,9 @@
     assert!((10..=13).contains(&lines), "{lines} lines in a minute");
 }
 
-/// Guards against lines about an idle planner: nothing is withheld from anybody.
+/// Guards against log lines of a planner without waiting work, which withholds nothing.
 #[test]
-fn idle_is_silent() {
+fn idle_not_logged() {
     let mut withheld = WithheldStarts::default();
     assert_eq!(withheld.observe_pass(at(0), false, 0), None);
     assert_eq!(withheld.observe_pass(at(9_000), false, 0), None);
--- a/dragonflyrun/tests/workload_world/mod.rs
+++ b/dragonflyrun/tests/workload_world/mod.rs
@@ -1,8 +1,8 @@
-//! A model of the store, of workers and of everything between them, for seeded schedules of faults.
+//! A model of the store, the workers and the network between them, for seeded schedules of faults.
 //!
-//! The decision tables run as they are. Calls are held up, carried out late, or lose their answers;
+//! The decision tables are the real ones. Calls are delayed, executed late, or lose their answers;
 //! planners are replaced while they still act; agents freeze, restart and lose the store; workers
-//! crash and come back under their own name or another; their clocks run slow.
+//! crash and return under their own name or another one; workers' clocks run slow.
 
 #![allow(dead_code, reason = "each test uses a part of the model")]
 
@@ -31,83 +31,85 @@
 use store::ModelStore;
 use worker::ModelWorker;
 
-/// Milliseconds of one step of the model.
+/// Simulated milliseconds per step.
 const STEP_MS: u64 = 10;
 
-/// Milliseconds of a worker's longest lease.
+/// The longest lease of a worker in milliseconds.
 pub(crate) const LEASE_MS: u64 = 3_000;
 
-/// Faults of one schedule, as chances per thousand.
+/// The faults of one schedule. All rates are chances per thousand.
 #[derive(Clone, Debug)]
-pub(crate) struct Chaos {
-    /// Calls to workers that are carried out 2 to 12 s late and never answered.
+pub(crate) struct FaultRates {
+    /// Calls to workers that are executed 2 to 12 s late and never answered.
     pub(crate) late_calls: u32,
     /// Calls, reads and appends whose answer is lost.
     pub(crate) lost_answers: u32,
-    /// Appends that are done 1 to 6 s late and never answered.
+    /// Appends that are executed 1 to 6 s late and never answered.
     pub(crate) late_appends: u32,
-    /// Chance in each step that a new planner takes over from one that may be well.
+    /// The chance per step that a new planner takes over although the current one may be healthy.
     pub(crate) successions: u32,
-    /// Chance in each step that some agent freezes, restarts or loses the store.
+    /// The chance per step that an agent freezes, restarts or loses the store.
     pub(crate) agent_faults: u32,
-    /// Chance in each step that some worker crashes.
+    /// The chance per step that a worker crashes.
     pub(crate) crashes: u32,
 }
 
 /// The model.
 pub(crate) struct World {
     pub(crate) now: u64,
-    began: Instant,
+    started_at: Instant,
     pub(crate) rng: SmallRng,
-    pub(crate) chaos: Chaos,
+    pub(crate) fault_rates: FaultRates,
     pub(crate) store: ModelStore,
     pub(crate) workers: Vec<ModelWorker>,
     pub(crate) agents: Vec<ModelAgent>,
     planners: Vec<ModelPlanner>,
-    jobs: u32,
-    /// Tasks of which a done run has been confirmed to its worker.
-    pub(crate) done: BTreeMap<TaskId, u64>,
-    /// What must never happen and did.
+    submitted_jobs: u32,
+    /// Tasks for which a completed run was confirmed to its worker, with the time of the
+    /// confirmation.
+    pub(crate) confirmed_done: BTreeMap<TaskId, u64>,
+    /// The invariant violations found.
     pub(crate) violations: Vec<String>,
 }
 
 impl World {
-    /// Returns a world with so many workers.
-    pub(crate) fn new(seed: u64, workers: usize, chaos: Chaos) -> Self {
+    /// Returns a world with the given number of workers, each with an agent.
+    pub(crate) fn new(seed: u64, workers: usize, fault_rates: FaultRates) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let made = (0..workers).map(|i| ModelWorker::new(i, 0, rng.random_range(0.98..1.0)));
-        let made: Vec<ModelWorker> = made.collect();
+        let model_workers =
+            (0..workers).map(|i| ModelWorker::new(i, 0, rng.random_range(0.98..1.0)));
+        let model_workers: Vec<ModelWorker> = model_workers.collect();
         let agents = (0..workers).map(|_| ModelAgent::new()).collect();
         Self {
             now: 0,
-            began: Instant::now(),
+            started_at: Instant::now(),
             rng,
-            chaos,
+            fault_rates,
             store: ModelStore::default(),
-            workers: made,
+            workers: model_workers,
             agents,
             planners: Vec::new(),
-            jobs: 0,
-            done: BTreeMap::new(),
+            submitted_jobs: 0,
+            confirmed_done: BTreeMap::new(),
             violations: Vec::new(),
         }
     }
 
-    /// Returns whether something of this chance per thousand happens.
+    /// Draws whether an event with this chance per thousand occurs.
     pub(crate) fn happens(&mut self, chance: u32) -> bool {
         self.rng.random_range(0..1_000) < chance
     }
 
-    /// Returns the present as the agents' clock has it.
+    /// Returns the current time of the agents' clock.
     pub(crate) fn instant(&self) -> Instant {
-        self.began + Duration::from_millis(self.now)
+        self.started_at + Duration::from_millis(self.now)
     }
 
-    /// Hands a job in.
+    /// Submits a job of two steps. The first step of every third job is a gang.
     pub(crate) fn submit(&mut self) {
-        let name = format!("job-{}", self.jobs);
-        self.jobs += 1;
-        let gang = self.jobs.is_multiple_of(3);
+        let name = format!("job-{}", self.submitted_jobs);
+        self.submitted_jobs += 1;
+        let gang = self.submitted_jobs.is_multiple_of(3);
         let first = Step {
             tasks: 2,
             needs: Resources {
@@ -130,7 +132,7 @@
             queue: "q".into(),
             service: "svc".into(),
             workspace: Some("w".into()),
-            priority: self.jobs % 2,
+            priority: self.submitted_jobs % 2,
             max_attempts: 1_000,
             stretch: 3.0,
             target_ms: 1_000,
@@ -144,63 +146,63 @@
         self.store.jobs.push(JobRecord::Accepted(Box::new(job)));
     }
 
-    /// Lets one step go by.
+    /// Advances the model by one step.
     pub(crate) fn step(&mut self) {
         self.now += STEP_MS;
-        self.store.run_late(self.now);
-        self.fault();
+        self.store.apply_late(self.now);
+        self.inject_faults();
         for i in 0..self.workers.len() {
             worker::step(self, i);
             agent::step(self, i);
         }
         planner::step_all(self);
-        self.check();
+        self.check_single_runs();
     }
 
-    fn fault(&mut self) {
-        let successions = self.chaos.successions;
-        let none = !self.planners.iter().any(|p| p.holds(&self.store));
-        if none || self.happens(successions) {
+    fn inject_faults(&mut self) {
+        let successions = self.fault_rates.successions;
+        let has_no_planner = !self.planners.iter().any(|p| p.holds_term(&self.store));
+        if has_no_planner || self.happens(successions) {
             let planner = ModelPlanner::take_over(self);
             self.planners.push(planner);
         }
-        let faults = self.chaos.agent_faults;
+        let faults = self.fault_rates.agent_faults;
         if self.happens(faults) {
             let i = self.rng.random_range(0..self.agents.len());
-            agent::fault(self, i);
+            agent::inject_fault(self, i);
         }
-        let crashes = self.chaos.crashes;
+        let crashes = self.fault_rates.crashes;
         if self.happens(crashes) {
             let i = self.rng.random_range(0..self.workers.len());
             worker::crash(self, i);
         }
     }
 
-    fn check(&mut self) {
+    fn check_single_runs(&mut self) {
         let mut seen: BTreeMap<&TaskId, (&str, u32)> = BTreeMap::new();
-        let mut found = Vec::new();
+        let mut duplicates = Vec::new();
         for worker in self.workers.iter().filter(|w| w.is_up()) {
             for run in worker.running.keys() {
-                let here = (worker.name.as_str(), run.number);
-                if let Some(other) = seen.insert(&run.task, here) {
-                    found.push(format!(
-                        "{} ms: {} on {other:?} and {here:?}",
+                let running = (worker.name.as_str(), run.number);
+                if let Some(other) = seen.insert(&run.task, running) {
+                    duplicates.push(format!(
+                        "{} ms: {} on {other:?} and {running:?}",
                         self.now, run.task
                     ));
                 }
             }
         }
-        self.violations.extend(found);
+        self.violations.extend(duplicates);
     }
 
-    /// Returns whether all jobs have come to their end.
+    /// Returns whether all submitted jobs have ended.
     pub(crate) fn all_ended(&self) -> bool {
         let ended = self.store.jobs.iter().filter_map(|record| match record {
             JobRecord::Plan(name, Some(plan)) if plan.outcome.is_some() => Some(name),
             _ => None,
         });
         let ended: std::collections::BTreeSet<_> = ended.collect();
-        ended.len() == self.jobs as usize
+        ended.len() == self.submitted_jobs as usize
     }
 }
 
--- a/dragonflyrun/tests/workload_world/worker.rs
+++ b/dragonflyrun/tests/workload_world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs, ends, a fencing token and a lease on its own slow clock.
+//! A worker of the model: its runs, their ends, a fencing token, and a lease on its own slow clock.
 
 use std::collections::BTreeMap;
 
@@ -10,68 +10,68 @@
 
 use super::World;
 
-/// A worker in its present life.
+/// A worker in its current incarnation.
 #[derive(Debug)]
 pub(crate) struct ModelWorker {
     pub(crate) name: String,
     pub(crate) running: BTreeMap<RunId, u64>,
     index: usize,
-    lives: u32,
-    born: u64,
+    restarts: u32,
+    born_ms: u64,
     down_until: Option<u64>,
-    rate: f64,
+    clock_rate: f64,
     ends: Vec<End>,
     ended: BTreeMap<TaskId, u32>,
     next_end: u64,
     token: u64,
     lease_until: u64,
-    lapsed_at: u64,
+    expired_at: u64,
     ended_at: BTreeMap<u64, u64>,
     sequence: u64,
 }
 
 impl ModelWorker {
-    /// Returns a worker that was born at `born` and whose clock runs at `rate`.
-    pub(crate) fn new(index: usize, born: u64, rate: f64) -> Self {
+    /// Returns a worker that started at `born_ms` and whose clock runs at `clock_rate`.
+    pub(crate) fn new(index: usize, born_ms: u64, clock_rate: f64) -> Self {
         Self {
             name: format!("w{index}"),
             running: BTreeMap::new(),
             index,
-            lives: 0,
-            born,
+            restarts: 0,
+            born_ms,
             down_until: None,
-            rate,
+            clock_rate,
             ends: Vec::new(),
             ended: BTreeMap::new(),
             next_end: 1,
             token: 0,
             lease_until: 0,
-            lapsed_at: 0,
+            expired_at: 0,
             ended_at: BTreeMap::new(),
             sequence: 0,
         }
     }
 
-    /// Returns whether it runs.
+    /// Returns whether the worker process is running.
     pub(crate) fn is_up(&self) -> bool {
         self.down_until.is_none()
     }
 
-    /// Returns what tells this life of the worker from all others.
-    pub(crate) fn life(&self) -> (String, u64) {
-        (self.name.clone(), self.born)
+    /// Returns the name and time of birth, which identify this incarnation of the worker.
+    pub(crate) fn incarnation(&self) -> (String, u64) {
+        (self.name.clone(), self.born_ms)
     }
 
     fn clock(&self, now: u64) -> u64 {
-        ((now - self.born) as f64 * self.rate) as u64
+        ((now - self.born_ms) as f64 * self.clock_rate) as u64
     }
 
-    /// Returns its next heartbeat.
+    /// Returns the worker's next heartbeat.
     pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             worker: self.name.as_str().into(),
-            born_ms: self.born,
+            born_ms: self.born_ms,
             address: format!("host-{}", self.index).into(),
             service: "svc".into(),
             failure_domain: "north".into(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Carries out a start.
+    /// Executes a start call.
     pub(crate) fn start(&mut self, now: u64, order: &StartOrder, task_ms: u64) -> StartOutcome {
         if order.token < self.token {
             return StartOutcome::Fenced;
@@ -98,9 +98,9 @@
             return StartOutcome::Started;
         }
         self.lease_until = self.lease_until.max(order.lease_until_ms);
-        let over = self.ended.get(&order.run.task).copied().unwrap_or(0);
-        let there = self.running.keys().any(|r| r.task == order.run.task);
-        if order.run.number <= over || there {
+        let last_ended = self.ended.get(&order.run.task).copied().unwrap_or(0);
+        let is_running = self.running.keys().any(|r| r.task == order.run.task);
+        if order.run.number <= last_ended || is_running {
             return StartOutcome::Superseded;
         }
         if self.clock(now) >= order.lease_until_ms {
@@ -113,7 +113,7 @@
         StartOutcome::Started
     }
 
-    /// Carries out a stop.
+    /// Executes a stop call and returns whether the token was accepted.
     pub(crate) fn stop(&mut self, run: &RunId, token: u64) -> bool {
         if token < self.token {
             return false;
@@ -122,12 +122,13 @@
         if self.running.contains_key(run) {
             self.end(0, run.clone(), EndKind::Stopped);
         }
-        let over = self.ended.entry(run.task.clone()).or_default();
-        *over = run.number.max(*over);
+        let last_ended = self.ended.entry(run.task.clone()).or_default();
+        *last_ended = run.number.max(*last_ended);
         true
     }
 
-    /// Carries out a look: confirms ends, extends the lease, and lists.
+    /// Executes a list call: removes confirmed ends, extends the lease, and returns the lists with
+    /// the confirmed ends that count. Returns `None` for a superseded token.
     pub(crate) fn renew(
         &mut self,
         now: u64,
@@ -140,19 +141,19 @@
         }
         self.token = token;
         self.lease_until = self.lease_until.max(lease.unwrap_or(0));
-        let (gone, kept): (Vec<End>, Vec<End>) = std::mem::take(&mut self.ends)
+        let (confirmed_ends, pending): (Vec<End>, Vec<End>) = std::mem::take(&mut self.ends)
             .into_iter()
             .partition(|e| e.number <= confirmed);
-        self.ends = kept;
-        // An end that is confirmed only after the lease has lapsed does not count: the task may
-        // have been started elsewhere by then.
-        let lapsed_at = self.lapsed_at;
+        self.ends = pending;
+        // An end that is confirmed only after the lease has expired doesn't count, because the task
+        // may have been started elsewhere by then.
+        let expired_at = self.expired_at;
         let counts = |e: &End| {
             self.ended_at
                 .get(&e.number)
-                .is_some_and(|at| lapsed_at < *at)
+                .is_some_and(|at| expired_at < *at)
         };
-        let gone: Vec<End> = gone.into_iter().filter(counts).collect();
+        let counted: Vec<End> = confirmed_ends.into_iter().filter(counts).collect();
         let running = self.running.keys().map(|run| RunningTask {
             run: run.clone(),
             checkpoint: String::new(),
@@ -160,11 +161,11 @@
         });
         let lists = WorkerLists {
             clock_ms: self.clock(now),
-            born_ms: Some(self.born),
+            born_ms: Some(self.born_ms),
             running: running.collect(),
             ends: self.ends.clone(),
         };
-        Some((lists, gone))
+        Some((lists, counted))
     }
 
     fn end(&mut self, now: u64, run: RunId, kind: EndKind) {
@@ -181,43 +182,43 @@
     }
 }
 
-/// Lets tasks end, leases run out, and a worker that is down come back.
+/// Ends the runs that are due or whose lease has expired, and restarts a worker that is down.
 pub(crate) fn step(world: &mut World, i: usize) {
     let now = world.now;
     if world.workers[i]
         .down_until
         .is_some_and(|until| until <= now)
     {
-        // It comes back under its own name or, as after a loss of power, under another.
+        // The worker returns under its own name or, as after a power failure, under another one.
         let renamed = world.happens(500);
-        let rate = world.rng.random_range(0.98..1.0);
+        let clock_rate = world.rng.random_range(0.98..1.0);
         let worker = &mut world.workers[i];
-        let lives = worker.lives + 1;
+        let restarts = worker.restarts + 1;
         *worker = ModelWorker {
-            lives,
-            ..ModelWorker::new(i, now, rate)
+            restarts,
+            ..ModelWorker::new(i, now, clock_rate)
         };
         if renamed {
-            worker.name = format!("w{i}-{lives}");
+            worker.name = format!("w{i}-{restarts}");
         }
     }
     let worker = &mut world.workers[i];
     if !worker.is_up() {
         return;
     }
-    let lapsed = worker.clock(now) >= worker.lease_until;
-    if lapsed {
-        worker.lapsed_at = now;
+    let has_expired = worker.clock(now) >= worker.lease_until;
+    if has_expired {
+        worker.expired_at = now;
     }
     let due: Vec<RunId> = worker
         .running
         .iter()
-        .filter(|(_, end)| lapsed || **end <= now)
+        .filter(|(_, end)| has_expired || **end <= now)
         .map(|(run, _)| run.clone())
         .collect();
     for run in due {
         let fails = world.rng.random_range(0..20) == 0;
-        let kind = match (lapsed, fails) {
+        let kind = match (has_expired, fails) {
             (true, _) => EndKind::LeaseExpired,
             (_, true) => EndKind::Failed,
             _ => EndKind::Done,
@@ -226,7 +227,7 @@
     }
 }
 
-/// Lets a worker crash for a while.
+/// Crashes a worker for 0.3 to 6 s.
 pub(crate) fn crash(world: &mut World, i: usize) {
     let until = world.now + world.rng.random_range(300..6_000);
     let worker = &mut world.workers[i];
@@ -236,9 +237,12 @@
     }
 }
 
-/// Takes note of ends that were confirmed to a worker.
-pub(crate) fn confirmed(world: &mut World, ends: Vec<End>) {
+/// Records the completed runs whose ends were confirmed to a worker.
+pub(crate) fn record_confirmed(world: &mut World, ends: Vec<End>) {
     for end in ends.into_iter().filter(|e| e.kind == EndKind::Done) {
-        world.done.entry(end.run.task).or_insert(world.now);
+        world
+            .confirmed_done
+            .entry(end.run.task)
+            .or_insert(world.now);
     }
 }
