--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: an entry or an agent, as its settings say.
+//! The daemon: runs an entry or an agent, depending on its settings.
 
 use std::{
     io::Write,
@@ -46,7 +46,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs a role of a deployment whose state lives on the users' platform.
+/// Runs a role of a deployment that keeps its state on the users' platform.
 fn run_on_platform(settings: platform::Settings) -> ExitCode {
     match platform::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
@@ -54,13 +54,13 @@
     }
 }
 
-/// Tells whoever started the process where it listens, since the settings may leave the port open.
+/// Prints the bound addresses, since the settings may leave the choice of the port to the system.
 fn announce(daemon: &Daemon) {
     let mut line = format!("listening http={}", daemon.http_addr());
     if let Some(peers) = daemon.peers_addr() {
         line += &format!(" peers={peers}");
     }
-    // Nobody may be reading; the process serves all the same.
+    // The process serves even if nobody reads its output.
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
