--- a/dragonflyrun/src/process/entry_requests.rs
+++ b/dragonflyrun/src/process/entry_requests.rs
@@ -173,7 +173,7 @@
             roster.peer(agent).and_then(|p| AgentView::of(p, &version))
         };
         if let Some(view) = view {
-            lock(&self.inner).table.agent_heard(view);
+            lock(&self.inner).table.update_agent(view);
         }
     }
 
@@ -196,7 +196,7 @@
         inner.table.set_entries(narrow(others + 1), narrow(before));
         inner.table.retain_agents(|name| names.contains(name));
         for view in views {
-            inner.table.agent_heard(view);
+            inner.table.update_agent(view);
         }
     }
 
@@ -260,7 +260,7 @@
                 // The message is needed again only where it was not handed over.
                 if let Err(error) = self.cx.links.send(&to, message.clone()) {
                     log::debug!(peer:% = to, error:% = error; "not_sent");
-                    inner.table.unsent(self.cx.now(), &to, &message);
+                    inner.table.send_failed(self.cx.now(), &to, &message);
                 }
             }
             EntryAction::Resend { to, message } => {
--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -11,27 +11,27 @@
 };
 
 /// Time after which an answer that was not acknowledged is sent again.
-const RESEND: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which an answer is kept for an entry that is not linked.
-const KEPT: Duration = Duration::from_secs(30);
+const UNLINKED_ANSWER_TTL: Duration = Duration::from_secs(30);
 
 /// Bytes of answers that are kept, at the most.
-const KEPT_BYTES: usize = 64 << 20;
+const MAX_UNACKED_BYTES: usize = 64 << 20;
 
 /// Time without a new request after which all entries have heard that the agent is leaving: two
 /// heartbeats. What they had sent before is refused by then and goes elsewhere; ending earlier
 /// would leave them without an answer.
-const QUIET: Duration = Duration::from_secs(1);
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
 /// The farthest deadline; bounds for how long ids are remembered.
-const LONGEST: Duration = Duration::from_secs(3_600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// Milliseconds after which a slot may be free again.
-const BUSY_RETRY_MS: u64 = 200;
+const BUSY_RETRY_AFTER_MS: u64 = 200;
 
 /// Milliseconds after which another agent or a returned failure domain may be found.
-const ELSEWHERE_RETRY_MS: u64 = 500;
+const OTHER_AGENT_RETRY_AFTER_MS: u64 = 500;
 
 /// A request that an entry wants run.
 #[derive(Clone, Debug)]
@@ -79,17 +79,17 @@
     incarnation: u64,
     backends: Backends,
     runs: HashMap<RequestId, Run>,
-    kept: HashMap<RequestId, Kept>,
-    kept_order: VecDeque<RequestId>,
-    kept_bytes: usize,
+    unacked: HashMap<RequestId, UnackedAnswer>,
+    unacked_order: VecDeque<RequestId>,
+    unacked_bytes: usize,
     /// Requests that were decided, until their deadlines; a second copy must not run.
     decided: HashMap<RequestId, Timestamp>,
     /// The entries that are linked, by the names in their requests' ids.
     linked: HashSet<Name>,
     leaving: bool,
     /// When it began to leave, or was asked to run something after that.
-    asked_at: Timestamp,
-    out: Vec<AgentAction>,
+    last_request_at: Timestamp,
+    actions: Vec<AgentAction>,
 }
 
 #[derive(Debug)]
@@ -104,12 +104,12 @@
 
 /// An answer that its entry has not acknowledged.
 #[derive(Debug)]
-struct Kept {
+struct UnackedAnswer {
     to: Name,
     service: Name,
     outcome: Outcome,
     settle: Option<KeyMessage>,
-    since: Timestamp,
+    created_at: Timestamp,
     sent_at: Timestamp,
 }
 
@@ -120,20 +120,20 @@
             incarnation,
             backends: Backends::default(),
             runs: HashMap::default(),
-            kept: HashMap::default(),
-            kept_order: VecDeque::new(),
-            kept_bytes: 0,
+            unacked: HashMap::default(),
+            unacked_order: VecDeque::new(),
+            unacked_bytes: 0,
             decided: HashMap::default(),
             linked: HashSet::default(),
             leaving: false,
-            asked_at: Timestamp::default(),
-            out: Vec::new(),
+            last_request_at: Timestamp::default(),
+            actions: Vec::new(),
         }
     }
 
     /// Returns the actions decided since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<AgentAction> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Takes in a backend server's announcement.
@@ -149,14 +149,14 @@
     /// Refuses all new requests from now on.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
-        self.asked_at = now;
+        self.last_request_at = now;
     }
 
     /// Returns whether nothing runs, each linked entry has its answers, and none sends any more.
     pub fn is_idle(&self, now: Timestamp) -> bool {
-        let waited_for = |id: &RequestId| self.linked.contains(&id.entry);
-        let quiet = self.linked.is_empty() || now.since(self.asked_at) >= QUIET;
-        quiet && self.runs.is_empty() && !self.kept.keys().any(waited_for)
+        let is_linked = |id: &RequestId| self.linked.contains(&id.entry);
+        let is_quiet = self.linked.is_empty() || now.since(self.last_request_at) >= QUIET_PERIOD;
+        is_quiet && self.runs.is_empty() && !self.unacked.keys().any(is_linked)
     }
 
     /// Returns how many requests run.
@@ -167,19 +167,19 @@
     /// Takes in a request from the entry `from`; `in_service` tells whether the agent's failure
     /// domain is.
     pub fn run(&mut self, now: Timestamp, from: &Name, order: RunOrder, in_service: bool) {
-        self.asked_at = now;
+        self.last_request_at = now;
         // Meant for an earlier process of this agent, which may have run it: this one can't say.
         if order.incarnation != self.incarnation || self.runs.contains_key(&order.id) {
             return;
         }
-        if self.kept.contains_key(&order.id) {
-            self.send_kept(now, &order.id);
+        if self.unacked.contains_key(&order.id) {
+            self.send_answer(now, &order.id);
             return;
         }
         if self.decided.contains_key(&order.id) {
             return;
         }
-        let deadline = order.deadline.min(now + LONGEST);
+        let deadline = order.deadline.min(now + MAX_DEADLINE);
         self.decided.insert(order.id.clone(), deadline);
         match self.admit(now, &order, in_service) {
             Ok(BackendChoice::Free { name, address }) => {
@@ -192,7 +192,7 @@
                     deadline,
                 };
                 self.runs.insert(order.id.clone(), run);
-                self.out.push(AgentAction::Start { order, address });
+                self.actions.push(AgentAction::Start { order, address });
             }
             Ok(BackendChoice::Busy) => self.refuse(now, from, &order, NotRun::Busy),
             Ok(BackendChoice::None) => self.refuse(now, from, &order, NotRun::NoBackend),
@@ -213,27 +213,27 @@
         };
         let refused =
             matches!(&outcome, Outcome::NotRun { reason, .. } if *reason == NotRun::Refused);
-        self.backends.give_back(now, &run.backend, refused);
+        self.backends.release(now, &run.backend, refused);
         let settle = run.settle(&outcome);
-        let kept = Kept {
+        let answer = UnackedAnswer {
             to: run.from,
             service: run.service,
             outcome,
             settle,
-            since: now,
+            created_at: now,
             sent_at: now,
         };
         let entry_gone = !self.linked.contains(&id.entry);
-        if entry_gone && let Some(settle) = kept.settle.clone() {
-            self.out.push(AgentAction::Settle(settle));
+        if entry_gone && let Some(settle) = answer.settle.clone() {
+            self.actions.push(AgentAction::Settle(settle));
         }
-        self.keep(id.clone(), kept);
-        self.send_kept(now, id);
+        self.store_answer(id.clone(), answer);
+        self.send_answer(now, id);
     }
 
     /// Takes note that an entry has an answer.
     pub fn received(&mut self, id: &RequestId) {
-        self.forget(id);
+        self.remove_answer(id);
     }
 
     /// Takes note of a new link to an entry.
@@ -246,25 +246,25 @@
     pub fn entry_down(&mut self, entry: &Peer) {
         let id = crate::request::entry_id(entry);
         self.linked.remove(&id);
-        let kept = self.kept.iter().filter(|(k, _)| k.entry == id);
-        let settles = kept.filter_map(|(_, kept)| kept.settle.clone());
-        self.out.extend(settles.map(AgentAction::Settle));
+        let answers = self.unacked.iter().filter(|(k, _)| k.entry == id);
+        let settles = answers.filter_map(|(_, answer)| answer.settle.clone());
+        self.actions.extend(settles.map(AgentAction::Settle));
     }
 
     /// Does what time alone brings about; to be called every 100 ms or so.
     pub fn tick(&mut self, now: Timestamp) {
-        self.backends.lapse(now);
+        self.backends.remove_lapsed(now);
         self.decided.retain(|_, deadline| *deadline > now);
-        let ids: Vec<RequestId> = self.kept_order.iter().cloned().collect();
+        let ids: Vec<RequestId> = self.unacked_order.iter().cloned().collect();
         for id in ids {
-            let Some(kept) = self.kept.get(&id) else {
+            let Some(answer) = self.unacked.get(&id) else {
                 continue;
             };
             let linked = self.linked.contains(&id.entry);
-            if linked && now.since(kept.sent_at) >= RESEND {
-                self.send_kept(now, &id);
-            } else if !linked && now.since(kept.since) >= KEPT {
-                self.forget(&id);
+            if linked && now.since(answer.sent_at) >= RESEND_INTERVAL {
+                self.send_answer(now, &id);
+            } else if !linked && now.since(answer.created_at) >= UNLINKED_ANSWER_TTL {
+                self.remove_answer(&id);
             }
         }
     }
@@ -284,57 +284,57 @@
         if !in_service {
             return Err(NotRun::OutOfService);
         }
-        Ok(self.backends.take(now, &order.service))
+        Ok(self.backends.acquire(now, &order.service))
     }
 
     fn refuse(&mut self, now: Timestamp, from: &Name, order: &RunOrder, reason: NotRun) {
         let retry_after_ms = match reason {
-            NotRun::Busy => BUSY_RETRY_MS,
-            _ => ELSEWHERE_RETRY_MS,
+            NotRun::Busy => BUSY_RETRY_AFTER_MS,
+            _ => OTHER_AGENT_RETRY_AFTER_MS,
         };
-        let kept = Kept {
+        let answer = UnackedAnswer {
             to: from.clone(),
             service: order.service.clone(),
             outcome: Refusal::new(reason, retry_after_ms).outcome(),
             settle: None,
-            since: now,
+            created_at: now,
             sent_at: now,
         };
-        self.keep(order.id.clone(), kept);
-        self.send_kept(now, &order.id);
+        self.store_answer(order.id.clone(), answer);
+        self.send_answer(now, &order.id);
     }
 
-    fn keep(&mut self, id: RequestId, kept: Kept) {
-        self.kept_bytes += kept.bytes();
-        self.kept_order.push_back(id.clone());
-        self.kept.insert(id, kept);
-        while self.kept_bytes > KEPT_BYTES
-            && let Some(oldest) = self.kept_order.front().cloned()
+    fn store_answer(&mut self, id: RequestId, answer: UnackedAnswer) {
+        self.unacked_bytes += answer.bytes();
+        self.unacked_order.push_back(id.clone());
+        self.unacked.insert(id, answer);
+        while self.unacked_bytes > MAX_UNACKED_BYTES
+            && let Some(oldest) = self.unacked_order.front().cloned()
         {
             log::warn!(entry:% = oldest.entry, number = oldest.number; "answer_dropped");
-            self.forget(&oldest);
+            self.remove_answer(&oldest);
         }
     }
 
-    fn forget(&mut self, id: &RequestId) {
-        if let Some(kept) = self.kept.remove(id) {
-            self.kept_bytes -= kept.bytes();
-            self.kept_order.retain(|k| k != id);
+    fn remove_answer(&mut self, id: &RequestId) {
+        if let Some(answer) = self.unacked.remove(id) {
+            self.unacked_bytes -= answer.bytes();
+            self.unacked_order.retain(|k| k != id);
         }
     }
 
-    fn send_kept(&mut self, now: Timestamp, id: &RequestId) {
-        let Some(kept) = self.kept.get_mut(id) else {
+    fn send_answer(&mut self, now: Timestamp, id: &RequestId) {
+        let Some(answer) = self.unacked.get_mut(id) else {
             return;
         };
-        kept.sent_at = now;
+        answer.sent_at = now;
         let message = Message::Request(RequestMessage::Answer {
             id: id.clone(),
-            outcome: kept.outcome.clone(),
-            free: self.backends.free(now, &kept.service),
+            outcome: answer.outcome.clone(),
+            free: self.backends.free(now, &answer.service),
         });
-        let to = kept.to.clone();
-        self.out.push(AgentAction::Send { to, message });
+        let to = answer.to.clone();
+        self.actions.push(AgentAction::Send { to, message });
     }
 }
 
@@ -355,7 +355,7 @@
     }
 }
 
-impl Kept {
+impl UnackedAnswer {
     fn bytes(&self) -> usize {
         let body = match &self.outcome {
             Outcome::Done { body, .. } => body.len(),
--- a/dragonflyrun/src/request/backends.rs
+++ b/dragonflyrun/src/request/backends.rs
@@ -10,16 +10,16 @@
 };
 
 /// Time after which a backend server that does not renew its announcement gets no new work.
-pub const LAPSE: Duration = Duration::from_secs(3);
+pub const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
 /// How long a backend server that refused a connection gets nothing.
-const REFUSED: Duration = Duration::from_millis(500);
+const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Slots that one backend server may announce; each may take a thread of the agent.
-const MOST_SLOTS: u32 = 256;
+const MAX_SLOTS_PER_BACKEND: u32 = 256;
 
 /// Backend servers that one agent takes announcements of.
-const MOST_BACKENDS: usize = 64;
+const MAX_BACKENDS: usize = 64;
 
 /// What a backend server says of itself, each second.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -75,13 +75,13 @@
 impl Backends {
     /// Takes in an announcement.
     pub fn announce(&mut self, now: Timestamp, mut announced: BackendAnnouncement) {
-        announced.slots = announced.slots.min(MOST_SLOTS);
+        announced.slots = announced.slots.min(MAX_SLOTS_PER_BACKEND);
         if let Some(server) = self.servers.get_mut(&announced.name) {
             server.announced = announced;
             server.renewed_at = now;
             return;
         }
-        if self.servers.len() >= MOST_BACKENDS {
+        if self.servers.len() >= MAX_BACKENDS {
             log::warn!(backend:% = announced.name; "announcement_over_limit");
             return;
         }
@@ -95,17 +95,17 @@
     }
 
     /// Forgets backend servers that have lapsed and run nothing.
-    pub fn lapse(&mut self, now: Timestamp) {
+    pub fn remove_lapsed(&mut self, now: Timestamp) {
         self.servers
             .retain(|_, s| s.is_current(now) || s.in_use > 0);
     }
 
     /// Chooses a backend server for a request of `service` and takes one of its slots.
-    pub fn take(&mut self, now: Timestamp, service: &Name) -> BackendChoice {
+    pub fn acquire(&mut self, now: Timestamp, service: &Name) -> BackendChoice {
         let mut known = false;
         let mut best: Option<&mut Server> = None;
         for server in self.servers.values_mut() {
-            if !server.takes_work(now) || server.announced.service != *service {
+            if !server.accepts_work(now) || server.announced.service != *service {
                 continue;
             }
             known = true;
@@ -128,11 +128,11 @@
     }
 
     /// Gives back a slot; `refused` tells that the server did not take the request.
-    pub fn give_back(&mut self, now: Timestamp, name: &Name, refused: bool) {
+    pub fn release(&mut self, now: Timestamp, name: &Name, refused: bool) {
         if let Some(server) = self.servers.get_mut(name) {
             server.in_use = server.in_use.saturating_sub(1);
             if refused {
-                server.refused_until = now + REFUSED;
+                server.refused_until = now + REFUSED_BACKOFF;
             }
         }
     }
@@ -141,7 +141,7 @@
     pub fn free(&self, now: Timestamp, service: &Name) -> u32 {
         let servers = self.servers.values();
         servers
-            .filter(|s| s.announced.service == *service && s.takes_work(now))
+            .filter(|s| s.announced.service == *service && s.accepts_work(now))
             .map(|s| s.free(now))
             .sum()
     }
@@ -154,9 +154,9 @@
             .map(|s| BackendReport {
                 name: s.announced.name.clone(),
                 service: s.announced.service.clone(),
-                slots: s.most(),
+                slots: s.max_requests(),
                 free: s.free(now),
-                leaving: !s.takes_work(now),
+                leaving: !s.accepts_work(now),
             })
             .collect();
         reports.sort_by(|a, b| a.name.cmp(&b.name));
@@ -166,15 +166,15 @@
 
 impl Server {
     fn is_current(&self, now: Timestamp) -> bool {
-        now.since(self.renewed_at) <= LAPSE
+        now.since(self.renewed_at) <= ANNOUNCEMENT_TTL
     }
 
-    fn takes_work(&self, now: Timestamp) -> bool {
+    fn accepts_work(&self, now: Timestamp) -> bool {
         self.is_current(now) && !self.announced.leaving
     }
 
     /// Each request has a connection of its own, so both limits bound the requests at once.
-    fn most(&self) -> u32 {
+    fn max_requests(&self) -> u32 {
         self.announced.slots.min(self.announced.connections)
     }
 
@@ -182,6 +182,6 @@
         if now < self.refused_until {
             return 0;
         }
-        self.most().saturating_sub(self.in_use)
+        self.max_requests().saturating_sub(self.in_use)
     }
 }
--- a/dragonflyrun/src/request/entry_table.rs
+++ b/dragonflyrun/src/request/entry_table.rs
@@ -31,37 +31,37 @@
 use state::{Dispatch, Due, Pending, ServiceState, Stage};
 
 /// Agents drawn for each choice; `benches/requests.rs` measures 1 and 2.
-const CHOICES: usize = 2;
+const AGENT_CHOICES: usize = 2;
 
 /// Pause after which a caller may find a backend server again.
-const NO_BACKEND_RETRY_MS: u64 = 1_000;
+const NO_BACKEND_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Pause after which a caller may find another entry, or a failure domain back in service.
-const LEAVING_RETRY_MS: u64 = 500;
+const LEAVING_RETRY_AFTER_MS: u64 = 500;
 
 /// Pause after which a caller is told to come back where no better estimate is known.
-const DEFAULT_RETRY_MS: u64 = 500;
+const DEFAULT_RETRY_AFTER_MS: u64 = 500;
 
-const MOST_RETRY_MS: u64 = 10_000;
+const MAX_RETRY_AFTER_MS: u64 = 10_000;
 
 /// Time without any backend server of a service after which those who wait are refused. One
 /// heartbeat that comes late must not empty the queue.
 const NO_BACKEND_GRACE: Duration = Duration::from_secs(1);
 
 /// Time without a sign of life of our own that means that this process was frozen.
-const FROZEN: Duration = Duration::from_secs(1);
+const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Time after a freeze for which no key is claimed.
 ///
 /// Requests that came during the freeze look like new ones, but their callers have given up and
 /// may have tried again elsewhere. A first attempt that comes so late can meet an owner that does
 /// not know of the second.
-const RESUMED: Duration = Duration::from_secs(1);
+const CLAIM_PAUSE_AFTER_FREEZE: Duration = Duration::from_secs(1);
 
 /// What the entry is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryAction {
-    /// Hand a message to the link to a peer; where that fails, say so by [`EntryTable::unsent`].
+    /// Hand a message to the link to a peer; where that fails, say so by [`EntryTable::send_failed`].
     Send {
         /// The peer.
         to: Name,
@@ -116,11 +116,11 @@
     abandoned: Vec<Abandoned>,
     settlements: Vec<Settlement>,
     leaving: bool,
-    seen_at: Option<Timestamp>,
-    resumed_until: Timestamp,
+    last_active_at: Option<Timestamp>,
+    claims_paused_until: Timestamp,
     choices: usize,
     rng: SmallRng,
-    out: Vec<EntryAction>,
+    actions: Vec<EntryAction>,
 }
 
 impl EntryTable {
@@ -142,11 +142,11 @@
             abandoned: Vec::new(),
             settlements: Vec::new(),
             leaving: false,
-            seen_at: None,
-            resumed_until: Timestamp::default(),
-            choices: CHOICES,
+            last_active_at: None,
+            claims_paused_until: Timestamp::default(),
+            choices: AGENT_CHOICES,
             rng: SmallRng::seed_from_u64(seed),
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -189,8 +189,8 @@
 
     /// Takes in a caller's request; returns its number. The answer may be among the actions.
     pub fn submit(&mut self, now: Timestamp, req: CallerRequest) -> u64 {
-        self.notice_freeze(now);
-        let number = self.number();
+        self.detect_freeze(now);
+        let number = self.allocate_number();
         let repeat = req.key.is_some() && req.attempt > 1;
         match self.admit(now, number, req) {
             Ok(()) => {}
@@ -211,19 +211,22 @@
 
     /// Returns the actions decided since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<EntryAction> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Takes note that this process runs at `now`; has to be called by whatever comes first after
     /// a freeze.
-    fn notice_freeze(&mut self, now: Timestamp) {
-        if self.seen_at.is_some_and(|at| now.since(at) > FROZEN) {
-            self.resumed_until = now + RESUMED;
+    fn detect_freeze(&mut self, now: Timestamp) {
+        if self
+            .last_active_at
+            .is_some_and(|at| now.since(at) > FREEZE_THRESHOLD)
+        {
+            self.claims_paused_until = now + CLAIM_PAUSE_AFTER_FREEZE;
         }
-        self.seen_at = Some(now);
+        self.last_active_at = Some(now);
     }
 
-    fn number(&mut self) -> u64 {
+    fn allocate_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
@@ -258,6 +261,6 @@
     }
 
     fn answer(&mut self, number: u64, outcome: Outcome) {
-        self.out.push(EntryAction::Answer { number, outcome });
+        self.actions.push(EntryAction::Answer { number, outcome });
     }
 }
--- a/dragonflyrun/src/request/entry_table/admission.rs
+++ b/dragonflyrun/src/request/entry_table/admission.rs
@@ -5,12 +5,12 @@
 use rand::Rng;
 
 use super::{
-    DEFAULT_RETRY_MS,
+    DEFAULT_RETRY_AFTER_MS,
     Due,
     EntryTable,
-    LEAVING_RETRY_MS,
-    MOST_RETRY_MS,
-    NO_BACKEND_RETRY_MS,
+    LEAVING_RETRY_AFTER_MS,
+    MAX_RETRY_AFTER_MS,
+    NO_BACKEND_RETRY_AFTER_MS,
     Pending,
     Stage, //
 };
@@ -21,7 +21,7 @@
     version::Service,
 };
 
-const LEAST_RETRY_MS: u64 = 100;
+const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl EntryTable {
     pub(super) fn admit(
@@ -31,22 +31,22 @@
         req: CallerRequest,
     ) -> Result<(), Refusal> {
         if self.leaving {
-            return Err(Refusal::new(NotRun::Leaving, LEAVING_RETRY_MS));
+            return Err(Refusal::new(NotRun::Leaving, LEAVING_RETRY_AFTER_MS));
         }
         let version = self.version.clone();
         let service = version
             .service(&req.service)
-            .ok_or(Refusal::new(NotRun::UnknownService, MOST_RETRY_MS))?;
+            .ok_or(Refusal::new(NotRun::UnknownService, MAX_RETRY_AFTER_MS))?;
         let pending = self.check(now, service, req)?;
         let must_claim = !pending.repeatable;
-        if must_claim && now < self.resumed_until {
-            return Err(Refusal::new(NotRun::NotFresh, LEAVING_RETRY_MS));
+        if must_claim && now < self.claims_paused_until {
+            return Err(Refusal::new(NotRun::NotFresh, LEAVING_RETRY_AFTER_MS));
         }
         let repeat = must_claim && pending.attempt > 1;
         let waiting = pending.waiting(number);
         // A repeat may be answered from the owner's record without any slot.
         if !repeat {
-            self.make_room(now, service, waiting)?;
+            self.ensure_queue_room(now, service, waiting)?;
         }
         self.budget.earn(version.limits.retry_percent);
         self.due.insert(Due {
@@ -71,14 +71,17 @@
     ) -> Result<Pending, Refusal> {
         let key_missing = !service.repeatable && req.key.is_none();
         if req.attempt == 0 || key_missing {
-            return Err(Refusal::new(NotRun::Malformed, MOST_RETRY_MS));
+            return Err(Refusal::new(NotRun::Malformed, MAX_RETRY_AFTER_MS));
         }
         if req.body.len() as u64 > self.version.limits.body_bytes {
-            return Err(Refusal::new(NotRun::TooLarge, MOST_RETRY_MS));
+            return Err(Refusal::new(NotRun::TooLarge, MAX_RETRY_AFTER_MS));
         }
         // A grant must have been used or be void long before the owner forgets the key.
-        let most = service.longest_deadline_ms();
-        let deadline_ms = req.deadline_ms.unwrap_or(most).min(most);
+        let max_deadline_ms = service.longest_deadline_ms();
+        let deadline_ms = req
+            .deadline_ms
+            .unwrap_or(max_deadline_ms)
+            .min(max_deadline_ms);
         Ok(Pending {
             service: service.name.clone(),
             urgency: req
@@ -96,7 +99,7 @@
     }
 
     /// Makes sure that one more may wait, or says why not.
-    pub(super) fn make_room(
+    pub(super) fn ensure_queue_room(
         &mut self,
         now: Timestamp,
         service: &Service,
@@ -104,15 +107,21 @@
     ) -> Result<(), Refusal> {
         let capacity = self.loads.capacity(now, &service.name);
         if capacity.out_of_service {
-            return Err(Refusal::new(NotRun::OutOfService, NO_BACKEND_RETRY_MS));
+            return Err(Refusal::new(
+                NotRun::OutOfService,
+                NO_BACKEND_RETRY_AFTER_MS,
+            ));
         }
         if capacity.slots == 0 {
-            return Err(Refusal::new(NotRun::NoBackend, NO_BACKEND_RETRY_MS));
+            return Err(Refusal::new(NotRun::NoBackend, NO_BACKEND_RETRY_AFTER_MS));
         }
-        let needed = self.needed(now, &service.name, waiting.urgency);
+        let expected_run_time = self.expected_run_time(now, &service.name, waiting.urgency);
         let state = self.services.entry(service.name.clone()).or_default();
-        let wait = state.wait(capacity.ours.max(1), state.queue.ahead_of(waiting.urgency));
-        let ready = now + wait + needed;
+        let wait = state.expected_wait(
+            capacity.available.max(1),
+            state.queue.ahead_of(waiting.urgency),
+        );
+        let ready = now + wait + expected_run_time;
         if waiting.deadline <= now || ready > waiting.deadline {
             return Err(Refusal::new(
                 NotRun::Deadline,
@@ -135,11 +144,11 @@
     pub(super) fn retry_after(&mut self, now: Timestamp, service: &Name) -> u64 {
         let capacity = self.loads.capacity(now, service);
         let Some(state) = self.services.get(service) else {
-            return DEFAULT_RETRY_MS;
+            return DEFAULT_RETRY_AFTER_MS;
         };
-        let wait = state.wait(capacity.ours.max(1), state.queue.len() / 2 + 1);
-        let ms = u64::try_from(wait.as_millis()).unwrap_or(MOST_RETRY_MS);
-        let ms = ms.clamp(LEAST_RETRY_MS, MOST_RETRY_MS);
+        let wait = state.expected_wait(capacity.available.max(1), state.queue.len() / 2 + 1);
+        let ms = u64::try_from(wait.as_millis()).unwrap_or(MAX_RETRY_AFTER_MS);
+        let ms = ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
         ms + self.rng.random_range(0..=ms / 2)
     }
 }
--- a/dragonflyrun/src/request/entry_table/answers.rs
+++ b/dragonflyrun/src/request/entry_table/answers.rs
@@ -1,6 +1,6 @@
 //! What agents answer, and what follows where an answer does not come.
 
-use super::{DEFAULT_RETRY_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
+use super::{DEFAULT_RETRY_AFTER_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
 use crate::{
     connection::{Message, NotRun, Outcome, RequestId, RequestMessage},
     request::{Refusal, load::Sample},
@@ -8,7 +8,7 @@
 };
 
 /// The first status by which a backend server says that it failed.
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl EntryTable {
     /// Takes in an agent's answer, with the free slots of the service after it.
@@ -24,34 +24,35 @@
             return;
         }
         let number = id.number;
-        let known = self.dispatches.get(&number).filter(|d| d.agent == *from);
-        if known.is_some() && !is_whole(&outcome) {
+        let matching = self.dispatches.get(&number).filter(|d| d.agent == *from);
+        if matching.is_some() && !is_complete(&outcome) {
             // The agent keeps the answer until we have it, and gives it again to the same request.
-            self.out.push(EntryAction::Event("answer_cut_off"));
+            self.actions.push(EntryAction::Event("answer_cut_off"));
             self.resend(number);
             return;
         }
         let message = Message::Request(RequestMessage::Received { id });
         let to = from.clone();
-        if known.is_some()
-            && let Some(dispatch) = self.end(now, number, sample(now, known, &outcome), Some(free))
+        if matching.is_some()
+            && let Some(dispatch) =
+                self.end_dispatch(now, number, sample(now, matching, &outcome), Some(free))
         {
-            self.conclude(now, &dispatch, outcome);
-            self.pump(now, &dispatch.service);
+            self.apply_outcome(now, &dispatch, outcome);
+            self.dispatch_queued(now, &dispatch.service);
         }
-        self.out.push(EntryAction::Resend { to, message });
+        self.actions.push(EntryAction::Resend { to, message });
     }
 
     /// Takes note that `message`, which [`EntryAction::Send`] was to hand to `to`, was not sent.
-    pub fn unsent(&mut self, now: Timestamp, to: &Name, message: &Message) {
+    pub fn send_failed(&mut self, now: Timestamp, to: &Name, message: &Message) {
         match message {
             Message::Request(RequestMessage::Run { id, .. }) => {
-                let ended = self.end(now, id.number, Sample::NotStarted, None);
+                let ended = self.end_dispatch(now, id.number, Sample::NotStarted, None);
                 if let Some(dispatch) = ended {
                     self.enqueue(now, dispatch.request);
                 }
             }
-            Message::Key(message) => self.key_unsent(now, to, message),
+            Message::Key(message) => self.key_send_failed(now, to, message),
             _ => {}
         }
     }
@@ -70,7 +71,7 @@
         };
         match pending.stage.clone() {
             Stage::Claiming { .. } => {
-                let refusal = Refusal::new(NotRun::Deadline, DEFAULT_RETRY_MS);
+                let refusal = Refusal::new(NotRun::Deadline, DEFAULT_RETRY_AFTER_MS);
                 self.give_up_claim(now, number, refusal);
             }
             Stage::Queued => {
@@ -91,7 +92,7 @@
     }
 
     /// Forgets a dispatch and frees what it held.
-    pub(super) fn end(
+    pub(super) fn end_dispatch(
         &mut self,
         now: Timestamp,
         number: u64,
@@ -99,7 +100,7 @@
         free: Option<u32>,
     ) -> Option<Dispatch> {
         let dispatch = self.dispatches.remove(&number)?;
-        self.loads.ended(
+        self.loads.request_ended(
             now,
             &dispatch.agent,
             dispatch.incarnation,
@@ -110,13 +111,13 @@
         let state = self.services.entry(dispatch.service.clone()).or_default();
         state.running = state.running.saturating_sub(1);
         if let Sample::Ran(time) = sample {
-            state.ran(now, dispatch.urgency, time);
+            state.record_run_time(now, dispatch.urgency, time);
         }
         Some(dispatch)
     }
 
     /// Concludes from the answer of an agent, or from the loss of it, what becomes of a request.
-    pub(super) fn conclude(&mut self, now: Timestamp, dispatch: &Dispatch, outcome: Outcome) {
+    pub(super) fn apply_outcome(&mut self, now: Timestamp, dispatch: &Dispatch, outcome: Outcome) {
         let number = dispatch.request;
         let Some(pending) = self.requests.get_mut(&number) else {
             return;
@@ -138,14 +139,14 @@
     }
 
     /// Lets a request wait for another agent, if the budget allows.
-    fn retry(&mut self, now: Timestamp, number: u64, count: EntryAction) {
+    fn retry(&mut self, now: Timestamp, number: u64, action: EntryAction) {
         if self.budget.spend() {
-            self.out.push(count);
+            self.actions.push(action);
             self.enqueue(now, number);
             return;
         }
         let service = self.requests.get(&number).map(|p| p.service.clone());
-        let retry_after = service.map_or(DEFAULT_RETRY_MS, |s| self.retry_after(now, &s));
+        let retry_after = service.map_or(DEFAULT_RETRY_AFTER_MS, |s| self.retry_after(now, &s));
         let refusal = Refusal::new(NotRun::RetryBudget, retry_after);
         self.finish(number, refusal.outcome());
     }
@@ -154,7 +155,7 @@
     pub(super) fn resend(&mut self, dispatch: u64) {
         let to = self.dispatches.get(&dispatch).map(|d| d.agent.clone());
         if let (Some(to), Some(message)) = (to, self.run_message(dispatch)) {
-            self.out.push(EntryAction::Resend { to, message });
+            self.actions.push(EntryAction::Resend { to, message });
         }
     }
 
@@ -170,7 +171,7 @@
     }
 }
 
-pub(super) fn is_whole(outcome: &Outcome) -> bool {
+pub(super) fn is_complete(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Done { length, body, .. } => *length == body.len() as u64,
         Outcome::NotRun { .. } | Outcome::Unknown => true,
@@ -178,9 +179,11 @@
 }
 
 fn sample(now: Timestamp, dispatch: Option<&Dispatch>, outcome: &Outcome) -> Sample {
-    let sent = dispatch.map_or(now, |d| d.sent);
+    let sent_at = dispatch.map_or(now, |d| d.sent_at);
     match outcome {
-        Outcome::Done { status, .. } if *status < SERVER_ERROR => Sample::Ran(now.since(sent)),
+        Outcome::Done { status, .. } if *status < MIN_SERVER_ERROR_STATUS => {
+            Sample::Ran(now.since(sent_at))
+        }
         Outcome::Done { .. } | Outcome::Unknown => Sample::Failed,
         Outcome::NotRun { reason, .. } => match reason {
             NotRun::Refused => Sample::Refused,
--- a/dragonflyrun/src/request/entry_table/dispatch.rs
+++ b/dragonflyrun/src/request/entry_table/dispatch.rs
@@ -20,35 +20,35 @@
         let service = pending.service.clone();
         let state = self.services.entry(service.clone()).or_default();
         state.queue.push(waiting);
-        self.pump(now, &service);
+        self.dispatch_queued(now, &service);
     }
 
     /// Hands over what waits for `service` while there are free slots.
-    pub(super) fn pump(&mut self, now: Timestamp, service: &Name) {
+    pub(super) fn dispatch_queued(&mut self, now: Timestamp, service: &Name) {
         while let Some(waiting) = self.services.get(service).and_then(|s| s.queue.first()) {
-            if self.is_hopeless(now, service, &waiting) {
+            if self.would_miss_deadline(now, service, &waiting) {
                 let retry_after = self.retry_after(now, service);
                 let refusal = Refusal::new(NotRun::Deadline, retry_after);
                 self.finish(waiting.number, refusal.outcome());
                 continue;
             }
-            let spread = self.spread(now, service, waiting.urgency);
-            let slowest = waiting.deadline.since(now).div_f64(spread);
+            let run_time_ratio = self.run_time_ratio(now, service, waiting.urgency);
+            let max_mean = waiting.deadline.since(now).div_f64(run_time_ratio);
             let agent = self
                 .loads
-                .choose(now, service, slowest, self.choices, &mut self.rng);
+                .choose(now, service, max_mean, self.choices, &mut self.rng);
             let Some(agent) = agent else {
                 return;
             };
             if let Some(state) = self.services.get_mut(service) {
-                state.queue.take(&waiting);
+                state.queue.dequeue(&waiting);
             }
             self.dispatch(now, waiting.number, agent);
         }
     }
 
     fn dispatch(&mut self, now: Timestamp, number: u64, agent: Name) {
-        let dispatch = self.number();
+        let dispatch = self.allocate_number();
         let (Some(pending), Some(view)) = (self.requests.get_mut(&number), self.loads.view(&agent))
         else {
             return;
@@ -63,52 +63,58 @@
                 urgency: pending.urgency,
                 agent: agent.clone(),
                 incarnation: view.incarnation,
-                sent: now,
+                sent_at: now,
                 deadline_ms: view.clock_at(pending.deadline),
                 lost_at: None,
                 resend_at: None,
                 resends_left: 0,
             },
         );
-        self.loads.sent(&agent, &service);
+        self.loads.request_sent(&agent, &service);
         self.services.entry(service).or_default().running += 1;
         if let Some(message) = self.run_message(dispatch) {
-            self.out.push(EntryAction::Send { to: agent, message });
+            self.actions.push(EntryAction::Send { to: agent, message });
         }
     }
 
     pub(super) fn run_message(&self, dispatch: u64) -> Option<Message> {
-        let sent = self.dispatches.get(&dispatch)?;
-        let pending = self.requests.get(&sent.request)?;
-        let view = self.loads.view(&sent.agent)?;
-        if view.incarnation != sent.incarnation || matches!(pending.stage, Stage::Answered { .. }) {
+        let target = self.dispatches.get(&dispatch)?;
+        let pending = self.requests.get(&target.request)?;
+        let view = self.loads.view(&target.agent)?;
+        if view.incarnation != target.incarnation || matches!(pending.stage, Stage::Answered { .. })
+        {
             return None;
         }
         Some(Message::Request(RequestMessage::Run {
             id: self.id(dispatch),
-            incarnation: sent.incarnation,
+            incarnation: target.incarnation,
             service: pending.service.clone(),
             key: pending.key.clone(),
-            claim: pending.granted_by.as_ref().map(|_| self.id(sent.request)),
-            deadline_ms: sent.deadline_ms,
+            claim: pending.granted_by.as_ref().map(|_| self.id(target.request)),
+            deadline_ms: target.deadline_ms,
             body: pending.body.clone(),
         }))
     }
 
     /// Returns whether a request can't be answered by its deadline any more; running it would
     /// take a slot from one that can.
-    fn is_hopeless(&self, now: Timestamp, service: &Name, waiting: &Waiting) -> bool {
-        now + self.needed(now, service, waiting.urgency) >= waiting.deadline
+    fn would_miss_deadline(&self, now: Timestamp, service: &Name, waiting: &Waiting) -> bool {
+        now + self.expected_run_time(now, service, waiting.urgency) >= waiting.deadline
     }
 
     /// Returns how long most requests of `urgency` take that start now at the quickest agent.
-    pub(super) fn needed(&self, now: Timestamp, service: &Name, urgency: Urgency) -> Duration {
-        let quickest = self.loads.quickest(now, service);
-        quickest.mul_f64(self.spread(now, service, urgency))
+    pub(super) fn expected_run_time(
+        &self,
+        now: Timestamp,
+        service: &Name,
+        urgency: Urgency,
+    ) -> Duration {
+        let fastest_mean = self.loads.fastest_mean(now, service);
+        fastest_mean.mul_f64(self.run_time_ratio(now, service, urgency))
     }
 
-    fn spread(&self, now: Timestamp, service: &Name, urgency: Urgency) -> f64 {
+    fn run_time_ratio(&self, now: Timestamp, service: &Name, urgency: Urgency) -> f64 {
         let state = self.services.get(service);
-        state.map_or(1.0, |s| s.spread(now, urgency))
+        state.map_or(1.0, |s| s.run_time_ratio(now, urgency))
     }
 }
--- a/dragonflyrun/src/request/entry_table/keys.rs
+++ b/dragonflyrun/src/request/entry_table/keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{DEFAULT_RETRY_MS, EntryAction, EntryTable, Pending, Stage};
+use super::{DEFAULT_RETRY_AFTER_MS, EntryAction, EntryTable, Pending, Stage};
 use crate::{
     connection::{KeyMessage, KeyVerdict, Message, NotRun, Outcome, RequestId},
     request::Refusal,
@@ -10,23 +10,23 @@
 };
 
 /// Pause after which a new owner of a key is in office.
-const UNSETTLED_RETRY_MS: u64 = 3_000;
+const UNSETTLED_RETRY_AFTER_MS: u64 = 3_000;
 
 /// Time for which a grant that comes too late is given back.
-const ABANDONED: Duration = Duration::from_secs(60);
+const ABANDONED_CLAIM_TTL: Duration = Duration::from_secs(60);
 
 /// Time for which an owner is told what became of a key.
-const SETTLE: Duration = Duration::from_secs(10);
+const SETTLEMENT_TTL: Duration = Duration::from_secs(10);
 
 /// Settlements that wait for a link, at the most; without one the owner answers "unknown".
-const SETTLEMENTS: usize = 64;
+const MAX_SETTLEMENTS: usize = 64;
 
 /// What an owner is to be told once it is linked again.
 #[derive(Debug)]
 pub(super) struct Settlement {
     owner: Name,
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl EntryTable {
@@ -59,7 +59,7 @@
         };
         let owner = self.ring.owner(&pending.service, &key);
         let Some(view) = owner.and_then(|owner| self.loads.view(owner)) else {
-            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
             self.give_up_claim(now, number, refusal);
             return;
         };
@@ -85,21 +85,23 @@
             return;
         }
         let number = id.number;
-        let asked = Stage::Claiming {
+        let claiming = Stage::Claiming {
             owner: from.clone(),
         };
         match self.requests.get(&number) {
-            Some(pending) if pending.stage == asked => self.heed(now, number, from, verdict),
+            Some(pending) if pending.stage == claiming => {
+                self.apply_verdict(now, number, from, verdict)
+            }
             Some(_) => {}
-            None => self.give_back(from, number, &verdict),
+            None => self.return_grant(from, number, &verdict),
         }
     }
 
-    fn heed(&mut self, now: Timestamp, number: u64, owner: &Name, verdict: KeyVerdict) {
+    fn apply_verdict(&mut self, now: Timestamp, number: u64, owner: &Name, verdict: KeyVerdict) {
         match verdict {
             KeyVerdict::Granted => self.granted(now, number, owner),
-            KeyVerdict::Known(outcome) if !super::answers::is_whole(&outcome) => {
-                self.out.push(EntryAction::Event("answer_cut_off"));
+            KeyVerdict::Known(outcome) if !super::answers::is_complete(&outcome) => {
+                self.actions.push(EntryAction::Event("answer_cut_off"));
                 self.claim(now, number);
             }
             KeyVerdict::Known(outcome) => self.finish(number, outcome),
@@ -122,8 +124,8 @@
         let waiting = pending.waiting(number);
         let version = self.version.clone();
         let room = match version.service(&pending.service) {
-            Some(service) => self.make_room(now, service, waiting),
-            None => Err(Refusal::new(NotRun::UnknownService, DEFAULT_RETRY_MS)),
+            Some(service) => self.ensure_queue_room(now, service, waiting),
+            None => Err(Refusal::new(NotRun::UnknownService, DEFAULT_RETRY_AFTER_MS)),
         };
         match room {
             Ok(()) => self.enqueue(now, number),
@@ -134,7 +136,7 @@
     /// Gives back a grant that came after its request had been answered "not run"; the owner would
     /// take the key for running until its deadline. A grant of any other request is a second copy
     /// and must not be given back, since the request may have run.
-    fn give_back(&mut self, owner: &Name, number: u64, verdict: &KeyVerdict) {
+    fn return_grant(&mut self, owner: &Name, number: u64, verdict: &KeyVerdict) {
         let abandoned = self.abandoned.iter().find(|a| a.claim == number);
         let message = abandoned.map(|a| a.message.clone());
         if let (Some(message), KeyVerdict::Granted) = (message, verdict) {
@@ -165,7 +167,7 @@
             self.abandoned.push(Abandoned {
                 claim: number,
                 message: message.clone(),
-                until: now + ABANDONED,
+                expires_at: now + ABANDONED_CLAIM_TTL,
             });
             self.send_key(owner, message);
         }
@@ -199,17 +201,17 @@
         }
     }
 
-    pub(super) fn key_unsent(&mut self, now: Timestamp, to: &Name, message: &KeyMessage) {
+    pub(super) fn key_send_failed(&mut self, now: Timestamp, to: &Name, message: &KeyMessage) {
         match message {
             KeyMessage::Claim { id, .. } => {
-                let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+                let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
                 self.give_up_claim(now, id.number, refusal);
             }
-            KeyMessage::Settle { .. } if self.settlements.len() < SETTLEMENTS => {
+            KeyMessage::Settle { .. } if self.settlements.len() < MAX_SETTLEMENTS => {
                 self.settlements.push(Settlement {
                     owner: to.clone(),
                     message: message.clone(),
-                    until: now + SETTLE,
+                    expires_at: now + SETTLEMENT_TTL,
                 });
             }
             _ => {}
@@ -218,27 +220,27 @@
 
     /// Ends the claims at an owner that is lost.
     pub(super) fn owner_lost(&mut self, now: Timestamp, owner: &Name) {
-        let asked = Stage::Claiming {
+        let claiming = Stage::Claiming {
             owner: owner.clone(),
         };
         let lost: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, p)| p.stage == asked)
+            .filter(|(_, p)| p.stage == claiming)
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
-            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
             self.give_up_claim(now, number, refusal);
         }
     }
 
     /// Tries again what could not be handed over, and forgets what is too old.
     pub(super) fn tick_keys(&mut self, now: Timestamp) {
-        self.abandoned.retain(|a| a.until > now);
+        self.abandoned.retain(|a| a.expires_at > now);
         for settlement in std::mem::take(&mut self.settlements) {
-            if settlement.until <= now {
-                self.out.push(EntryAction::Event("settlement_lost"));
+            if settlement.expires_at <= now {
+                self.actions.push(EntryAction::Event("settlement_lost"));
             } else if self.loads.is_silent(now, &settlement.owner) {
                 self.settlements.push(settlement);
             } else {
@@ -249,7 +251,7 @@
 
     fn send_key(&mut self, to: Name, message: KeyMessage) {
         let message = Message::Key(message);
-        self.out.push(EntryAction::Send { to, message });
+        self.actions.push(EntryAction::Send { to, message });
     }
 }
 
@@ -259,5 +261,5 @@
     claim: u64,
     /// What gives the grant back.
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
--- a/dragonflyrun/src/request/entry_table/peers.rs
+++ b/dragonflyrun/src/request/entry_table/peers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Dispatch, EntryTable, NO_BACKEND_GRACE, NO_BACKEND_RETRY_MS};
+use super::{Dispatch, EntryTable, NO_BACKEND_GRACE, NO_BACKEND_RETRY_AFTER_MS};
 use crate::{
     connection::{NotRun, Outcome, Peer},
     request::{AgentView, Refusal, load::Sample},
@@ -13,14 +13,14 @@
 const LINK_GRACE: Duration = Duration::from_secs(1);
 
 /// Pause before a request is sent again over a new link, which is not yet open when it is told.
-const RESEND: Duration = Duration::from_millis(100);
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
 /// How often it is sent again; a single one may still meet a link that is not open.
-const RESENDS: u32 = 3;
+const MAX_RESENDS: u32 = 3;
 
 impl EntryTable {
     /// Takes note of an agent's state.
-    pub fn agent_heard(&mut self, view: AgentView) {
+    pub fn update_agent(&mut self, view: AgentView) {
         self.loads.update(view);
     }
 
@@ -48,10 +48,10 @@
             };
             if dispatch.incarnation == peer.incarnation {
                 dispatch.lost_at = None;
-                dispatch.resend_at = Some(now + RESEND);
-                dispatch.resends_left = RESENDS;
+                dispatch.resend_at = Some(now + RESEND_DELAY);
+                dispatch.resends_left = MAX_RESENDS;
             } else {
-                self.lose(now, number);
+                self.end_as_lost(now, number);
             }
         }
     }
@@ -69,14 +69,14 @@
 
     /// Does what time alone brings about; to be called every 100 ms or so.
     pub fn tick(&mut self, now: Timestamp) {
-        self.notice_freeze(now);
+        self.detect_freeze(now);
         self.expire_due(now);
         self.tick_dispatches(now);
         self.tick_keys(now);
         let services: Vec<Name> = self.services.keys().cloned().collect();
         for service in &services {
-            self.pump(now, service);
-            self.refuse_bare(now, service);
+            self.dispatch_queued(now, service);
+            self.refuse_without_backend(now, service);
         }
     }
 
@@ -87,19 +87,19 @@
                 continue;
             };
             if self.is_lost(now, dispatch) {
-                self.lose(now, number);
+                self.end_as_lost(now, number);
             } else if dispatch.resend_at.is_some_and(|at| at <= now) {
-                self.resend_later(now, number);
+                self.schedule_next_resend(now, number);
                 self.resend(number);
             }
         }
     }
 
-    fn resend_later(&mut self, now: Timestamp, number: u64) {
+    fn schedule_next_resend(&mut self, now: Timestamp, number: u64) {
         if let Some(dispatch) = self.dispatches.get_mut(&number) {
             dispatch.resends_left = dispatch.resends_left.saturating_sub(1);
-            let again = (dispatch.resends_left > 0).then_some(now + RESEND * 3);
-            dispatch.resend_at = again;
+            let next_at = (dispatch.resends_left > 0).then_some(now + RESEND_DELAY * 3);
+            dispatch.resend_at = next_at;
         }
     }
 
@@ -113,23 +113,23 @@
         request.is_some_and(|r| r.repeatable) && self.loads.is_silent(now, &dispatch.agent)
     }
 
-    fn lose(&mut self, now: Timestamp, number: u64) {
-        if let Some(dispatch) = self.end(now, number, Sample::Failed, None) {
-            self.conclude(now, &dispatch, Outcome::Unknown);
+    fn end_as_lost(&mut self, now: Timestamp, number: u64) {
+        if let Some(dispatch) = self.end_dispatch(now, number, Sample::Failed, None) {
+            self.apply_outcome(now, &dispatch, Outcome::Unknown);
         }
     }
 
     /// Refuses what waits for a service that no agent has had for a while.
-    fn refuse_bare(&mut self, now: Timestamp, service: &Name) {
+    fn refuse_without_backend(&mut self, now: Timestamp, service: &Name) {
         let capacity = self.loads.capacity(now, service);
         let Some(state) = self.services.get_mut(service) else {
             return;
         };
         if capacity.slots > 0 || state.queue.is_empty() {
-            state.bare_since = None;
+            state.without_backend_since = None;
             return;
         }
-        let since = *state.bare_since.get_or_insert(now);
+        let since = *state.without_backend_since.get_or_insert(now);
         if now.since(since) < NO_BACKEND_GRACE {
             return;
         }
@@ -140,7 +140,7 @@
         };
         let waiting: Vec<u64> = state.queue.all().map(|w| w.number).collect();
         for number in waiting {
-            let refusal = Refusal::new(reason, NO_BACKEND_RETRY_MS);
+            let refusal = Refusal::new(reason, NO_BACKEND_RETRY_AFTER_MS);
             self.finish(number, refusal.outcome());
         }
     }
--- a/dragonflyrun/src/request/entry_table/state.rs
+++ b/dragonflyrun/src/request/entry_table/state.rs
@@ -45,7 +45,7 @@
     pub(super) urgency: Urgency,
     pub(super) agent: Name,
     pub(super) incarnation: u64,
-    pub(super) sent: Timestamp,
+    pub(super) sent_at: Timestamp,
     /// The deadline on the agent's clock. It is reckoned once: the agent knows a second copy for
     /// as long as the first one's deadline, and one with a later deadline would run again.
     pub(super) deadline_ms: u64,
@@ -64,7 +64,7 @@
     /// By urgency; what is patient is often larger too.
     pub(super) run_times: HashMap<Urgency, RunTime>,
     pub(super) running: usize,
-    pub(super) bare_since: Option<Timestamp>,
+    pub(super) without_backend_since: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -85,24 +85,24 @@
 
 impl ServiceState {
     /// Returns how long `ahead` requests take to be handed over, with `slots` in turn.
-    pub(super) fn wait(&self, slots: u32, ahead: usize) -> Duration {
+    pub(super) fn expected_wait(&self, slots: u32, ahead: usize) -> Duration {
         let mean_ms = self.run_time.mean_ms().unwrap_or(0.0);
         let turns = ahead as f64 / f64::from(slots);
         Duration::from_secs_f64(mean_ms * turns / 1_000.0)
     }
 
     /// Takes note of how long a request took.
-    pub(super) fn ran(&mut self, now: Timestamp, urgency: Urgency, time: Duration) {
+    pub(super) fn record_run_time(&mut self, now: Timestamp, urgency: Urgency, time: Duration) {
         self.run_time.add(now, time);
         self.run_times.entry(urgency).or_default().add(now, time);
     }
 
     /// Returns by how much most requests of `urgency` take longer than the mean of all.
-    pub(super) fn spread(&self, now: Timestamp, urgency: Urgency) -> f64 {
-        let most = self.run_times.get(&urgency).map(|r| r.most(now));
-        match (most, self.run_time.recent_mean_ms(now)) {
-            (Some(most), Some(mean_ms)) if mean_ms > 0.0 && !most.is_zero() => {
-                most.as_secs_f64() * 1_000.0 / mean_ms
+    pub(super) fn run_time_ratio(&self, now: Timestamp, urgency: Urgency) -> f64 {
+        let bound = self.run_times.get(&urgency).map(|r| r.upper_bound(now));
+        match (bound, self.run_time.recent_mean_ms(now)) {
+            (Some(bound), Some(mean_ms)) if mean_ms > 0.0 && !bound.is_zero() => {
+                bound.as_secs_f64() * 1_000.0 / mean_ms
             }
             _ => 1.0,
         }
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -15,29 +15,29 @@
     request::{Refusal, Ring},
     utils::{HashMap, Name, Timestamp},
 };
-use record::{KeyId, KeyState, Record, body_bytes, known, refused};
+use record::{KeyId, KeyState, Record, body_bytes, known_verdict, refused_verdict};
 
 /// Time after a change of owners for which nothing is granted anew: an earlier owner that has not
 /// read of the change stops being fresh within [`FRESH`].
-const SETTLING: Duration = FRESH.saturating_add(Duration::from_millis(500));
+const OWNER_CHANGE_DELAY: Duration = FRESH.saturating_add(Duration::from_millis(500));
 
 /// Time beyond a deadline for which a grant's outcome is waited for.
 const OUTCOME_MARGIN: Duration = Duration::from_millis(500);
 
 /// Changes of owners that are remembered.
-const EPOCHS: usize = 64;
+const MAX_EPOCHS: usize = 64;
 
 /// Keys that are remembered, at the most; above it new ones are refused.
-const KEYS: usize = 200_000;
+const MAX_KEYS: usize = 200_000;
 
 /// Bytes of outcomes that are remembered, at the most; above it they are remembered as unknown.
-const OUTCOME_BYTES: usize = 64 << 20;
+const MAX_OUTCOME_BYTES: usize = 64 << 20;
 
 /// Repeats that wait for the outcome of one key, at the most.
-const WAITERS: usize = 16;
+const MAX_WAITERS: usize = 16;
 
 /// Milliseconds after which an owner that refused may grant.
-const RETRY_MS: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// A claim as the owner takes it in.
 #[derive(Clone, Debug)]
@@ -97,7 +97,7 @@
     epochs: Vec<Epoch>,
     keys: HashMap<KeyId, Record>,
     outcome_bytes: usize,
-    out: Vec<OwnerAction>,
+    actions: Vec<OwnerAction>,
 }
 
 #[derive(Debug)]
@@ -116,13 +116,13 @@
             epochs: Vec::new(),
             keys: HashMap::default(),
             outcome_bytes: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
     /// Returns the verdicts decided since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<OwnerAction> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Takes note of the owners after the `change`th change of them that this process folded.
@@ -142,7 +142,7 @@
             since: now,
             ring: Ring::new(members),
         });
-        if self.epochs.len() > EPOCHS {
+        if self.epochs.len() > MAX_EPOCHS {
             self.epochs.remove(0);
         }
     }
@@ -155,17 +155,19 @@
     /// Takes in a claim; `fresh` tells whether this process knows the latest state of the log.
     pub fn claim(&mut self, now: Timestamp, claim: KeyClaim, fresh: bool) {
         let id = KeyId::of(&claim);
-        let mut overtaken = false;
+        let mut superseded = false;
         if let Some(record) = self.keys.get_mut(&id) {
-            overtaken = claim.attempt < record.attempt;
+            superseded = claim.attempt < record.attempt;
             record.attempt = record.attempt.max(claim.attempt);
         }
         let verdict = match self.keys.get_mut(&id).map(|r| &mut r.state) {
-            Some(KeyState::Ran { outcome, .. }) => known(outcome),
+            Some(KeyState::Ran { outcome, .. }) => known_verdict(outcome),
             Some(KeyState::Granted { holder, .. }) if *holder == claim.id => KeyVerdict::Granted,
-            Some(KeyState::Granted { until, waiters, .. })
-                if now < *until && waiters.len() < WAITERS =>
-            {
+            Some(KeyState::Granted {
+                outcome_due_at,
+                waiters,
+                ..
+            }) if now < *outcome_due_at && waiters.len() < MAX_WAITERS => {
                 // Its outcome answers the repeat too.
                 if !waiters.iter().any(|w| w.id == claim.id) {
                     waiters.push(claim);
@@ -174,8 +176,8 @@
             }
             Some(KeyState::Granted { .. }) => KeyVerdict::Unknown,
             // The caller may have been told "not run" for a later attempt; that must stay true.
-            Some(KeyState::NotRun) if overtaken => {
-                refused(Refusal::new(NotRun::KeyUnsettled, RETRY_MS))
+            Some(KeyState::NotRun) if superseded => {
+                refused_verdict(Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS))
             }
             Some(KeyState::NotRun) => match self.may_grant(now, &claim, fresh) {
                 Ok(()) => self.grant(now, &claim),
@@ -183,7 +185,7 @@
                 Err(refusal) if claim.attempt > 1 && refusal.reason != NotRun::Busy => {
                     KeyVerdict::Unknown
                 }
-                Err(refusal) => refused(refusal),
+                Err(refusal) => refused_verdict(refusal),
             },
             None => self.first_claim(now, &claim, fresh),
         };
@@ -198,7 +200,7 @@
             key: settled.key.clone(),
         };
         let Some(record) = self.keys.get_mut(&key) else {
-            self.learn(now, key, settled);
+            self.record_foreign_outcome(now, key, settled);
             return;
         };
         let not_run = matches!(settled.outcome, Outcome::NotRun { .. });
@@ -208,7 +210,7 @@
                 holder, waiters, ..
             } if *holder == settled.id => {
                 let waiters = std::mem::take(waiters);
-                self.conclude(now, key, settled, waiters, fresh);
+                self.record_outcome(now, key, settled, waiters, fresh);
             }
             KeyState::Granted { waiters, .. } => waiters.retain(|w| w.id != settled.id),
             // The entry gave up on an answer that has come after all.
@@ -216,30 +218,34 @@
                 holder,
                 outcome: Outcome::Unknown,
             } if done && *holder == settled.id => {
-                self.conclude(now, key, settled, Vec::new(), fresh);
+                self.record_outcome(now, key, settled, Vec::new(), fresh);
             }
             KeyState::Ran { .. } => {}
             KeyState::NotRun if not_run => {}
-            KeyState::NotRun => self.conclude(now, key, settled, Vec::new(), fresh),
+            KeyState::NotRun => self.record_outcome(now, key, settled, Vec::new(), fresh),
         }
     }
 
     /// Does what time alone brings about; to be called every 100 ms or so.
     pub fn tick(&mut self, now: Timestamp) {
-        let mut late = Vec::new();
+        let mut overdue = Vec::new();
         for record in self.keys.values_mut() {
-            if let KeyState::Granted { until, waiters, .. } = &mut record.state
-                && *until <= now
+            if let KeyState::Granted {
+                outcome_due_at,
+                waiters,
+                ..
+            } = &mut record.state
+                && *outcome_due_at <= now
             {
-                late.append(waiters);
+                overdue.append(waiters);
             }
         }
-        for claim in late {
+        for claim in overdue {
             self.reply(&claim, KeyVerdict::Unknown);
         }
         let bytes = &mut self.outcome_bytes;
         self.keys.retain(|_, record| {
-            let keep = now < record.forget_at;
+            let keep = now < record.expires_at;
             if !keep {
                 *bytes -= record.state.bytes();
             }
@@ -248,81 +254,81 @@
     }
 
     fn first_claim(&mut self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> KeyVerdict {
-        let may = self.may_grant(now, claim, fresh);
+        let allowed = self.may_grant(now, claim, fresh);
         if claim.attempt > 1 {
             let remembers = self.owned_for(now, claim) >= claim.window;
             // An earlier attempt may have been granted where this process can't know.
-            return match may {
+            return match allowed {
                 Ok(()) if remembers => self.grant(now, claim),
                 _ => KeyVerdict::Unknown,
             };
         }
-        match may {
+        match allowed {
             Ok(()) => self.grant(now, claim),
-            Err(refusal) => refused(refusal),
+            Err(refusal) => refused_verdict(refusal),
         }
     }
 
     /// Returns why nothing may be granted, if so.
     fn may_grant(&self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> Result<(), Refusal> {
-        let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_MS);
+        let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS);
         let epoch = self.epochs.last().ok_or(unsettled)?;
         if epoch.ring.owner(&claim.service, &claim.key) != Some(&self.me.name) {
             return Err(unsettled);
         }
-        if now.since(epoch.since) < SETTLING {
+        if now.since(epoch.since) < OWNER_CHANGE_DELAY {
             return Err(unsettled);
         }
         // Held up in a frozen process or a broken network, it may be older than a change of
         // owners, and its caller may have tried again at the one before.
-        let late = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
-        if late {
+        let is_stale = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
+        if is_stale {
             return Err(unsettled);
         }
         if !fresh {
-            return Err(Refusal::new(NotRun::NotFresh, RETRY_MS));
+            return Err(Refusal::new(NotRun::NotFresh, RETRY_AFTER_MS));
         }
-        if self.keys.len() >= KEYS {
-            return Err(Refusal::new(NotRun::Busy, RETRY_MS));
+        if self.keys.len() >= MAX_KEYS {
+            return Err(Refusal::new(NotRun::Busy, RETRY_AFTER_MS));
         }
         if now >= claim.deadline {
-            return Err(Refusal::new(NotRun::Deadline, RETRY_MS));
+            return Err(Refusal::new(NotRun::Deadline, RETRY_AFTER_MS));
         }
         Ok(())
     }
 
     /// Returns for how long this process has owned the key without interruption.
     fn owned_for(&self, now: Timestamp, claim: &KeyClaim) -> Duration {
-        let mine = |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.me.name);
-        let first = self.epochs.iter().rev().take_while(mine).last();
+        let owns_key = |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.me.name);
+        let first = self.epochs.iter().rev().take_while(owns_key).last();
         first.map_or(Duration::ZERO, |e| now.since(e.since.max(self.started)))
     }
 
     fn grant(&mut self, now: Timestamp, claim: &KeyClaim) -> KeyVerdict {
-        let until = claim.deadline + OUTCOME_MARGIN;
+        let outcome_due_at = claim.deadline + OUTCOME_MARGIN;
         let record = Record {
             state: KeyState::Granted {
                 holder: claim.id.clone(),
-                until,
+                outcome_due_at,
                 waiters: Vec::new(),
             },
             attempt: claim.attempt,
-            forget_at: until.max(now) + claim.window,
+            expires_at: outcome_due_at.max(now) + claim.window,
         };
         self.replace(KeyId::of(claim), record);
         KeyVerdict::Granted
     }
 
     /// Remembers the outcome of a grant that another owner gave.
-    fn learn(&mut self, now: Timestamp, key: KeyId, settled: KeyOutcome) {
+    fn record_foreign_outcome(&mut self, now: Timestamp, key: KeyId, settled: KeyOutcome) {
         let not_run = matches!(settled.outcome, Outcome::NotRun { .. });
-        if not_run || self.keys.len() >= KEYS {
+        if not_run || self.keys.len() >= MAX_KEYS {
             return;
         }
-        self.conclude(now, key, settled, Vec::new(), false);
+        self.record_outcome(now, key, settled, Vec::new(), false);
     }
 
-    fn conclude(
+    fn record_outcome(
         &mut self,
         now: Timestamp,
         key: KeyId,
@@ -336,14 +342,14 @@
         } else {
             KeyState::Ran {
                 holder: settled.id,
-                outcome: self.affordable(settled.outcome.clone()),
+                outcome: self.within_size_limit(settled.outcome.clone()),
             }
         };
         let attempt = self.keys.get(&key).map_or(1, |r| r.attempt);
         let record = Record {
             state,
             attempt,
-            forget_at: now + settled.window,
+            expires_at: now + settled.window,
         };
         self.replace(key, record);
         for waiter in waiters {
@@ -351,14 +357,14 @@
                 // The first of them may run now; the others wait for it in turn.
                 self.claim(now, waiter, fresh);
             } else {
-                self.reply(&waiter, known(&settled.outcome));
+                self.reply(&waiter, known_verdict(&settled.outcome));
             }
         }
     }
 
     /// Returns `outcome`, or "unknown" where there is no room left for its body: that is true too.
-    fn affordable(&self, outcome: Outcome) -> Outcome {
-        if self.outcome_bytes + body_bytes(&outcome) > OUTCOME_BYTES {
+    fn within_size_limit(&self, outcome: Outcome) -> Outcome {
+        if self.outcome_bytes + body_bytes(&outcome) > MAX_OUTCOME_BYTES {
             return Outcome::Unknown;
         }
         outcome
@@ -372,7 +378,7 @@
     }
 
     fn reply(&mut self, claim: &KeyClaim, verdict: KeyVerdict) {
-        self.out.push(OwnerAction {
+        self.actions.push(OwnerAction {
             to: claim.from.clone(),
             id: claim.id.clone(),
             verdict,
--- a/dragonflyrun/src/request/key_owner/record.rs
+++ b/dragonflyrun/src/request/key_owner/record.rs
@@ -17,7 +17,7 @@
     pub(super) state: KeyState,
     /// The highest attempt seen. The caller of a lower one has given it up.
     pub(super) attempt: u32,
-    pub(super) forget_at: Timestamp,
+    pub(super) expires_at: Timestamp,
 }
 
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// A request may run, or be running.
     Granted {
         holder: RequestId,
-        until: Timestamp,
+        outcome_due_at: Timestamp,
         waiters: Vec<KeyClaim>,
     },
     /// It is known not to have run.
@@ -59,14 +59,14 @@
     }
 }
 
-pub(super) fn known(outcome: &Outcome) -> KeyVerdict {
+pub(super) fn known_verdict(outcome: &Outcome) -> KeyVerdict {
     match outcome {
         Outcome::Unknown => KeyVerdict::Unknown,
         outcome => KeyVerdict::Known(outcome.clone()),
     }
 }
 
-pub(super) fn refused(refusal: Refusal) -> KeyVerdict {
+pub(super) fn refused_verdict(refusal: Refusal) -> KeyVerdict {
     KeyVerdict::Refused {
         reason: refusal.reason,
         retry_after_ms: refusal.retry_after_ms,
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -16,7 +16,7 @@
 pub use view::{AgentView, ServiceView};
 
 /// Random draws before all agents are looked through for one that has a free slot.
-const DRAWS: usize = 8;
+const MAX_DRAWS: usize = 8;
 
 /// What became of a request that an agent was given, for the choice of agents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -58,7 +58,7 @@
     /// Slots of all usable agents.
     pub(crate) slots: u32,
     /// Slots that our requests use or that are free.
-    pub(crate) ours: u32,
+    pub(crate) available: u32,
     /// Whether only a failure domain that is out of service has it.
     pub(crate) out_of_service: bool,
 }
@@ -75,19 +75,19 @@
             agent.offers.clear();
         }
         for offer in agent.offers.values_mut() {
-            (offer.slots, offer.part) = (0, 0);
+            (offer.slots, offer.share) = (0, 0);
         }
         let entries = self.entries;
         for service in &view.services {
-            let part = entries.part(&name, service.slots);
+            let share = entries.share(&name, service.slots);
             let offer = agent.offers.entry(service.service.clone()).or_default();
             offer.slots = service.slots;
-            offer.part = part;
+            offer.share = share;
             offer.reserve = (entries.count - 1).min(service.slots / 2);
-            offer.learn(view.heard, service.free);
+            offer.update_free(view.heard, service.free);
             let agents = self.services.entry(service.service.clone()).or_default();
-            if let Err(place) = agents.binary_search(&name) {
-                agents.insert(place, name.clone());
+            if let Err(index) = agents.binary_search(&name) {
+                agents.insert(index, name.clone());
             }
         }
         agent.view = view;
@@ -140,7 +140,7 @@
             out_of_service |= agent.view.out_of_service;
             if agent.is_usable(now) {
                 sum.slots += offer.slots;
-                sum.ours += offer.free() + offer.in_flight.min(offer.slots);
+                sum.available += offer.free() + offer.in_flight.min(offer.slots);
             }
         }
         sum.out_of_service = out_of_service && sum.slots == 0;
@@ -148,7 +148,7 @@
     }
 
     /// Returns the least mean run time of any agent; zero where none is known.
-    pub(crate) fn quickest(&self, now: Timestamp, service: &Name) -> Duration {
+    pub(crate) fn fastest_mean(&self, now: Timestamp, service: &Name) -> Duration {
         let names = self.services.get(service).into_iter().flatten();
         let offers = names.filter_map(|name| self.usable_offer(now, name, service));
         let means = offers.filter_map(|o| o.run_time.recent_mean_ms(now));
@@ -156,7 +156,7 @@
         Duration::from_secs_f64(least_ms / 1_000.0)
     }
 
-    /// Chooses an agent for a request of `service` among those that take no longer than `slowest`
+    /// Chooses an agent for a request of `service` among those that take no longer than `max_mean`
     /// on average: the best of `choices` drawn at random from those that have a free slot.
     ///
     /// Taking the best of all would make every entry choose the same agent until the next
@@ -165,20 +165,20 @@
         &self,
         now: Timestamp,
         service: &Name,
-        slowest: Duration,
+        max_mean: Duration,
         choices: usize,
         rng: &mut impl Rng,
     ) -> Option<Name> {
         let names = self.services.get(service)?;
-        let offer = |name: &Name| self.open_offer(now, name, service);
-        let good = |o: &Offer| o.may_be_tried(now) && o.is_fast_enough(now, slowest);
-        let own = |name: &Name| offer(name).is_some_and(|o| o.has_own() && good(o));
-        let borrowed = |name: &Name| offer(name).is_some_and(|o| o.may_borrow() && good(o));
+        let offer = |name: &Name| self.available_offer(now, name, service);
+        let suitable = |o: &Offer| o.is_eligible(now) && o.is_fast_enough(now, max_mean);
+        let own = |name: &Name| offer(name).is_some_and(|o| o.has_own_free() && suitable(o));
+        let borrowed = |name: &Name| offer(name).is_some_and(|o| o.may_borrow() && suitable(o));
         let mut drawn = draw(names, choices, rng, own);
         if drawn.is_empty() {
             drawn = draw(names, choices, rng, borrowed);
         }
-        if drawn.is_empty() && self.all_set_aside(now, service) {
+        if drawn.is_empty() && self.all_quarantined(now, service) {
             // Where every backend server fails, the fault may lie in the requests; refusing all
             // would keep it from ever being noticed that they work again.
             let any = |name: &Name| offer(name).is_some_and(|o| o.free() > 0);
@@ -190,7 +190,7 @@
     }
 
     /// Takes note that `agent` was given a request.
-    pub(crate) fn sent(&mut self, agent: &Name, service: &Name) {
+    pub(crate) fn request_sent(&mut self, agent: &Name, service: &Name) {
         if let Some(offer) = self.offer(agent, service) {
             offer.in_flight += 1;
         }
@@ -198,7 +198,7 @@
 
     /// Takes note of what became of a request that `agent` of `incarnation` was given, and of the
     /// free slots it reported with that.
-    pub(crate) fn ended(
+    pub(crate) fn request_ended(
         &mut self,
         now: Timestamp,
         agent: &Name,
@@ -217,9 +217,9 @@
             return;
         };
         offer.in_flight = offer.in_flight.saturating_sub(1);
-        offer.add(now, sample);
+        offer.record(now, sample);
         if let Some(free) = free {
-            offer.learn(now, free);
+            offer.update_free(now, free);
         }
     }
 
@@ -233,15 +233,15 @@
     }
 
     /// Returns what `agent` has for `service`, if it may get requests and has not just refused.
-    fn open_offer(&self, now: Timestamp, agent: &Name, service: &Name) -> Option<&Offer> {
+    fn available_offer(&self, now: Timestamp, agent: &Name, service: &Name) -> Option<&Offer> {
         self.usable_offer(now, agent, service)
-            .filter(|o| now >= o.held_until)
+            .filter(|o| now >= o.backoff_until)
     }
 
-    fn all_set_aside(&self, now: Timestamp, service: &Name) -> bool {
+    fn all_quarantined(&self, now: Timestamp, service: &Name) -> bool {
         let names = self.services.get(service).into_iter().flatten();
         let mut offers = names.filter_map(|n| self.usable_offer(now, n, service));
-        offers.all(|o| o.slots == 0 || o.has_failed())
+        offers.all(|o| o.slots == 0 || o.is_failing())
     }
 
     /// The run time to expect, longer the more slots are in use.
@@ -264,10 +264,10 @@
 impl Entries {
     /// Returns how many of an agent's `slots` are this entry's own. Which entries have one more
     /// differs from agent to agent.
-    fn part(self, agent: &Name, slots: u32) -> u32 {
-        let turn = u32::try_from(FxBuildHasher.hash_one(agent) % u64::from(self.count));
-        let place = (self.rank + turn.unwrap_or(0)) % self.count;
-        slots / self.count + u32::from(place < slots % self.count)
+    fn share(self, agent: &Name, slots: u32) -> u32 {
+        let rotation = u32::try_from(FxBuildHasher.hash_one(agent) % u64::from(self.count));
+        let position = (self.rank + rotation.unwrap_or(0)) % self.count;
+        slots / self.count + u32::from(position < slots % self.count)
     }
 }
 
@@ -282,17 +282,17 @@
     names: &'a [Name],
     choices: usize,
     rng: &mut impl Rng,
-    open: impl Fn(&Name) -> bool,
+    accept: impl Fn(&Name) -> bool,
 ) -> Vec<&'a Name> {
-    let drawn: Vec<&Name> = (0..DRAWS.max(choices))
+    let drawn: Vec<&Name> = (0..MAX_DRAWS.max(choices))
         .map(|_| &names[rng.random_range(0..names.len())])
-        .filter(|name| open(name))
+        .filter(|name| accept(name))
         .take(choices)
         .collect();
     if !drawn.is_empty() {
         return drawn;
     }
     let start = rng.random_range(0..names.len());
-    let turned = names[start..].iter().chain(&names[..start]);
-    turned.filter(|name| open(name)).take(choices).collect()
+    let rotated = names[start..].iter().chain(&names[..start]);
+    rotated.filter(|name| accept(name)).take(choices).collect()
 }
--- a/dragonflyrun/src/request/load/view.rs
+++ b/dragonflyrun/src/request/load/view.rs
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Returns a time on the agent's clock that is no later than `at` is on ours: its clock had
+    /// Returns a time on the agent's clock that is no later than `at` is on available: its clock had
     /// passed `sent_ms` when we heard it.
     pub(crate) fn clock_at(&self, at: Timestamp) -> u64 {
         let since = at.since(self.heard).as_millis();
--- a/dragonflyrun/src/request/mod.rs
+++ b/dragonflyrun/src/request/mod.rs
@@ -15,7 +15,7 @@
 mod wait_queue;
 
 pub use agent_table::{AgentAction, AgentTable, RunOrder};
-pub use backends::{BackendAnnouncement, BackendChoice, Backends, LAPSE};
+pub use backends::{ANNOUNCEMENT_TTL, BackendAnnouncement, BackendChoice, Backends};
 pub use caller::{CallerRequest, Refusal};
 pub use entry_table::{EntryAction, EntryTable, ServiceStats};
 pub use key_owner::{KeyClaim, KeyOutcome, KeyOwner, OwnerAction};
--- a/dragonflyrun/src/request/retry_budget.rs
+++ b/dragonflyrun/src/request/retry_budget.rs
@@ -1,13 +1,13 @@
 //! Bounds retries to a share of first attempts.
 
 /// One retry, in hundredths.
-const RETRY: u64 = 100;
+const HUNDREDTHS_PER_RETRY: u64 = 100;
 
 /// Retries that a process may make before it has seen any request.
-const FIRST_RETRIES: u64 = 10;
+const INITIAL_RETRIES: u64 = 10;
 
 /// Retries that may be saved up; more would let a quiet hour pay for a storm.
-const MOST_RETRIES: u64 = 50;
+const MAX_SAVED_RETRIES: u64 = 50;
 
 /// Retries that may be made now.
 ///
@@ -21,7 +21,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            hundredths: FIRST_RETRIES * RETRY,
+            hundredths: INITIAL_RETRIES * HUNDREDTHS_PER_RETRY,
         }
     }
 }
@@ -30,12 +30,12 @@
     /// Takes note of a first attempt, which earns `percent` of a retry.
     pub fn earn(&mut self, percent: u32) {
         let sum = self.hundredths.saturating_add(u64::from(percent));
-        self.hundredths = sum.min(MOST_RETRIES * RETRY);
+        self.hundredths = sum.min(MAX_SAVED_RETRIES * HUNDREDTHS_PER_RETRY);
     }
 
     /// Pays for one retry; returns whether there was enough.
     pub fn spend(&mut self) -> bool {
-        let left = self.hundredths.checked_sub(RETRY);
+        let left = self.hundredths.checked_sub(HUNDREDTHS_PER_RETRY);
         self.hundredths = left.unwrap_or(self.hundredths);
         left.is_some()
     }
--- a/dragonflyrun/src/request/wait_queue.rs
+++ b/dragonflyrun/src/request/wait_queue.rs
@@ -10,7 +10,7 @@
 /// How often more urgent requests may go first while a lane waits, before one of it goes.
 ///
 /// Without this a steady stream of urgent requests would leave the others to their deadlines.
-const PASSES: [u32; 3] = [0, 4, 16];
+const MAX_PASSES: [u32; 3] = [0, 4, 16];
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -31,12 +31,12 @@
 
 #[derive(Debug, Default)]
 struct Lane {
-    places: BTreeSet<Place>,
-    passed: u32,
+    waiting: BTreeSet<QueueKey>,
+    passed_over: u32,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
+struct QueueKey {
     deadline: Timestamp,
     number: u64,
 }
@@ -44,7 +44,7 @@
 impl WaitQueue {
     /// Returns how many wait.
     pub fn len(&self) -> usize {
-        self.lanes.iter().map(|l| l.places.len()).sum()
+        self.lanes.iter().map(|l| l.waiting.len()).sum()
     }
 
     /// Returns whether none waits.
@@ -55,42 +55,42 @@
     /// Returns how many of the same or greater urgency wait.
     pub fn ahead_of(&self, urgency: Urgency) -> usize {
         let lanes = &self.lanes[..=index(urgency)];
-        lanes.iter().map(|l| l.places.len()).sum()
+        lanes.iter().map(|l| l.waiting.len()).sum()
     }
 
     /// Adds a request.
     pub fn push(&mut self, waiting: Waiting) {
         let lane = &mut self.lanes[index(waiting.urgency)];
-        lane.places.insert(Place::of(&waiting));
+        lane.waiting.insert(QueueKey::of(&waiting));
     }
 
     /// Removes a request; returns whether it waited.
     pub fn remove(&mut self, waiting: &Waiting) -> bool {
         let lane = &mut self.lanes[index(waiting.urgency)];
-        lane.places.remove(&Place::of(waiting))
+        lane.waiting.remove(&QueueKey::of(waiting))
     }
 
     /// Returns the request that goes next.
     pub fn first(&self) -> Option<Waiting> {
-        let passed_over = (1..LANES.len())
-            .rev()
-            .find(|i| self.lanes[*i].passed >= PASSES[*i] && !self.lanes[*i].places.is_empty());
-        let next = passed_over.or_else(|| self.lanes.iter().position(|l| !l.places.is_empty()))?;
-        self.lanes[next].places.first().map(|p| p.waiting(next))
+        let overdue = (1..LANES.len()).rev().find(|i| {
+            self.lanes[*i].passed_over >= MAX_PASSES[*i] && !self.lanes[*i].waiting.is_empty()
+        });
+        let next = overdue.or_else(|| self.lanes.iter().position(|l| !l.waiting.is_empty()))?;
+        self.lanes[next].waiting.first().map(|p| p.waiting(next))
     }
 
     /// Removes the request that went next.
-    pub fn take(&mut self, waiting: &Waiting) {
+    pub fn dequeue(&mut self, waiting: &Waiting) {
         if !self.remove(waiting) {
             return;
         }
         let taken = index(waiting.urgency);
-        self.lanes[taken].passed = 0;
+        self.lanes[taken].passed_over = 0;
         for lane in &mut self.lanes[taken + 1..] {
-            lane.passed = if lane.places.is_empty() {
+            lane.passed_over = if lane.waiting.is_empty() {
                 0
             } else {
-                lane.passed + 1
+                lane.passed_over + 1
             };
         }
     }
@@ -100,17 +100,17 @@
     pub fn displaced_by(&self, urgency: Urgency) -> Option<Waiting> {
         (index(urgency) + 1..LANES.len())
             .rev()
-            .find_map(|i| self.lanes[i].places.last().map(|p| p.waiting(i)))
+            .find_map(|i| self.lanes[i].waiting.last().map(|p| p.waiting(i)))
     }
 
     /// Returns all that wait, the most urgent first.
     pub fn all(&self) -> impl Iterator<Item = Waiting> {
         let lanes = self.lanes.iter().enumerate();
-        lanes.flat_map(|(i, lane)| lane.places.iter().map(move |p| p.waiting(i)))
+        lanes.flat_map(|(i, lane)| lane.waiting.iter().map(move |p| p.waiting(i)))
     }
 }
 
-impl Place {
+impl QueueKey {
     fn of(waiting: &Waiting) -> Self {
         Self {
             deadline: waiting.deadline,
--- a/dragonflyrun/tests/answer_matching.rs
+++ b/dragonflyrun/tests/answer_matching.rs
@@ -154,7 +154,7 @@
 #[test]
 fn held_up_request() {
     let mut table = entry(&["a"], 4);
-    table.agent_heard(view("a", 2_000, 4, 4));
+    table.update_agent(view("a", 2_000, 4, 4));
     table.submit(at(2_500), check());
     let actions = table.take_actions();
     let Some(EntryAction::Send {
--- a/dragonflyrun/tests/key_ownership.rs
+++ b/dragonflyrun/tests/key_ownership.rs
@@ -237,7 +237,7 @@
 fn after_a_freeze() {
     let mut table = tables::entry(&["a"], 4);
     table.tick(at(1_000));
-    table.agent_heard(tables::view("a", 9_000, 4, 4));
+    table.update_agent(tables::view("a", 9_000, 4, 4));
     table.submit(at(9_000), tables::booking("k", 1));
     table.tick(at(9_001));
     table.submit(at(9_900), tables::booking("l", 1));
--- a/dragonflyrun/tests/request_routing.rs
+++ b/dragonflyrun/tests/request_routing.rs
@@ -90,7 +90,7 @@
                     continue;
                 }
                 let next = queue.first().unwrap();
-                queue.take(&next);
+                queue.dequeue(&next);
                 let lane = URGENCIES.iter().position(|u| *u == next.urgency).unwrap();
                 passed[lane] = 0;
                 for other in lane + 1..3 {
@@ -117,9 +117,9 @@
     (out.usable, out.out_of_service) = (false, true);
     let mut leaves = view("leaves", 4_000, 8, 8);
     leaves.usable = false;
-    table.agent_heard(out);
-    table.agent_heard(leaves);
-    table.agent_heard(view("works", 4_000, 8, 8));
+    table.update_agent(out);
+    table.update_agent(leaves);
+    table.update_agent(view("works", 4_000, 8, 8));
     (0..8).for_each(|_| {
         table.submit(at(4_000), check());
     });
@@ -136,7 +136,7 @@
     table.take_actions();
     let mut out = view("a", 1_100, 1, 0);
     (out.usable, out.out_of_service) = (false, true);
-    table.agent_heard(out);
+    table.update_agent(out);
     table.submit(at(1_100), check());
     assert_eq!(refusals(&table.take_actions()), [NotRun::OutOfService]);
     table.tick(at(1_200));
@@ -154,7 +154,7 @@
     for round in 0..200 {
         let now = 1_000 + round * 10;
         for agent in ["fails", "works"] {
-            table.agent_heard(view(agent, now, 4, 4));
+            table.update_agent(view(agent, now, 4, 4));
         }
         table.submit(at(now), check());
         for (to, id) in runs(&table.take_actions()) {
@@ -183,7 +183,7 @@
     for round in 0..300 {
         let now = 1_000 + round * 2_000;
         for agent in ["quick", "slow"] {
-            table.agent_heard(view(agent, now, 8, 8));
+            table.update_agent(view(agent, now, 8, 8));
         }
         let mut req = check();
         req.deadline_ms = Some(300);
--- a/dragonflyrun/tests/retry_budget.rs
+++ b/dragonflyrun/tests/retry_budget.rs
@@ -21,7 +21,7 @@
     for round in 0..500 {
         let now = 1_000 + round * 500;
         for name in &names {
-            table.agent_heard(view(name, now, 8, 8));
+            table.update_agent(view(name, now, 8, 8));
         }
         table.submit(at(now), check());
         loop {
--- a/dragonflyrun/tests/simulation/nodes.rs
+++ b/dragonflyrun/tests/simulation/nodes.rs
@@ -200,7 +200,7 @@
             NodeRole::Entry { table, roster, .. } => {
                 for peer in roster.all() {
                     if let Some(view) = AgentView::of(peer, &version) {
-                        table.agent_heard(view);
+                        table.update_agent(view);
                     }
                 }
                 table.tick(now);
@@ -292,7 +292,7 @@
                     .peer(&sender)
                     .and_then(|p| AgentView::of(p, &version));
                 if let Some(view) = view {
-                    table.agent_heard(view);
+                    table.update_agent(view);
                 }
             }
             (
@@ -424,7 +424,7 @@
                 if !self.send(node, &to, message.clone())
                     && let NodeRole::Entry { table, .. } = &mut self.nodes[node].role
                 {
-                    table.unsent(now, &to, &message);
+                    table.send_failed(now, &to, &message);
                 }
             }
             EntryAction::Resend { to, message } => {
--- a/dragonflyrun/tests/tables/mod.rs
+++ b/dragonflyrun/tests/tables/mod.rs
@@ -40,7 +40,7 @@
     let names: Vec<Name> = agents.iter().map(|a| (*a).into()).collect();
     table.set_ring(1, &Ring::new(&names));
     for agent in agents {
-        table.agent_heard(view(agent, 1_000, slots, slots));
+        table.update_agent(view(agent, 1_000, slots, slots));
     }
     table
 }
