--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -1,4 +1,4 @@
-//! All requests of one agent: it alone decides whether a request starts.
+//! All requests of one agent. Only the agent decides whether a request starts.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -10,35 +10,36 @@
     utils::{HashMap, HashSet, Name, Timestamp},
 };
 
-/// Time after which an answer that was not acknowledged is sent again.
+/// Time after which an unacknowledged answer is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for which an answer is kept for an entry that is not linked.
+/// How long an answer is kept for an entry that has no link to this agent.
 const UNLINKED_ANSWER_TTL: Duration = Duration::from_secs(30);
 
-/// Bytes of answers that are kept, at the most.
+/// Maximum total size of the unacknowledged answers, in bytes; above it the oldest are dropped.
 const MAX_UNACKED_BYTES: usize = 64 << 20;
 
-/// Time without a new request after which all entries have heard that the agent is leaving: two
-/// heartbeats. What they had sent before is refused by then and goes elsewhere; ending earlier
-/// would leave them without an answer.
+/// Time without a new request after which all entries know that the agent is leaving: two
+/// heartbeats. By then the requests that they sent before that have been refused and go to other
+/// agents. If the agent ended earlier, those requests would get no answer.
 const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
-/// The farthest deadline; bounds for how long ids are remembered.
+/// Upper limit of a deadline, counted from the arrival of the request; limits how long ids are
+/// kept.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Milliseconds after which a slot may be free again.
+/// Milliseconds after which a retry may find a free slot.
 const BUSY_RETRY_AFTER_MS: u64 = 200;
 
-/// Milliseconds after which another agent or a returned failure domain may be found.
+/// Milliseconds after which a retry may find another agent, or the failure domain back in service.
 const OTHER_AGENT_RETRY_AFTER_MS: u64 = 500;
 
-/// A request that an entry wants run.
+/// A request that an entry orders the agent to run.
 #[derive(Clone, Debug)]
 pub struct RunOrder {
     /// The request.
     pub id: RequestId,
-    /// The incarnation of this agent that the entry means.
+    /// The incarnation of this agent to which the entry addressed the request.
     pub incarnation: u64,
     /// The service.
     pub service: Name,
@@ -48,28 +49,28 @@
     pub claim: Option<RequestId>,
     /// The deadline on this agent's clock.
     pub deadline: Timestamp,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// What the agent is to do.
+/// An action that the agent has to carry out.
 #[derive(Clone, Debug)]
 pub enum AgentAction {
-    /// Give the request to the backend server at the address.
+    /// Send the request to the backend server at `address`.
     Start {
         /// The request.
         order: RunOrder,
-        /// Where the backend server takes it.
+        /// The address at which the backend server accepts requests.
         address: SocketAddr,
     },
-    /// Send a message to an entry; what is lost is sent again.
+    /// Send a message to an entry. The table sends it again if it is lost.
     Send {
         /// The entry.
         to: Name,
         /// The message.
         message: Message,
     },
-    /// Tell a key's owner, through any entry, what became of the key.
+    /// Send the outcome for a key to the owner of the key, through any entry.
     Settle(KeyMessage),
 }
 
@@ -82,12 +83,13 @@
     unacked: HashMap<RequestId, UnackedAnswer>,
     unacked_order: VecDeque<RequestId>,
     unacked_bytes: usize,
-    /// Requests that were decided, until their deadlines; a second copy must not run.
+    /// Requests that were accepted or refused, with the deadline until which their ids are kept: a
+    /// second copy of a request must not run.
     decided: HashMap<RequestId, Timestamp>,
-    /// The entries that are linked, by the names in their requests' ids.
+    /// The entries with a link to this agent, by the entry id in their request ids.
     linked: HashSet<Name>,
     leaving: bool,
-    /// When it began to leave, or was asked to run something after that.
+    /// When the agent began to leave, or received the last request, whichever is later.
     last_request_at: Timestamp,
     actions: Vec<AgentAction>,
 }
@@ -102,7 +104,7 @@
     deadline: Timestamp,
 }
 
-/// An answer that its entry has not acknowledged.
+/// An answer that the entry has not acknowledged.
 #[derive(Debug)]
 struct UnackedAnswer {
     to: Name,
@@ -114,7 +116,7 @@
 }
 
 impl AgentTable {
-    /// Returns a table without requests, for the process of this `incarnation`.
+    /// Returns an empty table for the agent process with this `incarnation`.
     pub fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -136,12 +138,12 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes in a backend server's announcement.
+    /// Handles an announcement of a backend server.
     pub fn announce(&mut self, now: Timestamp, announced: BackendAnnouncement) {
         self.backends.announce(now, announced);
     }
 
-    /// Returns what the heartbeat says of the backend servers.
+    /// Returns the backend reports for the heartbeat.
     pub fn reports(&self, now: Timestamp) -> Vec<BackendReport> {
         self.backends.reports(now)
     }
@@ -152,23 +154,24 @@
         self.last_request_at = now;
     }
 
-    /// Returns whether nothing runs, each linked entry has its answers, and none sends any more.
+    /// Returns whether no request runs, each linked entry has received its answers, and no entry
+    /// sends new requests.
     pub fn is_idle(&self, now: Timestamp) -> bool {
         let is_linked = |id: &RequestId| self.linked.contains(&id.entry);
         let is_quiet = self.linked.is_empty() || now.since(self.last_request_at) >= QUIET_PERIOD;
         is_quiet && self.runs.is_empty() && !self.unacked.keys().any(is_linked)
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Takes in a request from the entry `from`; `in_service` tells whether the agent's failure
-    /// domain is.
+    /// Handles a request from the entry `from`; `in_service` is true if the failure domain of the
+    /// agent is in service.
     pub fn run(&mut self, now: Timestamp, from: &Name, order: RunOrder, in_service: bool) {
         self.last_request_at = now;
-        // Meant for an earlier process of this agent, which may have run it: this one can't say.
+        // An earlier process of this agent may have run the request, so this one can't answer it.
         if order.incarnation != self.incarnation || self.runs.contains_key(&order.id) {
             return;
         }
@@ -200,13 +203,13 @@
         }
     }
 
-    /// Returns whether a request may still start, right before it does: the process may have been
-    /// frozen since the decision.
+    /// Returns whether a request may still start. To be called right before the start, since the
+    /// process may have been frozen after the decision.
     pub fn may_start(&self, now: Timestamp, id: &RequestId) -> bool {
         self.runs.get(id).is_some_and(|run| now < run.deadline)
     }
 
-    /// Takes in what became of a request that was started.
+    /// Handles the outcome of a started request.
     pub fn finished(&mut self, now: Timestamp, id: &RequestId, outcome: Outcome) {
         let Some(run) = self.runs.remove(id) else {
             return;
@@ -231,18 +234,18 @@
         self.send_answer(now, id);
     }
 
-    /// Takes note that an entry has an answer.
+    /// Handles the acknowledgement of an answer by its entry.
     pub fn received(&mut self, id: &RequestId) {
         self.remove_answer(id);
     }
 
-    /// Takes note of a new link to an entry.
+    /// Handles a new link to an entry.
     pub fn entry_up(&mut self, entry: &Peer) {
         self.linked.insert(crate::request::entry_id(entry));
     }
 
-    /// Takes note that the link to an entry ended. Nobody may be left to tell the owners of keys
-    /// what became of them, so that is done here.
+    /// Handles the end of a link to an entry. The entry may no longer exist to report the outcomes
+    /// to the owners of the keys, so the agent does it.
     pub fn entry_down(&mut self, entry: &Peer) {
         let id = crate::request::entry_id(entry);
         self.linked.remove(&id);
@@ -251,7 +254,8 @@
         self.actions.extend(settles.map(AgentAction::Settle));
     }
 
-    /// Does what time alone brings about; to be called every 100 ms or so.
+    /// Sends unacknowledged answers again and removes what has expired; to be called about every
+    /// 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
         self.backends.remove_lapsed(now);
         self.decided.retain(|_, deadline| *deadline > now);
@@ -339,8 +343,9 @@
 }
 
 impl Run {
-    /// Returns what the key's owner is to hear where the entry can't tell it. Only that it ran: of
-    /// anything else the entry may know better.
+    /// Returns the message that reports the outcome to the owner of the key in place of an entry
+    /// that can't. Only a request that ran is reported: for any other outcome the entry may know
+    /// better.
     fn settle(&self, outcome: &Outcome) -> Option<KeyMessage> {
         let (Some(key), Some(claim), Outcome::Done { .. }) = (&self.key, &self.claim, outcome)
         else {
--- a/dragonflyrun/src/request/backends.rs
+++ b/dragonflyrun/src/request/backends.rs
@@ -1,4 +1,4 @@
-//! The backend servers beside one agent and their slots.
+//! The backend servers of one agent and their slots.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,54 +9,54 @@
     utils::{HashMap, Name, Timestamp},
 };
 
-/// Time after which a backend server that does not renew its announcement gets no new work.
+/// Time after which a backend server that does not renew its announcement gets no new requests.
 pub const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
-/// How long a backend server that refused a connection gets nothing.
+/// How long a backend server that refused a request gets no further one.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Slots that one backend server may announce; each may take a thread of the agent.
+/// Maximum number of slots of one backend server; each slot may use a thread of the agent.
 const MAX_SLOTS_PER_BACKEND: u32 = 256;
 
-/// Backend servers that one agent takes announcements of.
+/// Maximum number of backend servers of one agent.
 const MAX_BACKENDS: usize = 64;
 
-/// What a backend server says of itself, each second.
+/// The announcement that a backend server sends every second.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendAnnouncement {
-    /// Its name.
+    /// The name of the backend server.
     pub name: Name,
-    /// The service it runs.
+    /// The service that it runs.
     pub service: Name,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Requests it runs at once, at the most.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections it takes at once, at the most.
+    /// Maximum number of concurrent connections.
     pub connections: u32,
-    /// Whether it gets no new work.
+    /// Whether it is leaving and gets no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Which backend server runs a request.
+/// The choice of a backend server for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BackendChoice {
-    /// This one has a free slot.
+    /// This backend server has a free slot.
     Free {
-        /// Its name.
+        /// The name of the backend server.
         name: Name,
-        /// Where it takes requests.
+        /// The address at which it accepts requests.
         address: SocketAddr,
     },
-    /// All slots are in use.
+    /// All slots of the service are in use.
     Busy,
-    /// None runs the service.
+    /// No backend server runs the service.
     None,
 }
 
-/// The backend servers beside one agent.
+/// The backend servers of one agent.
 #[derive(Debug, Default)]
 pub struct Backends {
     servers: HashMap<Name, Server>,
@@ -66,14 +66,14 @@
 struct Server {
     announced: BackendAnnouncement,
     renewed_at: Timestamp,
-    /// Requests that may be running on it; they count until it has answered or closed their
-    /// connections, also where nobody waits for the answer any more.
+    /// Requests that may be running on the server. A request counts until the server has answered
+    /// it or closed its connection, even if no caller waits for the answer any more.
     in_use: u32,
     refused_until: Timestamp,
 }
 
 impl Backends {
-    /// Takes in an announcement.
+    /// Adds a backend server or renews its announcement.
     pub fn announce(&mut self, now: Timestamp, mut announced: BackendAnnouncement) {
         announced.slots = announced.slots.min(MAX_SLOTS_PER_BACKEND);
         if let Some(server) = self.servers.get_mut(&announced.name) {
@@ -94,13 +94,13 @@
         self.servers.insert(server.announced.name.clone(), server);
     }
 
-    /// Forgets backend servers that have lapsed and run nothing.
+    /// Removes backend servers whose announcement has lapsed and that run no request.
     pub fn remove_lapsed(&mut self, now: Timestamp) {
         self.servers
             .retain(|_, s| s.is_current(now) || s.in_use > 0);
     }
 
-    /// Chooses a backend server for a request of `service` and takes one of its slots.
+    /// Chooses a backend server for a request of `service` and occupies one of its slots.
     pub fn acquire(&mut self, now: Timestamp, service: &Name) -> BackendChoice {
         let mut known = false;
         let mut best: Option<&mut Server> = None;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Gives back a slot; `refused` tells that the server did not take the request.
+    /// Releases a slot; `refused` is true if the server refused the request.
     pub fn release(&mut self, now: Timestamp, name: &Name, refused: bool) {
         if let Some(server) = self.servers.get_mut(name) {
             server.in_use = server.in_use.saturating_sub(1);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns the free slots of `service`.
+    /// Returns the number of free slots of `service`.
     pub fn free(&self, now: Timestamp, service: &Name) -> u32 {
         let servers = self.servers.values();
         servers
@@ -146,7 +146,7 @@
             .sum()
     }
 
-    /// Returns what the heartbeat says of them, in the order of their names.
+    /// Returns the backend reports for the heartbeat, sorted by name.
     pub fn reports(&self, now: Timestamp) -> Vec<BackendReport> {
         let mut reports: Vec<BackendReport> = self
             .servers
@@ -173,7 +173,8 @@
         self.is_current(now) && !self.announced.leaving
     }
 
-    /// Each request has a connection of its own, so both limits bound the requests at once.
+    /// Returns the maximum number of concurrent requests. Each request has its own connection, so
+    /// both limits apply.
     fn max_requests(&self) -> u32 {
         self.announced.slots.min(self.announced.connections)
     }
--- a/dragonflyrun/src/request/caller.rs
+++ b/dragonflyrun/src/request/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and how it is refused.
+//! A caller's request, and its refusal.
 
 use crate::{
     connection::{NotRun, Outcome},
@@ -6,34 +6,35 @@
     version::Urgency,
 };
 
-/// A caller's request as an entry has read it.
+/// A caller's request, as parsed by the entry.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The service that is to run it.
+    /// The service that runs the request.
     pub service: Name,
-    /// The caller's key; required where the service may not be repeated.
+    /// The caller's key; required if the service is not repeatable.
     pub key: Option<Name>,
-    /// The caller's count of attempts with this key, from 1.
+    /// The caller's attempt number for this key, from 1.
     pub attempt: u32,
-    /// Milliseconds within which the caller needs the answer; none for the service's own.
+    /// Milliseconds within which the caller needs the answer; none for the longest deadline of the
+    /// service.
     pub deadline_ms: Option<u64>,
-    /// How soon it is needed; no sooner than the service states.
+    /// The urgency; none for the default of the service. It can't be more urgent than that default.
     pub urgency: Option<Urgency>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Why a request is not run, and when another attempt is worth while.
+/// Why a request is not run, and when to retry it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: NotRun,
-    /// Milliseconds after which another attempt is worth while.
+    /// Milliseconds after which a retry may succeed.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// Returns a refusal for `reason` with when to come back.
+    /// Returns a refusal for `reason` with the delay before a retry.
     pub const fn new(reason: NotRun, retry_after_ms: u64) -> Self {
         Self {
             reason,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Returns the outcome that says so.
+    /// Returns this refusal as an outcome.
     pub const fn outcome(self) -> Outcome {
         Outcome::NotRun {
             reason: self.reason,
--- a/dragonflyrun/src/request/entry_table.rs
+++ b/dragonflyrun/src/request/entry_table.rs
@@ -1,10 +1,13 @@
 //! All requests of one entry, from admission to the final answer.
 //!
-//! Three rules keep the answers true. "Not run" is said only of a request that was never handed to
-//! a link, or whose every agent has said that it did not and will not start it. What was handed
-//! over without such an answer is unknown once its deadline has passed or its agent is lost. And
-//! it is sent a second time only where the service may be repeated, or to the very same process of
-//! the agent, which knows the request again by its id.
+//! Three rules keep the answers true:
+//!
+//! - A request is answered "not run" only if it was never passed to a link, or if every agent that
+//!   received it has said that it did not start it and will not start it.
+//! - A request that was passed to a link without such an answer is "unknown" once its deadline has
+//!   passed or its agent is lost.
+//! - A request is sent a second time only if the service is repeatable, or to the same process of
+//!   the agent, which recognizes the request by its id.
 
 mod admission;
 mod answers;
@@ -30,52 +33,54 @@
 use keys::{Abandoned, Settlement};
 use state::{Dispatch, Due, Pending, ServiceState, Stage};
 
-/// Agents drawn for each choice; `benches/requests.rs` measures 1 and 2.
+/// Number of agents drawn for each choice; `benches/requests.rs` measures 1 and 2.
 const AGENT_CHOICES: usize = 2;
 
-/// Pause after which a caller may find a backend server again.
+/// Milliseconds after which a retry may find a backend server.
 const NO_BACKEND_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Pause after which a caller may find another entry, or a failure domain back in service.
+/// Milliseconds after which a retry may find another entry, or a failure domain back in service.
 const LEAVING_RETRY_AFTER_MS: u64 = 500;
 
-/// Pause after which a caller is told to come back where no better estimate is known.
+/// Milliseconds after which a caller may retry if no better estimate is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 500;
 
+/// Upper limit of a retry delay before its random part is added, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 10_000;
 
-/// Time without any backend server of a service after which those who wait are refused. One
-/// heartbeat that comes late must not empty the queue.
+/// Time without any backend server of a service after which its queued requests are refused. A
+/// single late heartbeat must not empty the queue.
 const NO_BACKEND_GRACE: Duration = Duration::from_secs(1);
 
-/// Time without a sign of life of our own that means that this process was frozen.
+/// Gap between two calls of `detect_freeze` after which this process is assumed to have been
+/// frozen.
 const FREEZE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Time after a freeze for which no key is claimed.
+/// Time after a freeze during which no key is claimed.
 ///
-/// Requests that came during the freeze look like new ones, but their callers have given up and
-/// may have tried again elsewhere. A first attempt that comes so late can meet an owner that does
-/// not know of the second.
+/// Requests that arrived during the freeze look new, but their callers have stopped waiting and may
+/// have retried at another entry. Such a late first attempt can reach an owner that does not know
+/// of the second attempt.
 const CLAIM_PAUSE_AFTER_FREEZE: Duration = Duration::from_secs(1);
 
-/// What the entry is to do.
+/// An action that the entry has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryAction {
-    /// Hand a message to the link to a peer; where that fails, say so by [`EntryTable::send_failed`].
+    /// Pass a message to the link to a peer; if that fails, call [`EntryTable::send_failed`].
     Send {
         /// The peer.
         to: Name,
         /// The message.
         message: Message,
     },
-    /// Hand over a message that the peer may have already; it does not matter if that fails.
+    /// Pass a message that the peer may already have to its link; a failure can be ignored.
     Resend {
         /// The peer.
         to: Name,
         /// The message.
         message: Message,
     },
-    /// Give the caller its final answer.
+    /// Send the caller its final answer.
     Answer {
         /// The request.
         number: u64,
@@ -88,14 +93,14 @@
     Event(&'static str),
 }
 
-/// What an entry reports of one service.
+/// Counts that an entry reports for one service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceStats {
     /// The service.
     pub service: Name,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: usize,
-    /// Requests that agents have.
+    /// Number of requests that were sent to agents and not yet answered.
     pub running: usize,
 }
 
@@ -124,8 +129,8 @@
 }
 
 impl EntryTable {
-    /// Returns a table without requests; `entry` is unique to this process, `seed` feeds the
-    /// random choices.
+    /// Returns an empty table; `entry` is unique to this process, and `seed` initializes the random
+    /// choices.
     pub fn new(entry: Name, seed: u64) -> Self {
         Self {
             entry,
@@ -150,13 +155,13 @@
         }
     }
 
-    /// Draws `choices` agents for each request in place of the usual number.
+    /// Draws `choices` agents for each request instead of the default number.
     pub fn with_choices(mut self, choices: usize) -> Self {
         self.choices = choices.max(1);
         self
     }
 
-    /// Decides under `version` from now on.
+    /// Uses the configuration `version` for all further decisions.
     pub fn set_version(&mut self, version: Arc<Version>) {
         self.version = version;
     }
@@ -166,13 +171,13 @@
         self.leaving = true;
     }
 
-    /// Returns whether each caller has its answer.
+    /// Returns whether every caller has received its answer.
     pub fn is_idle(&self) -> bool {
         let answered = |p: &Pending| matches!(p.stage, Stage::Answered { .. });
         self.requests.values().all(answered)
     }
 
-    /// Returns what waits and runs, by service.
+    /// Returns the number of queued and running requests by service.
     pub fn stats(&self) -> Vec<ServiceStats> {
         let mut stats: Vec<ServiceStats> = self
             .services
@@ -187,15 +192,16 @@
         stats
     }
 
-    /// Takes in a caller's request; returns its number. The answer may be among the actions.
+    /// Handles a caller's request and returns its number. The answer may already be among the
+    /// actions.
     pub fn submit(&mut self, now: Timestamp, req: CallerRequest) -> u64 {
         self.detect_freeze(now);
         let number = self.allocate_number();
         let repeat = req.key.is_some() && req.attempt > 1;
         match self.admit(now, number, req) {
             Ok(()) => {}
-            // An earlier attempt may have run: "not run" would be true of this attempt, but a
-            // caller would take it for the whole truth about its key.
+            // An earlier attempt may have run. "Not run" would be true for this attempt, but the
+            // caller would take it to mean that no attempt with its key ran.
             Err(refusal) if repeat && refusal.reason != NotRun::Malformed => {
                 self.answer(number, Outcome::Unknown);
             }
@@ -204,7 +210,7 @@
         number
     }
 
-    /// Returns when a request is due, unless it has been answered.
+    /// Returns the deadline of a request that has not been answered.
     pub fn deadline(&self, number: u64) -> Option<Timestamp> {
         self.requests.get(&number).map(|p| p.deadline)
     }
@@ -214,8 +220,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes note that this process runs at `now`; has to be called by whatever comes first after
-    /// a freeze.
+    /// Records that this process runs at `now` and detects a freeze. Every method that can be the
+    /// first one called after a freeze must call it.
     fn detect_freeze(&mut self, now: Timestamp) {
         if self
             .last_active_at
@@ -238,7 +244,7 @@
         }
     }
 
-    /// Gives the caller its final answer and forgets the request.
+    /// Sends the caller its final answer and removes the request.
     fn finish(&mut self, number: u64, outcome: Outcome) {
         let Some(pending) = self.requests.remove(&number) else {
             return;
--- a/dragonflyrun/src/request/entry_table/admission.rs
+++ b/dragonflyrun/src/request/entry_table/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests an entry takes in.
+//! Decides which requests an entry accepts.
 
 use std::time::Duration;
 
@@ -21,6 +21,7 @@
     version::Service,
 };
 
+/// Lower limit of a retry delay before its random part is added, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
 impl EntryTable {
@@ -44,7 +45,7 @@
         }
         let repeat = must_claim && pending.attempt > 1;
         let waiting = pending.waiting(number);
-        // A repeat may be answered from the owner's record without any slot.
+        // The owner's record may answer a repeat, which then needs no slot.
         if !repeat {
             self.ensure_queue_room(now, service, waiting)?;
         }
@@ -62,7 +63,7 @@
         Ok(())
     }
 
-    /// Checks what can be checked by the document alone.
+    /// Checks a request against the service and the limits in the configuration.
     fn check(
         &self,
         now: Timestamp,
@@ -76,7 +77,7 @@
         if req.body.len() as u64 > self.version.limits.body_bytes {
             return Err(Refusal::new(NotRun::TooLarge, MAX_RETRY_AFTER_MS));
         }
-        // A grant must have been used or be void long before the owner forgets the key.
+        // A grant must be used or expired long before the owner removes the key.
         let max_deadline_ms = service.longest_deadline_ms();
         let deadline_ms = req
             .deadline_ms
@@ -98,7 +99,8 @@
         })
     }
 
-    /// Makes sure that one more may wait, or says why not.
+    /// Ensures that the queue has room for one more request, if necessary by refusing a less urgent
+    /// one; returns a refusal if there is no room or the deadline would be missed.
     pub(super) fn ensure_queue_room(
         &mut self,
         now: Timestamp,
@@ -139,8 +141,8 @@
         Ok(())
     }
 
-    /// Returns after how many milliseconds half of what waits will be gone, with a random part so
-    /// that those who are refused together do not come back together.
+    /// Returns after how many milliseconds half of the queued requests are expected to be gone,
+    /// plus a random part so that callers that were refused together do not retry together.
     pub(super) fn retry_after(&mut self, now: Timestamp, service: &Name) -> u64 {
         let capacity = self.loads.capacity(now, service);
         let Some(state) = self.services.get(service) else {
--- a/dragonflyrun/src/request/entry_table/answers.rs
+++ b/dragonflyrun/src/request/entry_table/answers.rs
@@ -1,4 +1,4 @@
-//! What agents answer, and what follows where an answer does not come.
+//! Handles the answers of agents, and requests whose answer does not arrive.
 
 use super::{DEFAULT_RETRY_AFTER_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
 use crate::{
@@ -7,11 +7,12 @@
     utils::{Name, Timestamp},
 };
 
-/// The first status by which a backend server says that it failed.
+/// The lowest HTTP status that counts as a failure of the backend server.
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl EntryTable {
-    /// Takes in an agent's answer, with the free slots of the service after it.
+    /// Handles an answer from an agent; `free` is the number of free slots of the service at the
+    /// agent after the request ended.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -26,7 +27,8 @@
         let number = id.number;
         let matching = self.dispatches.get(&number).filter(|d| d.agent == *from);
         if matching.is_some() && !is_complete(&outcome) {
-            // The agent keeps the answer until we have it, and gives it again to the same request.
+            // The agent keeps the answer until it is acknowledged and returns it to a repeated
+            // request.
             self.actions.push(EntryAction::Event("answer_cut_off"));
             self.resend(number);
             return;
@@ -43,7 +45,7 @@
         self.actions.push(EntryAction::Resend { to, message });
     }
 
-    /// Takes note that `message`, which [`EntryAction::Send`] was to hand to `to`, was not sent.
+    /// Handles the failure of an [`EntryAction::Send`] of `message` to `to`.
     pub fn send_failed(&mut self, now: Timestamp, to: &Name, message: &Message) {
         match message {
             Message::Request(RequestMessage::Run { id, .. }) => {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Answers what is due by `now`.
+    /// Answers the requests whose deadline has passed by `now`.
     pub(super) fn expire_due(&mut self, now: Timestamp) {
         while let Some(due) = self.due.first().copied().filter(|d| d.at <= now) {
             self.due.remove(&due);
@@ -80,8 +82,8 @@
                 let refusal = Refusal::new(NotRun::Deadline, retry_after);
                 self.finish(number, refusal.outcome());
             }
-            // The agent may be at it. Its answer still tells the key's owner the truth, so the
-            // request stays known without its body.
+            // The agent may be running the request. Its answer still gives the key's owner the
+            // true outcome, so the request is kept without its body.
             Stage::Running { dispatch } => {
                 pending.stage = Stage::Answered { dispatch };
                 pending.body = Vec::new();
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Forgets a dispatch and frees what it held.
+    /// Removes a dispatch and releases its slot.
     pub(super) fn end_dispatch(
         &mut self,
         now: Timestamp,
@@ -116,7 +118,8 @@
         Some(dispatch)
     }
 
-    /// Concludes from the answer of an agent, or from the loss of it, what becomes of a request.
+    /// Finishes or retries a request according to the answer of its agent, or the loss of the
+    /// agent.
     pub(super) fn apply_outcome(&mut self, now: Timestamp, dispatch: &Dispatch, outcome: Outcome) {
         let number = dispatch.request;
         let Some(pending) = self.requests.get_mut(&number) else {
@@ -130,7 +133,7 @@
             Outcome::NotRun { reason, .. } if reason != NotRun::Deadline => {
                 self.retry(now, number, EntryAction::Retried(reason));
             }
-            // Running it twice does no harm, and it may not have run at all.
+            // The request may not have run at all, and running it twice does no harm.
             Outcome::Unknown if repeatable => {
                 self.retry(now, number, EntryAction::Event("retried_after_loss"));
             }
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Lets a request wait for another agent, if the budget allows.
+    /// Queues a request for another agent if the retry budget allows it, and refuses it otherwise.
     fn retry(&mut self, now: Timestamp, number: u64, action: EntryAction) {
         if self.budget.spend() {
             self.actions.push(action);
@@ -151,7 +154,7 @@
         self.finish(number, refusal.outcome());
     }
 
-    /// Sends a request again to the same process of its agent, which knows it by its id.
+    /// Sends a request again to the same process of its agent, which recognizes it by its id.
     pub(super) fn resend(&mut self, dispatch: u64) {
         let to = self.dispatches.get(&dispatch).map(|d| d.agent.clone());
         if let (Some(to), Some(message)) = (to, self.run_message(dispatch)) {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Answers a request at its deadline, for the thread that waits for it.
+    /// Answers a request at its deadline; called by the thread that waits for the request.
     pub fn deadline_passed(&mut self, now: Timestamp, number: u64) {
         let Some(pending) = self.requests.get(&number) else {
             return;
--- a/dragonflyrun/src/request/entry_table/dispatch.rs
+++ b/dragonflyrun/src/request/entry_table/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes to which agent, and when.
+//! Dispatches queued requests to agents.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
         self.dispatch_queued(now, &service);
     }
 
-    /// Hands over what waits for `service` while there are free slots.
+    /// Dispatches the queued requests of `service` while there are free slots.
     pub(super) fn dispatch_queued(&mut self, now: Timestamp, service: &Name) {
         while let Some(waiting) = self.services.get(service).and_then(|s| s.queue.first()) {
             if self.would_miss_deadline(now, service, &waiting) {
@@ -96,13 +96,13 @@
         }))
     }
 
-    /// Returns whether a request can't be answered by its deadline any more; running it would
-    /// take a slot from one that can.
+    /// Returns whether a request can no longer be answered by its deadline. Running it would take a
+    /// slot from a request that can.
     fn would_miss_deadline(&self, now: Timestamp, service: &Name, waiting: &Waiting) -> bool {
         now + self.expected_run_time(now, service, waiting.urgency) >= waiting.deadline
     }
 
-    /// Returns how long most requests of `urgency` take that start now at the quickest agent.
+    /// Returns how long most requests of `urgency` take if they start now at the fastest agent.
     pub(super) fn expected_run_time(
         &self,
         now: Timestamp,
--- a/dragonflyrun/src/request/entry_table/keys.rs
+++ b/dragonflyrun/src/request/entry_table/keys.rs
@@ -1,4 +1,4 @@
-//! What an entry asks and tells the owners of keys.
+//! Exchanges claims, verdicts and outcomes with the owners of keys.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
     utils::{Name, Timestamp},
 };
 
-/// Pause after which a new owner of a key is in office.
+/// Milliseconds after which a new owner of a key can grant it.
 const UNSETTLED_RETRY_AFTER_MS: u64 = 3_000;
 
-/// Time for which a grant that comes too late is given back.
+/// How long an abandoned claim is kept, so that a grant that arrives for it can be returned.
 const ABANDONED_CLAIM_TTL: Duration = Duration::from_secs(60);
 
-/// Time for which an owner is told what became of a key.
+/// How long the entry tries to deliver an outcome to the owner of a key.
 const SETTLEMENT_TTL: Duration = Duration::from_secs(10);
 
-/// Settlements that wait for a link, at the most; without one the owner answers "unknown".
+/// Maximum number of settlements that wait for a link to the owner. If one is dropped, the owner
+/// answers "unknown" for the key.
 const MAX_SETTLEMENTS: usize = 64;
 
-/// What an owner is to be told once it is linked again.
+/// An outcome to send to an owner once there is a link to it again.
 #[derive(Debug)]
 pub(super) struct Settlement {
     owner: Name,
@@ -30,7 +31,7 @@
 }
 
 impl EntryTable {
-    /// Takes over the owners of keys as of the log's record at `offset`.
+    /// Sets the owners of keys as of the log record at `offset`.
     pub fn set_ring(&mut self, offset: u64, ring: &crate::request::Ring) {
         if offset != self.ring_offset {
             self.ring_offset = offset;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Returns the offset of the record that made the owners known here.
+    /// Returns the offset of the log record that set the current owners.
     pub fn ring_offset(&self) -> u64 {
         self.ring_offset
     }
@@ -48,7 +49,7 @@
         self.ring.owner(service, key)
     }
 
-    /// Asks the key's owner whether the request may run.
+    /// Claims the key at its owner.
     pub(super) fn claim(&mut self, now: Timestamp, number: u64) {
         let id = self.id(number);
         let Some(pending) = self.requests.get_mut(&number) else {
@@ -79,7 +80,7 @@
         self.send_key(owner, claim);
     }
 
-    /// Takes in an owner's verdict.
+    /// Handles the verdict of an owner.
     pub fn verdict(&mut self, now: Timestamp, from: &Name, id: &RequestId, verdict: KeyVerdict) {
         if id.entry != self.entry {
             return;
@@ -133,9 +134,9 @@
         }
     }
 
-    /// Gives back a grant that came after its request had been answered "not run"; the owner would
-    /// take the key for running until its deadline. A grant of any other request is a second copy
-    /// and must not be given back, since the request may have run.
+    /// Returns a grant that arrived after its request had been answered "not run"; otherwise the
+    /// owner would treat the key as running until its deadline. A grant for any other request is a
+    /// duplicate and must not be returned, since that request may have run.
     fn return_grant(&mut self, owner: &Name, number: u64, verdict: &KeyVerdict) {
         let abandoned = self.abandoned.iter().find(|a| a.claim == number);
         let message = abandoned.map(|a| a.message.clone());
@@ -144,13 +145,13 @@
         }
     }
 
-    /// Ends a request whose claim has no verdict. It was handed to no agent and won't be.
+    /// Ends a request whose claim has no verdict. The request was sent to no agent and won't be.
     pub(super) fn give_up_claim(&mut self, now: Timestamp, number: u64, refusal: Refusal) {
         let claim = self.id(number);
         let Some(pending) = self.requests.get(&number) else {
             return;
         };
-        // An earlier attempt with this key may have run, which only the owner knows.
+        // Only the owner knows whether an earlier attempt with this key has run.
         let outcome = if pending.attempt > 1 {
             Outcome::Unknown
         } else {
@@ -174,7 +175,7 @@
         self.finish(number, outcome);
     }
 
-    /// Tells the owner that granted the key, and the one who owns it now, what became of it.
+    /// Sends the outcome to the owner that granted the key and to its current owner.
     pub(super) fn settle(&mut self, number: u64, pending: &Pending, outcome: &Outcome) {
         let (Some(granter), Some(key)) = (&pending.granted_by, &pending.key) else {
             return;
@@ -192,7 +193,7 @@
         self.send_key(granter.clone(), message);
     }
 
-    /// Passes on what an agent says of a key whose entry is gone.
+    /// Forwards to the owner an outcome that an agent reports because the entry is gone.
     pub fn relay(&mut self, settle: KeyMessage) {
         if let KeyMessage::Settle { service, key, .. } = &settle
             && let Some(owner) = self.ring.owner(service, key).cloned()
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Ends the claims at an owner that is lost.
+    /// Ends the claims at an owner to which the link ended.
     pub(super) fn owner_lost(&mut self, now: Timestamp, owner: &Name) {
         let claiming = Stage::Claiming {
             owner: owner.clone(),
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Tries again what could not be handed over, and forgets what is too old.
+    /// Sends undelivered settlements again and removes expired ones.
     pub(super) fn tick_keys(&mut self, now: Timestamp) {
         self.abandoned.retain(|a| a.expires_at > now);
         for settlement in std::mem::take(&mut self.settlements) {
@@ -259,7 +260,7 @@
 #[derive(Debug)]
 pub(super) struct Abandoned {
     claim: u64,
-    /// What gives the grant back.
+    /// The message that returns the grant.
     message: KeyMessage,
     expires_at: Timestamp,
 }
--- a/dragonflyrun/src/request/entry_table/peers.rs
+++ b/dragonflyrun/src/request/entry_table/peers.rs
@@ -1,4 +1,4 @@
-//! Agents that come, go, fall silent, or are replaced.
+//! Handles agents that join, leave, become silent or are replaced.
 
 use std::time::Duration;
 
@@ -9,35 +9,37 @@
     utils::{Name, Timestamp},
 };
 
-/// Time that a link has to come back before what went over it is taken for lost.
+/// Time within which a link must be restored before the requests sent over it count as lost.
 const LINK_GRACE: Duration = Duration::from_secs(1);
 
-/// Pause before a request is sent again over a new link, which is not yet open when it is told.
+/// Delay before a request is sent again over a new link, which is reported before it is open.
 const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// How often it is sent again; a single one may still meet a link that is not open.
+/// How many times a request is sent again over a new link; the first time the link may still not be
+/// open.
 const MAX_RESENDS: u32 = 3;
 
 impl EntryTable {
-    /// Takes note of an agent's state.
+    /// Updates the state of an agent.
     pub fn update_agent(&mut self, view: AgentView) {
         self.loads.update(view);
     }
 
-    /// Divides the agents' slots among `count` entries, of which this one has the place `rank` in
-    /// the order of their names.
+    /// Divides the slots of the agents among `count` entries; `rank` is the position of this entry
+    /// in the order of their names.
     pub fn set_entries(&mut self, count: u32, rank: u32) {
         self.loads.set_entries(count, rank);
     }
 
-    /// Forgets all agents but those for which `keep` holds.
+    /// Removes all agents for which `keep` returns false.
     pub fn retain_agents(&mut self, keep: impl Fn(&Name) -> bool) {
         self.loads.retain(keep);
     }
 
-    /// Takes note of a new link to an agent.
+    /// Handles a new link to an agent.
     pub fn agent_up(&mut self, now: Timestamp, peer: &Peer) {
-        // What is known is of the process before; a request for that would be ignored.
+        // The known state belongs to the previous process; a request addressed to that process
+        // would be ignored.
         let before = self.loads.view(&peer.name);
         if before.is_some_and(|view| view.incarnation != peer.incarnation) {
             self.loads.retain(|name| *name != peer.name);
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Takes note that the link to an agent ended.
+    /// Handles the end of a link to an agent.
     pub fn agent_down(&mut self, now: Timestamp, peer: &Peer) {
         for dispatch in self.dispatches.values_mut() {
             if dispatch.agent == peer.name && dispatch.incarnation == peer.incarnation {
@@ -67,7 +69,7 @@
         self.owner_lost(now, &peer.name);
     }
 
-    /// Does what time alone brings about; to be called every 100 ms or so.
+    /// Handles deadlines, lost agents and repeated messages; to be called about every 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
         self.detect_freeze(now);
         self.expire_due(now);
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Returns whether no answer is to be waited for any more. From a silent agent one may still
-    /// come, so only what may be repeated is given up for silence.
+    /// Returns whether the entry no longer waits for an answer. A silent agent may still answer, so
+    /// silence counts as a loss only for a request that may be repeated.
     fn is_lost(&self, now: Timestamp, dispatch: &Dispatch) -> bool {
         if let Some(at) = dispatch.lost_at {
             return now.since(at) >= LINK_GRACE;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Refuses what waits for a service that no agent has had for a while.
+    /// Refuses the queued requests of a service that no agent has had for [`NO_BACKEND_GRACE`].
     fn refuse_without_backend(&mut self, now: Timestamp, service: &Name) {
         let capacity = self.loads.capacity(now, service);
         let Some(state) = self.services.get_mut(service) else {
--- a/dragonflyrun/src/request/entry_table/state.rs
+++ b/dragonflyrun/src/request/entry_table/state.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of one request, of one handing over, and of one service.
+//! The entry's records of a request, a dispatch and a service.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     version::Urgency,
 };
 
-/// A request that has no final answer, or whose key still waits for the truth.
+/// A request that has no final answer yet, or whose key's owner has not received the outcome.
 #[derive(Debug)]
 pub(super) struct Pending {
     pub(super) service: Name,
@@ -19,25 +19,26 @@
     pub(super) deadline: Timestamp,
     pub(super) body: Vec<u8>,
     pub(super) stage: Stage,
-    /// The owner that has said that this request may run.
+    /// The owner that granted the key to this request.
     pub(super) granted_by: Option<Name>,
-    /// Whether an agent that had it was lost, so that it may have run whatever comes later.
+    /// Whether an agent that had the request was lost. The request may then have run, whatever a
+    /// later agent answers.
     pub(super) may_have_run: bool,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// The key's owner was asked.
+    /// The key was claimed at its owner, which has not answered.
     Claiming { owner: Name },
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Queued,
-    /// An agent has it.
+    /// The request was sent to an agent.
     Running { dispatch: u64 },
-    /// As `Running`, and the caller was told "unknown" at its deadline.
+    /// Like `Running`, but the caller was answered "unknown" at its deadline.
     Answered { dispatch: u64 },
 }
 
-/// One handing over of a request to an agent.
+/// One dispatch of a request to an agent.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     pub(super) request: u64,
@@ -46,12 +47,12 @@
     pub(super) agent: Name,
     pub(super) incarnation: u64,
     pub(super) sent_at: Timestamp,
-    /// The deadline on the agent's clock. It is reckoned once: the agent knows a second copy for
-    /// as long as the first one's deadline, and one with a later deadline would run again.
+    /// The deadline on the agent's clock. It is computed once: the agent recognizes a second copy
+    /// only until the deadline of the first, so a copy with a later deadline could run again.
     pub(super) deadline_ms: u64,
-    /// When the link to the agent ended, unless it is back.
+    /// When the link to the agent ended, unless it has been restored.
     pub(super) lost_at: Option<Timestamp>,
-    /// When to send it again to the same process of the agent, after a link has come back.
+    /// When to send the request again to the same process of the agent after its link was restored.
     pub(super) resend_at: Option<Timestamp>,
     pub(super) resends_left: u32,
 }
@@ -59,9 +60,9 @@
 #[derive(Debug, Default)]
 pub(super) struct ServiceState {
     pub(super) queue: WaitQueue,
-    /// Over all requests.
+    /// Run time over all requests.
     pub(super) run_time: RunTime,
-    /// By urgency; what is patient is often larger too.
+    /// Run times by urgency; patient requests often take longer.
     pub(super) run_times: HashMap<Urgency, RunTime>,
     pub(super) running: usize,
     pub(super) without_backend_since: Option<Timestamp>,
@@ -84,20 +85,21 @@
 }
 
 impl ServiceState {
-    /// Returns how long `ahead` requests take to be handed over, with `slots` in turn.
+    /// Returns the expected time until `ahead` requests have been dispatched to `slots` slots.
     pub(super) fn expected_wait(&self, slots: u32, ahead: usize) -> Duration {
         let mean_ms = self.run_time.mean_ms().unwrap_or(0.0);
         let turns = ahead as f64 / f64::from(slots);
         Duration::from_secs_f64(mean_ms * turns / 1_000.0)
     }
 
-    /// Takes note of how long a request took.
+    /// Records the run time of a request.
     pub(super) fn record_run_time(&mut self, now: Timestamp, urgency: Urgency, time: Duration) {
         self.run_time.add(now, time);
         self.run_times.entry(urgency).or_default().add(now, time);
     }
 
-    /// Returns by how much most requests of `urgency` take longer than the mean of all.
+    /// Returns the ratio of the time within which most requests of `urgency` end to the mean run
+    /// time of all requests.
     pub(super) fn run_time_ratio(&self, now: Timestamp, urgency: Urgency) -> f64 {
         let bound = self.run_times.get(&urgency).map(|r| r.upper_bound(now));
         match (bound, self.run_time.recent_mean_ms(now)) {
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -1,9 +1,10 @@
-//! The keys that one agent owns: each is granted once, and repeats get the first outcome.
+//! The keys that one agent owns: each key is granted once, and repeats get the first outcome.
 //!
-//! What can go wrong is that two owners grant the same key, or that one grants it again after it
-//! has forgotten it. An owner therefore grants a first attempt only while it is fresh and no change
-//! of owners is so recent that the one before may not know of it, and a later attempt only where
-//! it would remember an earlier one. See `docs/REQUESTS.md`, keys.
+//! A request could run twice if two owners granted the same key, or if an owner granted it again
+//! after it had removed the record of the first grant. An owner therefore grants a first attempt
+//! only while its view of the log is fresh and the last change of owners is long enough ago for the
+//! previous owner to have read of it. It grants a later attempt only if it has owned the key for
+//! long enough to have a record of any earlier attempt. See `docs/REQUESTS.md`, keys.
 
 mod record;
 
@@ -17,52 +18,53 @@
 };
 use record::{KeyId, KeyState, Record, body_bytes, known_verdict, refused_verdict};
 
-/// Time after a change of owners for which nothing is granted anew: an earlier owner that has not
-/// read of the change stops being fresh within [`FRESH`].
+/// Time after a change of owners during which no new grant is given: a previous owner that has not
+/// read of the change stops granting within [`FRESH`].
 const OWNER_CHANGE_DELAY: Duration = FRESH.saturating_add(Duration::from_millis(500));
 
-/// Time beyond a deadline for which a grant's outcome is waited for.
+/// Time after the deadline during which the owner still waits for the outcome of a grant.
 const OUTCOME_MARGIN: Duration = Duration::from_millis(500);
 
-/// Changes of owners that are remembered.
+/// Maximum number of owner changes that are kept.
 const MAX_EPOCHS: usize = 64;
 
-/// Keys that are remembered, at the most; above it new ones are refused.
+/// Maximum number of keys that are kept; once it is reached, new keys are refused.
 const MAX_KEYS: usize = 200_000;
 
-/// Bytes of outcomes that are remembered, at the most; above it they are remembered as unknown.
+/// Maximum total size of stored outcome bodies, in bytes. An outcome that would exceed it is stored
+/// as unknown.
 const MAX_OUTCOME_BYTES: usize = 64 << 20;
 
-/// Repeats that wait for the outcome of one key, at the most.
+/// Maximum number of repeats that wait for the outcome of one key.
 const MAX_WAITERS: usize = 16;
 
-/// Milliseconds after which an owner that refused may grant.
+/// Milliseconds after which a caller may retry a claim that the owner refused.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// A claim as the owner takes it in.
+/// A claim of a key, as its owner receives it.
 #[derive(Clone, Debug)]
 pub struct KeyClaim {
-    /// The entry that asks.
+    /// The entry that sent the claim.
     pub from: Name,
-    /// Its request.
+    /// The entry's request.
     pub id: RequestId,
     /// The service.
     pub service: Name,
     /// The caller's key.
     pub key: Name,
-    /// The caller's count of attempts, from 1.
+    /// The caller's attempt number, from 1.
     pub attempt: u32,
-    /// The owner's incarnation that the entry means.
+    /// The incarnation of the owner to which the entry addressed the claim.
     pub incarnation: u64,
-    /// When the entry sent it, at the earliest, on the owner's clock.
+    /// The earliest time at which the entry can have sent the claim, on the owner's clock.
     pub sent: Timestamp,
     /// The caller's deadline on the owner's clock.
     pub deadline: Timestamp,
-    /// For how long the service's keys are remembered.
+    /// How long the keys of the service are kept.
     pub window: Duration,
 }
 
-/// What became of a key that a request holds or asked for.
+/// The outcome for a key that a request holds or has claimed.
 #[derive(Clone, Debug)]
 pub struct KeyOutcome {
     /// The service.
@@ -71,9 +73,9 @@
     pub key: Name,
     /// The request.
     pub id: RequestId,
-    /// What became of it.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// For how long the service's keys are remembered.
+    /// How long the keys of the service are kept.
     pub window: Duration,
 }
 
@@ -82,7 +84,7 @@
 pub struct OwnerAction {
     /// The entry.
     pub to: Name,
-    /// Its request.
+    /// The entry's request.
     pub id: RequestId,
     /// The verdict.
     pub verdict: KeyVerdict,
@@ -93,7 +95,7 @@
 pub struct KeyOwner {
     me: Peer,
     started: Timestamp,
-    /// The latest change of owners last.
+    /// The changes of owners, the latest last.
     epochs: Vec<Epoch>,
     keys: HashMap<KeyId, Record>,
     outcome_bytes: usize,
@@ -125,10 +127,10 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes note of the owners after the `change`th change of them that this process folded.
+    /// Sets the owners after change number `change`, counted over the changes this process folded.
     ///
-    /// Where a change was missed, the key may have had another owner meanwhile, so whatever this
-    /// process owned before counts for nothing.
+    /// If a change was missed, a key may have had another owner in between, so the earlier
+    /// ownership of this process no longer counts.
     pub fn set_ring(&mut self, now: Timestamp, change: u64, members: &[Name]) {
         let last = self.epochs.last().map(|e| e.change);
         if last == Some(change) {
@@ -147,12 +149,12 @@
         }
     }
 
-    /// Returns the ring in force.
+    /// Returns the current ring, or none before the first change of owners.
     pub fn ring(&self) -> Option<&Ring> {
         self.epochs.last().map(|e| &e.ring)
     }
 
-    /// Takes in a claim; `fresh` tells whether this process knows the latest state of the log.
+    /// Handles a claim; `fresh` is true if this process knows the latest state of the log.
     pub fn claim(&mut self, now: Timestamp, claim: KeyClaim, fresh: bool) {
         let id = KeyId::of(&claim);
         let mut superseded = false;
@@ -168,20 +170,20 @@
                 waiters,
                 ..
             }) if now < *outcome_due_at && waiters.len() < MAX_WAITERS => {
-                // Its outcome answers the repeat too.
+                // The repeat is answered with the outcome of the running request.
                 if !waiters.iter().any(|w| w.id == claim.id) {
                     waiters.push(claim);
                 }
                 return;
             }
             Some(KeyState::Granted { .. }) => KeyVerdict::Unknown,
-            // The caller may have been told "not run" for a later attempt; that must stay true.
+            // The caller may have received "not run" for a later attempt, and that must stay true.
             Some(KeyState::NotRun) if superseded => {
                 refused_verdict(Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS))
             }
             Some(KeyState::NotRun) => match self.may_grant(now, &claim, fresh) {
                 Ok(()) => self.grant(now, &claim),
-                // Another owner may have granted it meanwhile.
+                // Another owner may have granted the key since.
                 Err(refusal) if claim.attempt > 1 && refusal.reason != NotRun::Busy => {
                     KeyVerdict::Unknown
                 }
@@ -192,8 +194,8 @@
         self.reply(&claim, verdict);
     }
 
-    /// Takes in what became of a key; `fresh` tells whether this process knows the latest state of
-    /// the log, for those who wait for the key.
+    /// Handles the outcome for a key; `fresh` is true if this process knows the latest state of the
+    /// log, which decides whether a waiting claim may be granted.
     pub fn settle(&mut self, now: Timestamp, settled: KeyOutcome, fresh: bool) {
         let key = KeyId {
             service: settled.service.clone(),
@@ -213,7 +215,7 @@
                 self.record_outcome(now, key, settled, waiters, fresh);
             }
             KeyState::Granted { waiters, .. } => waiters.retain(|w| w.id != settled.id),
-            // The entry gave up on an answer that has come after all.
+            // The entry had stopped waiting for this answer, but it has arrived after all.
             KeyState::Ran {
                 holder,
                 outcome: Outcome::Unknown,
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Does what time alone brings about; to be called every 100 ms or so.
+    /// Answers overdue waiters and removes expired keys; to be called about every 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
         let mut overdue = Vec::new();
         for record in self.keys.values_mut() {
@@ -257,7 +259,7 @@
         let allowed = self.may_grant(now, claim, fresh);
         if claim.attempt > 1 {
             let remembers = self.owned_for(now, claim) >= claim.window;
-            // An earlier attempt may have been granted where this process can't know.
+            // Another owner may have granted an earlier attempt without this process knowing.
             return match allowed {
                 Ok(()) if remembers => self.grant(now, claim),
                 _ => KeyVerdict::Unknown,
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Returns why nothing may be granted, if so.
+    /// Returns the refusal if the claim must not be granted.
     fn may_grant(&self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> Result<(), Refusal> {
         let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS);
         let epoch = self.epochs.last().ok_or(unsettled)?;
@@ -279,8 +281,8 @@
         if now.since(epoch.since) < OWNER_CHANGE_DELAY {
             return Err(unsettled);
         }
-        // Held up in a frozen process or a broken network, it may be older than a change of
-        // owners, and its caller may have tried again at the one before.
+        // A claim that a frozen process or a broken network delayed may be older than a change of
+        // owners, and its caller may have retried at the previous owner.
         let is_stale = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
         if is_stale {
             return Err(unsettled);
@@ -297,7 +299,7 @@
         Ok(())
     }
 
-    /// Returns for how long this process has owned the key without interruption.
+    /// Returns how long this process has owned the key without interruption.
     fn owned_for(&self, now: Timestamp, claim: &KeyClaim) -> Duration {
         let owns_key = |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.me.name);
         let first = self.epochs.iter().rev().take_while(owns_key).last();
@@ -319,7 +321,7 @@
         KeyVerdict::Granted
     }
 
-    /// Remembers the outcome of a grant that another owner gave.
+    /// Stores the outcome of a grant that another owner gave.
     fn record_foreign_outcome(&mut self, now: Timestamp, key: KeyId, settled: KeyOutcome) {
         let not_run = matches!(settled.outcome, Outcome::NotRun { .. });
         if not_run || self.keys.len() >= MAX_KEYS {
@@ -354,7 +356,7 @@
         self.replace(key, record);
         for waiter in waiters {
             if not_run {
-                // The first of them may run now; the others wait for it in turn.
+                // The first waiter may be granted now; the others then wait for its outcome.
                 self.claim(now, waiter, fresh);
             } else {
                 self.reply(&waiter, known_verdict(&settled.outcome));
@@ -362,7 +364,8 @@
         }
     }
 
-    /// Returns `outcome`, or "unknown" where there is no room left for its body: that is true too.
+    /// Returns `outcome`, or "unknown" if its body would exceed [`MAX_OUTCOME_BYTES`]. "Unknown" is
+    /// always a true answer.
     fn within_size_limit(&self, outcome: Outcome) -> Outcome {
         if self.outcome_bytes + body_bytes(&outcome) > MAX_OUTCOME_BYTES {
             return Outcome::Unknown;
--- a/dragonflyrun/src/request/key_owner/record.rs
+++ b/dragonflyrun/src/request/key_owner/record.rs
@@ -1,4 +1,4 @@
-//! What an owner remembers of one key.
+//! The owner's record of one key.
 
 use crate::{
     connection::{KeyVerdict, Outcome, RequestId},
@@ -15,22 +15,22 @@
 #[derive(Debug)]
 pub(super) struct Record {
     pub(super) state: KeyState,
-    /// The highest attempt seen. The caller of a lower one has given it up.
+    /// The highest attempt number seen. The caller no longer waits for a lower one.
     pub(super) attempt: u32,
     pub(super) expires_at: Timestamp,
 }
 
 #[derive(Debug)]
 pub(super) enum KeyState {
-    /// A request may run, or be running.
+    /// The holder may start or may be running.
     Granted {
         holder: RequestId,
         outcome_due_at: Timestamp,
         waiters: Vec<KeyClaim>,
     },
-    /// It is known not to have run.
+    /// No request with this key has run.
     NotRun,
-    /// It has run, or may have.
+    /// The holder has run, or may have run.
     Ran { holder: RequestId, outcome: Outcome },
 }
 
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -1,4 +1,4 @@
-//! How busy the agents are, as one entry can tell, and which of them gets the next request.
+//! The load of the agents as seen by one entry, and the choice of the agent for the next request.
 
 mod offer;
 mod view;
@@ -15,23 +15,23 @@
 use offer::Offer;
 pub use view::{AgentView, ServiceView};
 
-/// Random draws before all agents are looked through for one that has a free slot.
+/// Number of random draws before all agents are scanned for one with a free slot.
 const MAX_DRAWS: usize = 8;
 
-/// What became of a request that an agent was given, for the choice of agents.
+/// The result of a dispatch, used for the choice of agents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Sample {
     /// The backend server answered after this time.
     Ran(Duration),
-    /// The backend server failed, or its agent was lost.
+    /// The backend server failed, or the agent was lost.
     Failed,
-    /// The backend server did not take it.
+    /// The backend server refused the request.
     Refused,
-    /// The agent did not start it.
+    /// The agent did not start the request.
     NotStarted,
 }
 
-/// All agents as one entry sees them.
+/// The state of all agents as seen by one entry.
 #[derive(Debug, Default)]
 pub struct AgentLoads {
     agents: HashMap<Name, Agent>,
@@ -39,7 +39,7 @@
     entries: Entries,
 }
 
-/// Among how many entries the slots are divided, and which of them this one is.
+/// The number of entries that share the slots, and the rank of this entry among them.
 #[derive(Clone, Copy, Debug)]
 struct Entries {
     count: u32,
@@ -52,19 +52,19 @@
     offers: HashMap<Name, Offer>,
 }
 
-/// What all agents together have for one service.
+/// The slots of all agents together for one service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Capacity {
     /// Slots of all usable agents.
     pub(crate) slots: u32,
-    /// Slots that our requests use or that are free.
+    /// Slots that are free or that requests of this entry use.
     pub(crate) available: u32,
-    /// Whether only a failure domain that is out of service has it.
+    /// Whether all agents with the service are in failure domains that are out of service.
     pub(crate) out_of_service: bool,
 }
 
 impl AgentLoads {
-    /// Takes note of an agent's state.
+    /// Updates the state of an agent.
     pub fn update(&mut self, view: AgentView) {
         let name = view.name.clone();
         let agent = self.agents.entry(name.clone()).or_insert_with(|| Agent {
@@ -93,10 +93,10 @@
         agent.view = view;
     }
 
-    /// Divides the slots among `count` entries, of which this one has the place `rank`.
+    /// Divides the slots among `count` entries; `rank` is the position of this entry among them.
     ///
-    /// Entries that all see the same free slot take it at the same time, and all but one are
-    /// refused. With a part of its own each can count on some slots without asking anybody.
+    /// If several entries see the same free slot and use it at the same time, all but one are
+    /// refused. With a share of its own, each entry can use some slots without coordination.
     pub(crate) fn set_entries(&mut self, count: u32, rank: u32) {
         let count = count.max(1);
         self.entries = Entries {
@@ -105,7 +105,7 @@
         };
     }
 
-    /// Forgets all agents but those for which `keep` holds.
+    /// Removes all agents for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         self.agents.retain(|name, _| keep(name));
         let agents = &self.agents;
@@ -115,18 +115,18 @@
         });
     }
 
-    /// Returns what is known of an agent.
+    /// Returns the last known state of an agent.
     pub fn view(&self, agent: &Name) -> Option<&AgentView> {
         self.agents.get(agent).map(|a| &a.view)
     }
 
-    /// Returns whether `agent` was not heard lately.
+    /// Returns whether no heartbeat of `agent` has arrived within [`SILENCE`].
     pub(crate) fn is_silent(&self, now: Timestamp, agent: &Name) -> bool {
         let heard = self.view(agent).map(|v| v.heard);
         heard.is_none_or(|heard| now.since(heard) > SILENCE)
     }
 
-    /// Returns what all usable agents together have for `service`.
+    /// Returns the slots of all usable agents together for `service`.
     pub(crate) fn capacity(&self, now: Timestamp, service: &Name) -> Capacity {
         let mut sum = Capacity::default();
         let mut out_of_service = false;
@@ -147,7 +147,7 @@
         sum
     }
 
-    /// Returns the least mean run time of any agent; zero where none is known.
+    /// Returns the lowest mean run time of all agents, or zero if none is known.
     pub(crate) fn fastest_mean(&self, now: Timestamp, service: &Name) -> Duration {
         let names = self.services.get(service).into_iter().flatten();
         let offers = names.filter_map(|name| self.usable_offer(now, name, service));
@@ -156,11 +156,12 @@
         Duration::from_secs_f64(least_ms / 1_000.0)
     }
 
-    /// Chooses an agent for a request of `service` among those that take no longer than `max_mean`
-    /// on average: the best of `choices` drawn at random from those that have a free slot.
+    /// Chooses an agent for a request of `service` among those with a mean run time of at most
+    /// `max_mean`: the best of `choices` agents drawn at random from those with a free slot.
     ///
-    /// Taking the best of all would make every entry choose the same agent until the next
-    /// heartbeat; two draws come close to it without that (`docs/REQUESTS.md`, choice of agents).
+    /// If each entry chose the best of all agents, all entries would choose the same agent until
+    /// the next heartbeat. Two draws come close to the best without that effect
+    /// (`docs/REQUESTS.md`, choice of agents).
     pub fn choose(
         &self,
         now: Timestamp,
@@ -179,8 +180,8 @@
             drawn = draw(names, choices, rng, borrowed);
         }
         if drawn.is_empty() && self.all_quarantined(now, service) {
-            // Where every backend server fails, the fault may lie in the requests; refusing all
-            // would keep it from ever being noticed that they work again.
+            // If every backend server fails, the requests may be at fault. Refusing all of them
+            // would hide that the servers work again.
             let any = |name: &Name| offer(name).is_some_and(|o| o.free() > 0);
             drawn = draw(names, choices, rng, any);
         }
@@ -189,15 +190,15 @@
         best.cloned()
     }
 
-    /// Takes note that `agent` was given a request.
+    /// Records that a request was sent to `agent`.
     pub(crate) fn request_sent(&mut self, agent: &Name, service: &Name) {
         if let Some(offer) = self.offer(agent, service) {
             offer.in_flight += 1;
         }
     }
 
-    /// Takes note of what became of a request that `agent` of `incarnation` was given, and of the
-    /// free slots it reported with that.
+    /// Records the result of a request that was sent to `agent` with this `incarnation`, and the
+    /// free slots that the agent reported with it.
     pub(crate) fn request_ended(
         &mut self,
         now: Timestamp,
@@ -232,7 +233,8 @@
         agent.offers.get(service)
     }
 
-    /// Returns what `agent` has for `service`, if it may get requests and has not just refused.
+    /// Returns the offer of `agent` for `service` if the agent is usable and has not just refused a
+    /// request.
     fn available_offer(&self, now: Timestamp, agent: &Name, service: &Name) -> Option<&Offer> {
         self.usable_offer(now, agent, service)
             .filter(|o| now >= o.backoff_until)
@@ -244,7 +246,7 @@
         offers.all(|o| o.slots == 0 || o.is_failing())
     }
 
-    /// The run time to expect, longer the more slots are in use.
+    /// Returns the expected run time in milliseconds, which grows with the share of used slots.
     fn cost(&self, agent: &Name, service: &Name) -> f64 {
         let offer = self.agents.get(agent).and_then(|a| a.offers.get(service));
         offer.map_or(f64::MAX, |offer| {
@@ -262,8 +264,8 @@
 }
 
 impl Entries {
-    /// Returns how many of an agent's `slots` are this entry's own. Which entries have one more
-    /// differs from agent to agent.
+    /// Returns how many of the `slots` of an agent belong to this entry. The entries that get one
+    /// of the remaining slots differ from agent to agent.
     fn share(self, agent: &Name, slots: u32) -> u32 {
         let rotation = u32::try_from(FxBuildHasher.hash_one(agent) % u64::from(self.count));
         let position = (self.rank + rotation.unwrap_or(0)) % self.count;
@@ -277,7 +279,7 @@
     }
 }
 
-/// Draws `choices` of those names at random for which `open` holds.
+/// Draws `choices` names at random for which `accept` returns true.
 fn draw<'a>(
     names: &'a [Name],
     choices: usize,
--- a/dragonflyrun/src/request/load/offer.rs
+++ b/dragonflyrun/src/request/load/offer.rs
@@ -1,39 +1,41 @@
-//! What an agent has for one service, as one entry can tell.
+//! The slots of one agent for one service, as seen by one entry.
 
 use std::time::Duration;
 
 use super::Sample;
 use crate::{request::RunTime, utils::Timestamp};
 
-/// Failures in a row after which an agent is set aside for a service.
+/// Number of consecutive failures after which an agent is quarantined for a service.
 const QUARANTINE_AFTER_FAILURES: u32 = 3;
 
-/// How long an agent is set aside the first time; doubled with each further failure.
+/// How long an agent is quarantined the first time; doubled with each further failure.
 const QUARANTINE_TIME: Duration = Duration::from_secs(1);
 
-/// Doublings of that time, at the most.
+/// Maximum number of doublings of [`QUARANTINE_TIME`].
 const MAX_QUARANTINE_DOUBLINGS: u32 = 5;
 
-/// How long an agent that had no slot gets nothing. Its own part comes free again soon.
+/// How long an agent that did not start a request gets no further one. It is short, since a slot of
+/// this entry's own share is soon free again.
 const BUSY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long an agent whose backend server refused gets nothing.
+/// How long an agent whose backend server refused a request gets no further one.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(200);
 
-/// What an agent has for one service.
+/// The slots and recent results of an agent for one service.
 #[derive(Debug, Default)]
 pub(super) struct Offer {
     pub(super) slots: u32,
-    /// The slots that are this entry's own.
+    /// Slots that belong to this entry.
     pub(super) share: u32,
-    /// The slots that are left to the other entries while they use none: one for each, but no more
-    /// than half of all, or an idle agent with few slots would be closed to some entries.
+    /// Free slots that this entry leaves to the other entries when it borrows: one for each, but at
+    /// most half of all slots, since otherwise some entries could not use an idle agent with few
+    /// slots.
     pub(super) reserve: u32,
-    /// Slots that other entries' requests use.
+    /// Slots that requests of other entries use.
     pub(super) others: u32,
-    /// Our own requests that it has not answered.
+    /// Requests of this entry that the agent has not answered.
     pub(super) in_flight: u32,
-    /// As of when `others` is.
+    /// The time of the report from which `others` was computed.
     pub(super) reported_at: Timestamp,
     pub(super) backoff_until: Timestamp,
     pub(super) failures: u32,
@@ -47,8 +49,8 @@
         self.slots.saturating_sub(used)
     }
 
-    /// Takes note that `free` slots were free at `at`; an older report than the last is nothing
-    /// new.
+    /// Records that `free` slots were free at `at`. A report that is older than the last one is
+    /// ignored.
     pub(super) fn update_free(&mut self, at: Timestamp, free: u32) {
         if at < self.reported_at {
             return;
@@ -81,28 +83,28 @@
         }
     }
 
-    /// Returns whether it has failed as often in a row as it may.
+    /// Returns whether the agent has reached the limit of consecutive failures.
     pub(super) fn is_failing(&self) -> bool {
         self.failures >= QUARANTINE_AFTER_FAILURES
     }
 
-    /// Returns whether it has not failed lately, or one request may probe whether it still does.
+    /// Returns whether the agent is not failing, or one request may probe whether it works again.
     pub(super) fn is_eligible(&self, now: Timestamp) -> bool {
         !self.is_failing() || (now >= self.quarantined_until && self.in_flight == 0)
     }
 
-    /// Returns whether it is not known to take longer than `max_mean` on average.
+    /// Returns whether the recent mean run time is unknown or at most `max_mean`.
     pub(super) fn is_fast_enough(&self, now: Timestamp, max_mean: Duration) -> bool {
         let mean_ms = self.run_time.recent_mean_ms(now);
         mean_ms.is_none_or(|mean_ms| mean_ms <= max_mean.as_secs_f64() * 1_000.0)
     }
 
-    /// Returns whether a slot of this entry's own part is free; others only borrow it.
+    /// Returns whether a slot of this entry's own share is free. Other entries can only borrow it.
     pub(super) fn has_own_free(&self) -> bool {
         self.in_flight < self.share
     }
 
-    /// Returns whether another entry's slot may be borrowed: one for each of them stays free.
+    /// Returns whether a slot of another entry may be borrowed; [`Offer::reserve`] slots stay free.
     pub(super) fn may_borrow(&self) -> bool {
         self.free() > self.reserve
     }
--- a/dragonflyrun/src/request/load/view.rs
+++ b/dragonflyrun/src/request/load/view.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat shows of an agent.
+//! The state of an agent as reported in its heartbeats.
 
 use crate::{
     connection::{AgentReport, Report},
@@ -7,39 +7,39 @@
     version::Version,
 };
 
-/// An agent as its last heartbeat showed it.
+/// The state of an agent as of its last heartbeat.
 #[derive(Clone, Debug)]
 pub struct AgentView {
     /// The agent.
     pub name: Name,
-    /// Its incarnation.
+    /// The incarnation of the agent.
     pub incarnation: u64,
-    /// Its clock in its last heartbeat.
+    /// The agent's clock when it sent its last heartbeat, in milliseconds.
     pub sent_ms: u64,
-    /// When that heartbeat was heard.
+    /// When that heartbeat arrived, on the clock of this process.
     pub heard: Timestamp,
-    /// Whether it is linked, not leaving, and its failure domain is in service.
+    /// Whether the agent is linked, not leaving, and in a failure domain that is in service.
     pub usable: bool,
-    /// Whether it is usable but for its failure domain.
+    /// Whether the agent would be usable if its failure domain were in service.
     pub out_of_service: bool,
     /// The services of its backend servers.
     pub services: Vec<ServiceView>,
 }
 
-/// The slots of one service at one agent, over its backend servers that are not leaving.
+/// The slots of one service at one agent, summed over its backend servers that are not leaving.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
     /// The service.
     pub service: Name,
-    /// All slots.
+    /// Total number of slots.
     pub slots: u32,
-    /// Slots not in use.
+    /// Number of free slots.
     pub free: u32,
 }
 
 impl AgentView {
-    /// Returns what the roster knows of an agent, under the configuration in force; none where it
-    /// is no agent or has not reported yet.
+    /// Returns the state of an agent from the roster under the configuration `version`, or none if
+    /// the peer is not an agent or has not reported yet.
     pub fn of(peer: &PeerState, version: &Version) -> Option<Self> {
         let Some(Report::Agent(report)) = &peer.report else {
             return None;
@@ -57,8 +57,9 @@
         })
     }
 
-    /// Returns a time on the agent's clock that is no later than `at` is on available: its clock had
-    /// passed `sent_ms` when we heard it.
+    /// Returns the time `at` of this process's clock on the agent's clock, in milliseconds. The
+    /// result is never too late: the agent's clock was at `sent_ms` or later when the heartbeat
+    /// arrived.
     pub(crate) fn clock_at(&self, at: Timestamp) -> u64 {
         let since = at.since(self.heard).as_millis();
         let since_ms = u64::try_from(since).unwrap_or(u64::MAX);
--- a/dragonflyrun/src/request/mod.rs
+++ b/dragonflyrun/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! What lives for one request: admission, the queue, routing, retries, and keys that run once.
+//! Handles short requests: admission, queueing, routing, retries and at-most-once keys.
 //!
-//! All of it decides without input and output; `process::EntryRequests` and
-//! `process::AgentRequests` carry the decisions out. See `docs/REQUESTS.md`.
+//! This module only decides and does no I/O; `process::EntryRequests` and `process::AgentRequests`
+//! carry out the decisions. See `docs/REQUESTS.md`.
 
 mod agent_table;
 mod backends;
@@ -27,8 +27,8 @@
 
 use crate::{connection::Peer, utils::Name};
 
-/// Returns the name that stands in the ids of an entry's requests: its own, with the number that
-/// tells its process from an earlier one of the same name.
+/// Returns the entry id that is part of its request ids: the entry's name and its incarnation,
+/// which distinguishes its process from an earlier one of the same name.
 pub fn entry_id(entry: &Peer) -> Name {
     format!("{}#{}", entry.name, entry.incarnation).into()
 }
--- a/dragonflyrun/src/request/retry_budget.rs
+++ b/dragonflyrun/src/request/retry_budget.rs
@@ -1,18 +1,19 @@
-//! Bounds retries to a share of first attempts.
+//! Limits retries to a share of first attempts.
 
-/// One retry, in hundredths.
+/// The cost of one retry, in hundredths.
 const HUNDREDTHS_PER_RETRY: u64 = 100;
 
-/// Retries that a process may make before it has seen any request.
+/// Number of retries that a process may make before its first request.
 const INITIAL_RETRIES: u64 = 10;
 
-/// Retries that may be saved up; more would let a quiet hour pay for a storm.
+/// Maximum number of retries that can be saved up. With more, the budget of a quiet hour would
+/// allow a retry storm.
 const MAX_SAVED_RETRIES: u64 = 50;
 
-/// Retries that may be made now.
+/// The number of retries that may be made now.
 ///
-/// When backend servers refuse much, each retry adds work to those that are left. With a budget
-/// the load can't grow past the share that operators set, whatever fails.
+/// When many requests are refused, each retry adds load to the remaining backend servers. The
+/// budget limits this additional load to the share that operators set, whatever fails.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     hundredths: u64,
@@ -27,13 +28,13 @@
 }
 
 impl RetryBudget {
-    /// Takes note of a first attempt, which earns `percent` of a retry.
+    /// Records a first attempt, which earns `percent` of a retry.
     pub fn earn(&mut self, percent: u32) {
         let sum = self.hundredths.saturating_add(u64::from(percent));
         self.hundredths = sum.min(MAX_SAVED_RETRIES * HUNDREDTHS_PER_RETRY);
     }
 
-    /// Pays for one retry; returns whether there was enough.
+    /// Spends one retry; returns whether the budget allowed it.
     pub fn spend(&mut self) -> bool {
         let left = self.hundredths.checked_sub(HUNDREDTHS_PER_RETRY);
         self.hundredths = left.unwrap_or(self.hundredths);
--- a/dragonflyrun/src/request/ring.rs
+++ b/dragonflyrun/src/request/ring.rs
@@ -1,4 +1,4 @@
-//! Which agent owns a key, by rendezvous hashing.
+//! Assigns each key to an agent by rendezvous hashing.
 
 use sha2::{Digest, Sha256};
 
@@ -6,8 +6,8 @@
 
 /// The owners of keys as of one record of the log.
 ///
-/// Each key belongs to the member whose hash with the key is the greatest, so that a member that
-/// comes or goes moves its own keys only.
+/// Each key belongs to the member with the greatest combined hash of member and key, so that only
+/// the keys of a member that joins or leaves change their owner.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     members: Vec<Member>,
@@ -32,7 +32,7 @@
         Self { members }
     }
 
-    /// Returns the owner of a key; none where there are no members.
+    /// Returns the owner of a key, or none if the ring has no members.
     pub fn owner(&self, service: &str, key: &str) -> Option<&Name> {
         let key = stable_hash(&[service, key]);
         let best = self.members.iter().max_by(|a, b| {
@@ -43,8 +43,8 @@
     }
 }
 
-/// Hashes alike in every process and version of the system, which the maps' fast hasher does not
-/// promise.
+/// Returns a hash that is the same in every process and version of the system, which the fast
+/// hasher of the maps does not guarantee.
 fn stable_hash(parts: &[&str]) -> u64 {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/dragonflyrun/src/request/run_time.rs
+++ b/dragonflyrun/src/request/run_time.rs
@@ -1,24 +1,25 @@
-//! How long requests have taken lately.
+//! Statistics of recent request run times.
 
 use std::time::Duration;
 
 use crate::utils::Timestamp;
 
-/// The weight of one sample is one in this many.
+/// Number of samples over which the mean is taken: each new sample has the weight of one in this
+/// many.
 const SAMPLE_WINDOW: f64 = 8.0;
 
-/// Mean deviations above the mean within which most requests end.
+/// Number of mean deviations above the mean within which most requests end.
 const DEVIATIONS_ABOVE_MEAN: f64 = 2.0;
 
-/// Age up to which the run times seen are taken for those to come.
+/// Age of the last sample up to which the statistics predict the run time of new requests.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(10);
 
-/// A sample counts as this many times the mean at the most, once there are as many samples as
-/// [`SAMPLE_WINDOW`] says. A single one from a slow backend server would otherwise make all requests with
-/// short deadlines seem hopeless for a while.
+/// A sample is capped at this multiple of the mean once there are [`SAMPLE_WINDOW`] samples.
+/// Without the cap, a single sample from a slow backend server would make the entry refuse requests
+/// with short deadlines for a while.
 const MAX_SAMPLE_MEANS: f64 = 3.0;
 
-/// A running mean of durations with its mean deviation.
+/// An exponentially weighted mean of durations with its mean deviation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTime {
     mean_ms: f64,
@@ -44,21 +45,22 @@
         }
     }
 
-    /// Returns the mean in milliseconds; none before the first sample.
+    /// Returns the mean in milliseconds, or none before the first sample.
     pub fn mean_ms(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.mean_ms)
     }
 
-    /// Returns the mean in milliseconds; none where the last sample is too old to count on.
+    /// Returns the mean in milliseconds, or none if the last sample is older than
+    /// [`MAX_SAMPLE_AGE`].
     ///
-    /// What is believed to be too slow for everybody gets no request that could show otherwise.
-    /// So the belief has to end by itself.
+    /// An agent that seems too slow for every request gets none that could show that it has become
+    /// faster, so the estimate has to expire.
     pub fn recent_mean_ms(&self, now: Timestamp) -> Option<f64> {
         self.mean_ms()
             .filter(|_| now.since(self.last_sample_at) <= MAX_SAMPLE_AGE)
     }
 
-    /// Returns the time within which most requests end; zero where that is not known.
+    /// Returns the time within which most requests end, or zero if it is not known.
     pub fn upper_bound(&self, now: Timestamp) -> Duration {
         let mean_ms = self.recent_mean_ms(now);
         let bound_ms = mean_ms.map_or(0.0, |mean| mean + DEVIATIONS_ABOVE_MEAN * self.deviation_ms);
--- a/dragonflyrun/src/request/wait_queue.rs
+++ b/dragonflyrun/src/request/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The requests of one service that wait for a slot, by urgency and then by deadline.
+//! The queue of requests that wait for a slot of one service, ordered by urgency and deadline.
 
 use std::collections::BTreeSet;
 
@@ -7,23 +7,25 @@
 /// The lanes from the most to the least urgent.
 const LANES: [Urgency; 3] = [Urgency::Urgent, Urgency::Normal, Urgency::Patient];
 
-/// How often more urgent requests may go first while a lane waits, before one of it goes.
+/// Number of more urgent requests that may be taken while a lane waits, before one of that lane is
+/// taken.
 ///
-/// Without this a steady stream of urgent requests would leave the others to their deadlines.
+/// Without this limit, under a steady stream of urgent requests the others would miss their
+/// deadlines.
 const MAX_PASSES: [u32; 3] = [0, 4, 16];
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Waiting {
     /// The request's number.
     pub number: u64,
-    /// How soon it is needed.
+    /// The urgency of the request.
     pub urgency: Urgency,
-    /// When it must have been answered.
+    /// The deadline of the answer.
     pub deadline: Timestamp,
 }
 
-/// The waiting requests of one service.
+/// The queued requests of one service.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     lanes: [Lane; 3],
@@ -42,17 +44,17 @@
 }
 
 impl WaitQueue {
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.lanes.iter().map(|l| l.waiting.len()).sum()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns how many of the same or greater urgency wait.
+    /// Returns the number of queued requests of the same or a higher urgency.
     pub fn ahead_of(&self, urgency: Urgency) -> usize {
         let lanes = &self.lanes[..=index(urgency)];
         lanes.iter().map(|l| l.waiting.len()).sum()
@@ -64,13 +66,13 @@
         lane.waiting.insert(QueueKey::of(&waiting));
     }
 
-    /// Removes a request; returns whether it waited.
+    /// Removes a request; returns whether it was in the queue.
     pub fn remove(&mut self, waiting: &Waiting) -> bool {
         let lane = &mut self.lanes[index(waiting.urgency)];
         lane.waiting.remove(&QueueKey::of(waiting))
     }
 
-    /// Returns the request that goes next.
+    /// Returns the request to dispatch next.
     pub fn first(&self) -> Option<Waiting> {
         let overdue = (1..LANES.len()).rev().find(|i| {
             self.lanes[*i].passed_over >= MAX_PASSES[*i] && !self.lanes[*i].waiting.is_empty()
@@ -79,7 +81,7 @@
         self.lanes[next].waiting.first().map(|p| p.waiting(next))
     }
 
-    /// Removes the request that went next.
+    /// Removes a request that is dispatched, and counts it against the lanes that it passed over.
     pub fn dequeue(&mut self, waiting: &Waiting) {
         if !self.remove(waiting) {
             return;
@@ -95,15 +97,15 @@
         }
     }
 
-    /// Returns the request to give up for one of `urgency` when no more may wait: the one of the
-    /// least urgent that has the longest time left, if it is less urgent.
+    /// Returns the request to refuse in favour of one of `urgency` when the queue is full: among
+    /// the least urgent requests the one with the latest deadline, if it is less urgent.
     pub fn displaced_by(&self, urgency: Urgency) -> Option<Waiting> {
         (index(urgency) + 1..LANES.len())
             .rev()
             .find_map(|i| self.lanes[i].waiting.last().map(|p| p.waiting(i)))
     }
 
-    /// Returns all that wait, the most urgent first.
+    /// Returns all queued requests, the most urgent first.
     pub fn all(&self) -> impl Iterator<Item = Waiting> {
         let lanes = self.lanes.iter().enumerate();
         lanes.flat_map(|(i, lane)| lane.waiting.iter().map(move |p| p.waiting(i)))
