--- a/dragonflyrun/src/request/backends.rs
+++ b/dragonflyrun/src/request/backends.rs
@@ -12,7 +12,7 @@
 /// Time after which a backend server that does not renew its announcement gets no new requests.
 pub const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
-/// How long a backend server that refused a request gets no further one.
+/// How long a backend server that refused a connection gets no requests.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Maximum number of slots of one backend server; each slot may use a thread of the agent.
--- a/dragonflyrun/tests/answer_matching.rs
+++ b/dragonflyrun/tests/answer_matching.rs
@@ -110,13 +110,13 @@
     assert!(answers(&actions).is_empty());
     assert_eq!(resends(&actions), 1);
 
-    let mut keeper = agent(1, 1);
-    keeper.run(at(1_000), &"entry".into(), order(1), true);
-    keeper.take_actions();
-    keeper.finished(at(1_100), &order(1).id, done("kept"));
-    keeper.take_actions();
-    keeper.run(at(1_700), &"entry".into(), order(1), true);
-    assert_eq!(sent_answers(&mut keeper), [done("kept")]);
+    let mut agent_table = agent(1, 1);
+    agent_table.run(at(1_000), &"entry".into(), order(1), true);
+    agent_table.take_actions();
+    agent_table.finished(at(1_100), &order(1).id, done("kept"));
+    agent_table.take_actions();
+    agent_table.run(at(1_700), &"entry".into(), order(1), true);
+    assert_eq!(sent_answers(&mut agent_table), [done("kept")]);
     table.answered(at(1_800), &a, id, done("kept"), 4);
     assert_eq!(answers(&table.take_actions()), [(number, done("kept"))]);
 }
--- a/dragonflyrun/tests/key_ownership.rs
+++ b/dragonflyrun/tests/key_ownership.rs
@@ -16,11 +16,11 @@
 use tables::at;
 
 /// Seeds in CI; `DRAGONFLYRUN_SEEDS` asks for more.
-const SEEDS: u64 = 150;
+const DEFAULT_SEEDS: u64 = 150;
 
 fn seeds() -> u64 {
     let more = std::env::var("DRAGONFLYRUN_SEEDS").ok();
-    more.and_then(|n| n.parse().ok()).unwrap_or(SEEDS)
+    more.and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_SEEDS)
 }
 
 fn booking() -> Class {
@@ -49,7 +49,7 @@
         classes: vec![booking()],
         arrivals_per_s: 15.0,
         arrivals_until_ms: 30_000,
-        tries: 4,
+        max_attempts: 4,
         choices: 2,
         divided: true,
         skew: 0.0,
@@ -59,17 +59,17 @@
 
 /// How often each answer was given, so that a run in which nothing happens is noticed.
 #[derive(Debug, Default)]
-struct Answers {
+struct AnswerCounts {
     done: usize,
     not_run: usize,
     unknown: usize,
     none: usize,
 }
 
-impl Answers {
+impl AnswerCounts {
     fn add(&mut self, sim: &Sim) {
-        for asked in &sim.tries {
-            match asked.answer.as_ref().map(|(_, outcome)| outcome) {
+        for attempt in &sim.attempts {
+            match attempt.answer.as_ref().map(|(_, outcome)| outcome) {
                 Some(Outcome::Done { .. }) => self.done += 1,
                 Some(Outcome::NotRun { .. }) => self.not_run += 1,
                 Some(Outcome::Unknown) => self.unknown += 1,
@@ -79,8 +79,8 @@
     }
 }
 
-fn check(faults: Faults) {
-    let mut answers = Answers::default();
+fn check_seeds(faults: Faults) {
+    let mut answers = AnswerCounts::default();
     for n in 0..seeds() {
         // The seed's upper half feeds the values, its lower half is their size in bytes.
         arbtest(|u| {
@@ -88,8 +88,8 @@
             let mut sim = Sim::new(setup(seed, faults));
             sim.run_until(50_000);
             if let Some(found) = sim.violations().first() {
-                let story = sim.story(found.ticket());
-                panic!("sim seed {seed}: {found:?}\n{story}");
+                let trace = sim.trace(found.ticket());
+                panic!("sim seed {seed}: {found:?}\n{trace}");
             }
             answers.add(&sim);
             Ok(())
@@ -98,9 +98,9 @@
         .run();
     }
     println!("{answers:?}");
-    let least = answers.not_run.min(answers.unknown).min(answers.none);
+    let fewest = answers.not_run.min(answers.unknown).min(answers.none);
     assert!(
-        answers.done > least && least > 0,
+        answers.done > fewest && fewest > 0,
         "too little happened: {answers:?}"
     );
 }
@@ -110,7 +110,7 @@
 /// entry, must not be booked twice, and one who reads "not run" must not find a booking later.
 #[test]
 fn processes_fail() {
-    check(Faults {
+    check_seeds(Faults {
         every_ms: 400,
         ..Faults::default()
     });
@@ -120,7 +120,7 @@
 /// all that fails above. A buyer must not get another's answer, half an answer, or two bookings.
 #[test]
 fn messages_fail() {
-    check(Faults {
+    check_seeds(Faults {
         every_ms: 1_500,
         drop: 2.0,
         duplicate: 5.0,
--- a/dragonflyrun/tests/load/mod.rs
+++ b/dragonflyrun/tests/load/mod.rs
@@ -13,7 +13,7 @@
 const WARM_UP_MS: u64 = 6_000;
 
 /// How much slower a slow backend server is.
-const SLOWNESS: f64 = 5.0;
+const SLOW_FACTOR: f64 = 5.0;
 
 /// The workloads, as they stand in `benches/data/requests.json`.
 #[derive(Debug, Deserialize)]
@@ -30,7 +30,7 @@
     pub(crate) name: String,
     entries: usize,
     slots: u32,
-    backends: Vec<Kind>,
+    backends: Vec<BackendKind>,
     classes: Vec<ClassData>,
     /// The share of requests in percent that all go to one entry.
     #[serde(default)]
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Kind {
+enum BackendKind {
     Runs,
     Slow,
     Refuses,
@@ -97,9 +97,9 @@
             .backends
             .iter()
             .map(|b| match b {
-                Kind::Runs => f64::from(self.slots),
-                Kind::Slow => f64::from(self.slots) / SLOWNESS,
-                Kind::Refuses | Kind::Breaks => 0.0,
+                BackendKind::Runs => f64::from(self.slots),
+                BackendKind::Slow => f64::from(self.slots) / SLOW_FACTOR,
+                BackendKind::Refuses | BackendKind::Breaks => 0.0,
             })
             .sum();
         slots / mean_s
@@ -115,7 +115,7 @@
             classes: self.classes.iter().map(ClassData::class).collect(),
             arrivals_per_s: self.capacity() * load,
             arrivals_until_ms: until,
-            tries: 1,
+            max_attempts: 1,
             choices: if policy == Policy::Random { 1 } else { 2 },
             divided: policy == Policy::Divided,
             skew: self.skew,
@@ -130,11 +130,11 @@
         let mut times: BTreeMap<String, Vec<Option<u64>>> = BTreeMap::new();
         let (mut in_time, mut unknown) = (0, 0);
         let mut refusals = BTreeMap::new();
-        for asked in &sim.tries {
-            let class = &self.classes[sim.tickets[asked.ticket].class];
+        for attempt in &sim.attempts {
+            let class = &self.classes[sim.tickets[attempt.ticket].class];
             let urgency = format!("{:?}", class.urgency).to_lowercase();
-            let time = match &asked.answer {
-                Some((at, Outcome::Done { .. })) => Some(at - asked.submitted),
+            let time = match &attempt.answer {
+                Some((at, Outcome::Done { .. })) => Some(at - attempt.submitted),
                 Some((_, Outcome::NotRun { reason, .. })) => {
                     *refusals.entry(format!("{reason:?}")).or_insert(0) += 1;
                     None
@@ -149,31 +149,34 @@
         }
         Figures {
             goodput: in_time as f64 / (self.capacity() * seconds as f64),
-            in_time: times.iter().map(|(u, t)| (u.clone(), share(t))).collect(),
-            p99_ms: times.iter().map(|(u, t)| (u.clone(), p99(t))).collect(),
+            in_time: times
+                .iter()
+                .map(|(u, t)| (u.clone(), share_in_time(t)))
+                .collect(),
+            p99_ms: times.iter().map(|(u, t)| (u.clone(), p99_ms(t))).collect(),
             unknown,
             refusals,
             retries: sim.retries,
-            requests: sim.tries.len(),
+            requests: sim.attempts.len(),
         }
     }
 }
 
-fn share(times: &[Option<u64>]) -> f64 {
+fn share_in_time(times: &[Option<u64>]) -> f64 {
     times.iter().flatten().count() as f64 / times.len() as f64
 }
 
-fn p99(times: &[Option<u64>]) -> u64 {
+fn p99_ms(times: &[Option<u64>]) -> u64 {
     let mut times: Vec<u64> = times.iter().flatten().copied().collect();
     times.sort_unstable();
     times.get(times.len() * 99 / 100).copied().unwrap_or(0)
 }
 
-impl Kind {
+impl BackendKind {
     fn behaviour(self) -> Backend {
         match self {
             Self::Runs => Backend::Runs(1.0),
-            Self::Slow => Backend::Runs(SLOWNESS),
+            Self::Slow => Backend::Runs(SLOW_FACTOR),
             Self::Refuses => Backend::Refuses,
             Self::Breaks => Backend::Breaks,
         }
--- a/dragonflyrun/tests/simulation/checks.rs
+++ b/dragonflyrun/tests/simulation/checks.rs
@@ -5,15 +5,15 @@
 use super::{Sim, nodes};
 
 /// Ticks and latency by which an answer may be behind its deadline.
-const LATE_MS: u64 = 50;
+const MAX_ANSWER_DELAY_MS: u64 = 50;
 
 /// A broken promise.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Violation {
     RanTwice { ticket: usize },
-    NotRunButRan { ticket: usize, number_of_try: usize },
-    WrongAnswer { ticket: usize, number_of_try: usize },
-    NoAnswer { ticket: usize, number_of_try: usize },
+    NotRunButRan { ticket: usize, attempt_index: usize },
+    WrongAnswer { ticket: usize, attempt_index: usize },
+    NoAnswer { ticket: usize, attempt_index: usize },
 }
 
 impl Sim {
@@ -23,47 +23,54 @@
         for ticket in 0..self.tickets.len() {
             self.check_runs(ticket, &mut found);
         }
-        for number_of_try in 0..self.tries.len() {
-            self.check_answer(number_of_try, &mut found);
+        for attempt_index in 0..self.attempts.len() {
+            self.check_answer(attempt_index, &mut found);
         }
         found
     }
 
     fn check_runs(&self, ticket: usize, found: &mut Vec<Violation>) {
         let keyed = self.setup.classes[self.tickets[ticket].class].keyed;
-        if keyed && self.ran.iter().filter(|r| r.ticket == ticket).count() > 1 {
+        if keyed
+            && self
+                .run_records
+                .iter()
+                .filter(|r| r.ticket == ticket)
+                .count()
+                > 1
+        {
             found.push(Violation::RanTwice { ticket });
         }
     }
 
-    fn check_answer(&self, number_of_try: usize, found: &mut Vec<Violation>) {
-        let asked = &self.tries[number_of_try];
-        let ticket = asked.ticket;
+    fn check_answer(&self, attempt_index: usize, found: &mut Vec<Violation>) {
+        let attempt = &self.attempts[attempt_index];
+        let ticket = attempt.ticket;
         let keyed = self.setup.classes[self.tickets[ticket].class].keyed;
-        match &asked.answer {
-            None if asked.died => {}
+        match &attempt.answer {
+            None if attempt.died => {}
             None => found.push(Violation::NoAnswer {
                 ticket,
-                number_of_try,
+                attempt_index,
             }),
-            Some((_, Outcome::Done { .. } | Outcome::Unknown)) if asked.answer_is(ticket) => {}
+            Some((_, Outcome::Done { .. } | Outcome::Unknown)) if attempt.answer_is(ticket) => {}
             Some((_, Outcome::Done { .. })) => {
                 found.push(Violation::WrongAnswer {
                     ticket,
-                    number_of_try,
+                    attempt_index,
                 });
             }
-            // Nothing that the caller had asked for until this answer ran, at whatever time.
+            // Nothing that the caller had attempt for until this answer ran, at whatever time.
             Some((_, Outcome::NotRun { .. })) => {
-                let ran = |r: &&super::Ran| {
+                let ran = |r: &&super::RunRecord| {
                     r.ticket == ticket
-                        && (r.number_of_try == number_of_try
-                            || keyed && r.number_of_try < number_of_try)
+                        && (r.attempt_index == attempt_index
+                            || keyed && r.attempt_index < attempt_index)
                 };
-                if self.ran.iter().any(|r| ran(&r)) {
+                if self.run_records.iter().any(|r| ran(&r)) {
                     found.push(Violation::NotRunButRan {
                         ticket,
-                        number_of_try,
+                        attempt_index,
                     });
                 }
             }
@@ -72,22 +79,22 @@
     }
 
     /// Returns the story of a ticket, to find the cause of a violation.
-    pub(crate) fn story(&self, ticket: usize) -> String {
-        let tries = self.tickets[ticket].tries.iter();
-        let tries = tries.map(|t| format!("  try {t}: {:?}", self.tries[*t]));
-        let ran = self.ran.iter().filter(|r| r.ticket == ticket);
+    pub(crate) fn trace(&self, ticket: usize) -> String {
+        let attempts = self.tickets[ticket].attempts.iter();
+        let attempts = attempts.map(|t| format!("  try {t}: {:?}", self.attempts[*t]));
+        let ran = self.run_records.iter().filter(|r| r.ticket == ticket);
         let ran = ran.map(|r| format!("  {r:?}"));
-        tries.chain(ran).collect::<Vec<_>>().join("\n")
+        attempts.chain(ran).collect::<Vec<_>>().join("\n")
     }
 
-    /// Returns the tries whose answer came after their deadline though their entry was at work.
+    /// Returns the attempts whose answer came after their deadline though their entry was at work.
     pub(crate) fn late_answers(&self) -> usize {
-        let late = |t: &&super::Try| {
+        let late = |t: &&super::Attempt| {
             t.answer
                 .as_ref()
-                .is_some_and(|(at, _)| *at > t.deadline + LATE_MS)
+                .is_some_and(|(at, _)| *at > t.deadline + MAX_ANSWER_DELAY_MS)
         };
-        self.tries.iter().filter(late).count()
+        self.attempts.iter().filter(late).count()
     }
 }
 
@@ -102,7 +109,7 @@
     }
 }
 
-impl super::Try {
+impl super::Attempt {
     fn answer_is(&self, ticket: usize) -> bool {
         match &self.answer {
             Some((_, outcome @ Outcome::Done { .. })) => *outcome == nodes::done(ticket),
--- a/dragonflyrun/tests/simulation/faults.rs
+++ b/dragonflyrun/tests/simulation/faults.rs
@@ -21,9 +21,9 @@
 }
 
 impl Sim {
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        self.fail(node);
+        self.apply_fault(node);
         let every = self.setup.faults.every_ms;
         let pause = self.rng.random_range(every / 2..every * 3 / 2);
         if self.now < self.setup.arrivals_until_ms {
@@ -31,7 +31,7 @@
         }
     }
 
-    fn fail(&mut self, node: usize) {
+    fn apply_fault(&mut self, node: usize) {
         match self.rng.random_range(0..16) {
             0 | 1 => self.restart(node),
             2..=6 => {
@@ -39,8 +39,8 @@
                 if self.now < self.nodes[node].frozen_until {
                     return;
                 }
-                let most = if self.chance(50.0) { 900 } else { 8_000 };
-                let until = self.now + self.rng.random_range(50..most);
+                let max_ms = if self.chance(50.0) { 900 } else { 8_000 };
+                let until = self.now + self.rng.random_range(50..max_ms);
                 self.nodes[node].frozen_until = until;
                 self.schedule(until, Event::Thaw);
             }
@@ -53,9 +53,9 @@
             }
             11..=14 => {
                 let until = self.now + self.rng.random_range(500..9_000);
-                self.lose_log(node, until);
+                self.disconnect_log(node, until);
                 let other = self.rng.random_range(0..self.nodes.len());
-                self.lose_log(other, until);
+                self.disconnect_log(other, until);
                 // What is cut off is likely to be taken from the owners meanwhile.
                 if self.chance(20.0) {
                     self.change_ring(node);
@@ -71,23 +71,23 @@
             self.link_down(entry, agent);
         }
         let mut lost = Vec::new();
-        if let NodeRole::Entry { tries, .. } = &self.nodes[node].role {
-            lost.extend(tries.values().copied());
+        if let NodeRole::Entry { attempts, .. } = &self.nodes[node].role {
+            lost.extend(attempts.values().copied());
         }
         // Requests that the dead process had not read yet are lost with it too.
-        let unread = self.tries.iter().enumerate();
+        let unread = self.attempts.iter().enumerate();
         lost.extend(
             unread
                 .filter(|(_, t)| t.entry == node && t.answer.is_none())
                 .map(|(i, _)| i),
         );
-        for number_of_try in lost {
-            self.tries[number_of_try].died = true;
+        for attempt_index in lost {
+            self.attempts[attempt_index].died = true;
         }
         self.start(node);
     }
 
-    fn lose_log(&mut self, node: usize, until: u64) {
+    fn disconnect_log(&mut self, node: usize, until: u64) {
         self.nodes[node].log_reachable = false;
         self.schedule(until, Event::LogUp { node });
     }
--- a/dragonflyrun/tests/simulation/mod.rs
+++ b/dragonflyrun/tests/simulation/mod.rs
@@ -61,7 +61,7 @@
     pub(crate) classes: Vec<Class>,
     pub(crate) arrivals_per_s: f64,
     pub(crate) arrivals_until_ms: u64,
-    pub(crate) tries: u32,
+    pub(crate) max_attempts: u32,
     pub(crate) choices: usize,
     /// Whether the agents' slots are divided among the entries.
     pub(crate) divided: bool,
@@ -72,9 +72,9 @@
 
 /// One request that a caller sent to one entry.
 #[derive(Clone, Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) ticket: usize,
-    pub(crate) attempt: u32,
+    pub(crate) number: u32,
     pub(crate) entry: usize,
     pub(crate) submitted: u64,
     pub(crate) deadline: u64,
@@ -89,14 +89,14 @@
 pub(crate) struct Ticket {
     pub(crate) class: usize,
     pub(crate) arrived: u64,
-    pub(crate) tries: Vec<usize>,
+    pub(crate) attempts: Vec<usize>,
 }
 
 /// What a backend server recorded.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ran {
+pub(crate) struct RunRecord {
     pub(crate) ticket: usize,
-    pub(crate) number_of_try: usize,
+    pub(crate) attempt_index: usize,
     pub(crate) at: u64,
 }
 
@@ -104,13 +104,13 @@
     /// For one process; waits while that is frozen, and is lost when it has died.
     Node {
         node: usize,
-        life: u64,
+        generation: u64,
         event: NodeEvent,
     },
     Arrival,
     /// A caller has waited for long enough, or may come back.
     CallerWakes {
-        number_of_try: usize,
+        attempt_index: usize,
     },
     Fault,
     Thaw,
@@ -134,8 +134,8 @@
     pub(crate) now: u64,
     pub(crate) setup: Setup,
     pub(crate) tickets: Vec<Ticket>,
-    pub(crate) tries: Vec<Try>,
-    pub(crate) ran: Vec<Ran>,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) run_records: Vec<RunRecord>,
     pub(crate) retries: u64,
     rng: SmallRng,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -145,7 +145,7 @@
     version: Arc<Version>,
     /// The owners of keys after each change.
     rings: Vec<Vec<Name>>,
-    lives: u64,
+    generations: u64,
 }
 
 impl Sim {
@@ -155,8 +155,8 @@
             now: 1_000,
             rng: SmallRng::seed_from_u64(setup.seed),
             tickets: Vec::new(),
-            tries: Vec::new(),
-            ran: Vec::new(),
+            attempts: Vec::new(),
+            run_records: Vec::new(),
             retries: 0,
             queue: BinaryHeap::new(),
             seq: 0,
@@ -164,7 +164,7 @@
             links: HashMap::default(),
             version,
             rings: Vec::new(),
-            lives: 0,
+            generations: 0,
             setup,
         };
         sim.start_nodes();
@@ -195,10 +195,14 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Node { node, life, event } => self.node_event(node, life, event),
+            Event::Node {
+                node,
+                generation,
+                event,
+            } => self.node_event(node, generation, event),
             Event::Arrival => self.arrive(),
-            Event::CallerWakes { number_of_try } => self.caller_wakes(number_of_try),
-            Event::Fault => self.fault(),
+            Event::CallerWakes { attempt_index } => self.caller_wakes(attempt_index),
+            Event::Fault => self.inject_fault(),
             Event::Thaw => {}
             Event::LinkUp { entry, agent } => self.link_up(entry, agent),
             Event::LogUp { node } => self.nodes[node].log_reachable = true,
--- a/dragonflyrun/tests/simulation/network.rs
+++ b/dragonflyrun/tests/simulation/network.rs
@@ -14,7 +14,7 @@
     up: bool,
     /// When the last message in each direction arrives.
     last: [u64; 2],
-    life: u64,
+    generation: u64,
 }
 
 impl Sim {
@@ -40,11 +40,11 @@
         if self.links.get(&(entry, agent)).is_some_and(|l| l.up) {
             return;
         }
-        self.lives += 1;
+        self.generations += 1;
         let link = Link {
             up: true,
             last: [self.now; 2],
-            life: self.lives,
+            generation: self.generations,
         };
         self.links.insert((entry, agent), link);
         for (node, peer) in [(entry, agent), (agent, entry)] {
@@ -92,7 +92,7 @@
         let at = *last + late.unwrap_or(0);
         let deliver = NodeEvent::Deliver {
             from,
-            link: link.life,
+            link: link.generation,
             message: if cut { truncated(message) } else { message },
         };
         if copies {
@@ -115,7 +115,7 @@
         let intact = self
             .links
             .get(&pair)
-            .is_some_and(|l| l.up && l.life == link);
+            .is_some_and(|l| l.up && l.generation == link);
         intact || self.chance(50.0)
     }
 }
--- a/dragonflyrun/tests/simulation/nodes.rs
+++ b/dragonflyrun/tests/simulation/nodes.rs
@@ -16,17 +16,17 @@
 use rand::Rng;
 use std::time::Duration;
 
-use super::{Backend, Event, Ran, Sim};
+use super::{Backend, Event, RunRecord, Sim};
 
-const WINDOW: Duration = Duration::from_secs(17);
+const KEY_WINDOW: Duration = Duration::from_secs(17);
 
 /// One process.
 pub(super) struct Node {
     pub(super) peer: Peer,
     /// Tells a process from an earlier one in the same place.
-    pub(super) life: u64,
+    pub(super) generation: u64,
     /// Simulated time minus the process's own clock.
-    born: u64,
+    clock_offset: u64,
     pub(super) frozen_until: u64,
     pub(super) log_reachable: bool,
     head_seen: u64,
@@ -38,8 +38,8 @@
     Entry {
         table: Box<EntryTable>,
         roster: Roster,
-        /// The tries that wait for an answer, by the table's number.
-        tries: HashMap<u64, usize>,
+        /// The attempts that wait for an answer, by the table's number.
+        attempts: HashMap<u64, usize>,
     },
     Agent {
         table: Box<AgentTable>,
@@ -51,10 +51,10 @@
 #[derive(Clone)]
 pub(super) enum NodeEvent {
     Tick,
-    Beat,
+    Heartbeat,
     ReadLog,
     Submit {
-        number_of_try: usize,
+        attempt_index: usize,
     },
     Deadline {
         number: u64,
@@ -95,18 +95,18 @@
 
     /// Starts a process in place of the one before, with nothing but its settings.
     pub(super) fn start(&mut self, node: usize) {
-        self.lives += 1;
-        let life = self.lives;
+        self.generations += 1;
+        let generation = self.generations;
         let incarnation = self.rng.random();
-        let born = self.now - self.rng.random_range(1..900);
+        let clock_offset = self.now - self.rng.random_range(1..900);
         let seed = self.rng.random();
         let backend = node.checked_sub(self.setup.entries);
         let backend = backend.map(|b| self.setup.backends[b]);
-        let now = Timestamp::from_millis(self.now - born);
+        let now = Timestamp::from_millis(self.now - clock_offset);
         let state = &mut self.nodes[node];
         state.peer.incarnation = incarnation;
-        state.life = life;
-        state.born = born;
+        state.generation = generation;
+        state.clock_offset = clock_offset;
         state.frozen_until = 0;
         state.rings_seen = 0;
         state.head_seen = 0;
@@ -121,7 +121,7 @@
                 NodeRole::Entry {
                     table: Box::new(table),
                     roster: Roster::default(),
-                    tries: HashMap::default(),
+                    attempts: HashMap::default(),
                 }
             }
             Some(backend) => NodeRole::Agent {
@@ -130,7 +130,7 @@
                 backend,
             },
         };
-        for event in [NodeEvent::Tick, NodeEvent::Beat, NodeEvent::ReadLog] {
+        for event in [NodeEvent::Tick, NodeEvent::Heartbeat, NodeEvent::ReadLog] {
             let at = self.now + self.rng.random_range(0..100);
             self.schedule_node(at, node, event);
         }
@@ -138,24 +138,38 @@
     }
 
     pub(super) fn schedule_node(&mut self, at: u64, node: usize, event: NodeEvent) {
-        let life = self.nodes[node].life;
-        self.schedule(at, Event::Node { node, life, event });
+        let generation = self.nodes[node].generation;
+        self.schedule(
+            at,
+            Event::Node {
+                node,
+                generation,
+                event,
+            },
+        );
     }
 
-    pub(super) fn node_event(&mut self, node: usize, life: u64, event: NodeEvent) {
-        if self.nodes[node].life != life {
+    pub(super) fn node_event(&mut self, node: usize, generation: u64, event: NodeEvent) {
+        if self.nodes[node].generation != generation {
             return;
         }
         let thaw = self.nodes[node].frozen_until;
         if self.now < thaw {
-            self.schedule(thaw, Event::Node { node, life, event });
+            self.schedule(
+                thaw,
+                Event::Node {
+                    node,
+                    generation,
+                    event,
+                },
+            );
             return;
         }
         match event {
             NodeEvent::Tick => self.tick(node),
-            NodeEvent::Beat => self.beat(node),
+            NodeEvent::Heartbeat => self.send_heartbeats(node),
             NodeEvent::ReadLog => self.read_log(node),
-            NodeEvent::Submit { number_of_try } => self.submit(node, number_of_try),
+            NodeEvent::Submit { attempt_index } => self.submit(node, attempt_index),
             NodeEvent::Deadline { number } => {
                 let now = self.clock(node);
                 if let NodeRole::Entry { table, .. } = &mut self.nodes[node].role {
@@ -185,7 +199,7 @@
     }
 
     pub(super) fn clock(&self, node: usize) -> Timestamp {
-        Timestamp::from_millis(self.now - self.nodes[node].born)
+        Timestamp::from_millis(self.now - self.nodes[node].clock_offset)
     }
 
     fn is_fresh(&self, node: usize) -> bool {
@@ -213,7 +227,7 @@
         self.schedule_node(self.now + 100, node, NodeEvent::Tick);
     }
 
-    fn beat(&mut self, node: usize) {
+    fn send_heartbeats(&mut self, node: usize) {
         let now = self.clock(node);
         let (entries, slots) = (self.setup.entries, self.setup.slots);
         let NodeRole::Agent { table, .. } = &mut self.nodes[node].role else {
@@ -238,7 +252,7 @@
             };
             self.transmit(node, entry, Message::Heartbeat(Box::new(heartbeat)));
         }
-        self.schedule_node(self.now + 250, node, NodeEvent::Beat);
+        self.schedule_node(self.now + 250, node, NodeEvent::Heartbeat);
     }
 
     fn read_log(&mut self, node: usize) {
@@ -331,7 +345,7 @@
                 RequestMessage::Answer { .. } => {}
             },
             (NodeRole::Agent { owner, .. }, Message::Key(message)) => {
-                own(now, owner, &sender, message, fresh);
+                handle_key_message(now, owner, &sender, message, fresh);
             }
             _ => {}
         }
@@ -351,11 +365,11 @@
             _ if !may_start => refused(NotRun::Deadline),
             Backend::Refuses => refused(NotRun::Refused),
             Backend::Breaks | Backend::Runs(_) => {
-                let number_of_try = read_try(&order.body);
-                let ticket = self.tries[number_of_try].ticket;
-                self.ran.push(Ran {
+                let attempt_index = read_attempt(&order.body);
+                let ticket = self.attempts[attempt_index].ticket;
+                self.run_records.push(RunRecord {
                     ticket,
-                    number_of_try,
+                    attempt_index,
                     at: self.now,
                 });
                 match backend {
@@ -378,7 +392,7 @@
     }
 
     fn run_time(&mut self, body: &[u8], backend: Backend) -> u64 {
-        let class = self.tickets[self.tries[read_try(body)].ticket].class;
+        let class = self.tickets[self.attempts[read_attempt(body)].ticket].class;
         let mean = self.setup.classes[class].run_ms as f64;
         let slowness = match backend {
             Backend::Runs(slowness) => slowness,
@@ -431,9 +445,9 @@
                 self.send(node, &to, message);
             }
             EntryAction::Answer { number, outcome } => {
-                if let NodeRole::Entry { tries, .. } = &mut self.nodes[node].role {
-                    let number_of_try = tries.remove(&number).expect("answered twice");
-                    self.answer_caller(number_of_try, outcome);
+                if let NodeRole::Entry { attempts, .. } = &mut self.nodes[node].role {
+                    let attempt_index = attempts.remove(&number).expect("answered twice");
+                    self.answer_caller(attempt_index, outcome);
                 }
             }
             EntryAction::Retried(_) => self.retries += 1,
@@ -464,7 +478,7 @@
         if let NodeRole::Agent { owner, .. } = &mut self.nodes[node].role
             && owner.ring().and_then(|r| r.owner(service, key)) == Some(&name)
         {
-            own(now, owner, &name, settle, fresh);
+            handle_key_message(now, owner, &name, settle, fresh);
             return;
         }
         for entry in 0..self.setup.entries {
@@ -489,8 +503,8 @@
         };
         Self {
             peer,
-            life: 0,
-            born: 0,
+            generation: 0,
+            clock_offset: 0,
             frozen_until: 0,
             log_reachable: true,
             head_seen: 0,
@@ -498,13 +512,19 @@
             role: NodeRole::Entry {
                 table: Box::new(EntryTable::new("".into(), 0)),
                 roster: Roster::default(),
-                tries: HashMap::default(),
+                attempts: HashMap::default(),
             },
         }
     }
 }
 
-fn own(now: Timestamp, owner: &mut KeyOwner, from: &Name, message: KeyMessage, fresh: bool) {
+fn handle_key_message(
+    now: Timestamp,
+    owner: &mut KeyOwner,
+    from: &Name,
+    message: KeyMessage,
+    fresh: bool,
+) {
     match message {
         KeyMessage::Claim {
             id,
@@ -524,7 +544,7 @@
                 incarnation,
                 sent: Timestamp::from_millis(sent_ms),
                 deadline: Timestamp::from_millis(deadline_ms),
-                window: WINDOW,
+                window: KEY_WINDOW,
             };
             owner.claim(now, claim, fresh);
         }
@@ -539,7 +559,7 @@
                 key,
                 id,
                 outcome,
-                window: WINDOW,
+                window: KEY_WINDOW,
             };
             owner.settle(now, settled, fresh);
         }
@@ -559,11 +579,11 @@
 }
 
 /// The body of a request: the number of the try.
-pub(super) fn body(number_of_try: usize) -> Vec<u8> {
-    (number_of_try as u64).to_le_bytes().to_vec()
+pub(super) fn body(attempt_index: usize) -> Vec<u8> {
+    (attempt_index as u64).to_le_bytes().to_vec()
 }
 
-fn read_try(body: &[u8]) -> usize {
+fn read_attempt(body: &[u8]) -> usize {
     u64::from_le_bytes(body.try_into().expect("a body has 8 bytes")) as usize
 }
 
