--- a/dragonflyrun/benches/requests.rs
+++ b/dragonflyrun/benches/requests.rs
@@ -1,5 +1,5 @@
-//! Requests under load on a fake clock, by deployment, policy and load; seeded, so that each run
-//! gives the same figures. Prints a table, and JSON where `--json` is given.
+//! Simulates requests under load on a fake clock, by deployment, policy and load. The seeds are
+//! fixed, so that each run gives the same results. Prints a table, or JSON lines with `--json`.
 
 #[path = "../tests/load/mod.rs"]
 mod load;
--- a/dragonflyrun/tests/answer_matching.rs
+++ b/dragonflyrun/tests/answer_matching.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, however peer messages arrive.
+//! A caller gets the complete answer to its own request, whatever happens to peer messages.
 
 mod tables;
 
@@ -36,8 +36,8 @@
         .collect()
 }
 
-/// Answers come back in another order, twice, from the wrong agent, and after the caller's
-/// deadline. Each caller reads its own answer once.
+/// Guards against an answer that reaches the wrong caller, or the same caller twice. Answers arrive
+/// out of order, twice, from the wrong agent, and after the caller's deadline.
 #[test]
 fn mixed_up_answers() {
     let mut table = entry(&["a"], 4);
@@ -68,8 +68,8 @@
     assert!(answers(&table.take_actions()).is_empty());
 }
 
-/// An answer arrives cut off. The caller must not take half a ticket for the whole one; the agent
-/// still has the answer and is asked for it again.
+/// Guards against a truncated answer that reaches the caller as if it were complete. The agent
+/// still has the answer, so the entry requests it again.
 #[test]
 fn cut_off_answer() {
     let mut table = entry(&["a"], 4);
@@ -96,8 +96,9 @@
     assert_eq!(answers(&table.take_actions()), [(number, done("whole"))]);
 }
 
-/// The link breaks in the middle of an answer and comes back. The entry asks the same process of
-/// the agent again, which does not run the request again but gives the answer that it kept.
+/// Guards against a lost answer or a second run after a link breaks during an answer and is
+/// restored. The entry sends the request again to the same agent process, which returns the stored
+/// answer.
 #[test]
 fn link_comes_back() {
     let mut table = entry(&["a"], 4);
@@ -121,8 +122,8 @@
     assert_eq!(answers(&table.take_actions()), [(number, done("kept"))]);
 }
 
-/// The agent's process dies with the request. Its successor knows nothing of it and must not say
-/// that it did not run; the entry does not wait for the deadline either.
+/// Guards against a false "not run" after the agent process dies with a request. Its successor does
+/// not know the request and must not answer it; the entry answers "unknown" before the deadline.
 #[test]
 fn agent_replaced() {
     let mut table = entry(&["a"], 4);
@@ -149,8 +150,8 @@
     assert!(successor.take_actions().is_empty());
 }
 
-/// A request waits in a frozen process or a broken network until long after its deadline. The
-/// agent sees by its own clock that its caller has been answered.
+/// Guards against running a request whose caller has already been answered. A frozen process or a
+/// broken network delays the request past its deadline, which the agent checks on its own clock.
 #[test]
 fn held_up_request() {
     let mut table = entry(&["a"], 4);
--- a/dragonflyrun/tests/key_ownership.rs
+++ b/dragonflyrun/tests/key_ownership.rs
@@ -1,4 +1,5 @@
-//! A request that may not be repeated runs at most once, and "not run" is true, whatever fails.
+//! A request of a service that is not repeatable runs at most once, and "not run" is true, whatever
+//! fails.
 
 mod simulation;
 mod tables;
@@ -15,7 +16,7 @@
 use simulation::{Backend, Class, Faults, Setup, Sim};
 use tables::at;
 
-/// Seeds in CI; `DRAGONFLYRUN_SEEDS` asks for more.
+/// Number of seeds in CI; `DRAGONFLYRUN_SEEDS` overrides it.
 const DEFAULT_SEEDS: u64 = 150;
 
 fn seeds() -> u64 {
@@ -57,7 +58,7 @@
     }
 }
 
-/// How often each answer was given, so that a run in which nothing happens is noticed.
+/// The number of answers of each kind, to detect runs in which too little happens.
 #[derive(Debug, Default)]
 struct AnswerCounts {
     done: usize,
@@ -82,7 +83,8 @@
 fn check_seeds(faults: Faults) {
     let mut answers = AnswerCounts::default();
     for n in 0..seeds() {
-        // The seed's upper half feeds the values, its lower half is their size in bytes.
+        // The upper half of the arbtest seed initializes the values, the lower half is their size
+        // in bytes.
         arbtest(|u| {
             let seed = u.arbitrary()?;
             let mut sim = Sim::new(setup(seed, faults));
@@ -105,9 +107,9 @@
     );
 }
 
-/// Processes are killed and frozen, links break and come back, agents lose sight of the log, and
-/// the owners of keys change, several of these at once. A buyer who taps "book" again, at another
-/// entry, must not be booked twice, and one who reads "not run" must not find a booking later.
+/// Guards against a second run of a retried request, and against a run after "not run". Processes
+/// are killed and frozen, links break and are restored, agents lose access to the log, and the
+/// owners of keys change, several of these at once.
 #[test]
 fn processes_fail() {
     check_seeds(Faults {
@@ -116,8 +118,8 @@
     });
 }
 
-/// Messages between the processes are lost, doubled, held up behind later ones or cut off, besides
-/// all that fails above. A buyer must not get another's answer, half an answer, or two bookings.
+/// Guards against wrong or truncated answers and second runs when, in addition to the faults of
+/// `processes_fail`, messages are lost, duplicated, delayed behind later ones or truncated.
 #[test]
 fn messages_fail() {
     check_seeds(Faults {
@@ -129,7 +131,7 @@
     });
 }
 
-/// An owner that has owned all keys since 0 ms, in its process of incarnation 1.
+/// An owner of incarnation 1 that has owned all keys since 0 ms.
 fn owner() -> KeyOwner {
     let mut owner = KeyOwner::new(&tables::peer("a", Role::Agent, 1), at(0));
     owner.set_ring(at(0), 1, &["a".into()]);
@@ -180,8 +182,8 @@
     matches!(verdicts, [KeyVerdict::Refused { .. }])
 }
 
-/// A first attempt was answered "not run". The caller sends it again under the same number, since
-/// there is no attempt whose outcome it does not know, and must not be told "unknown".
+/// Guards against a needless "unknown". After "not run" the caller knows the outcome of every
+/// attempt and retries with the same attempt number, which must be granted.
 #[test]
 fn same_attempt_again() {
     let mut owner = owner();
@@ -194,8 +196,8 @@
     );
 }
 
-/// A second attempt was answered "not run", and only now the first one comes through. It must not
-/// run: the caller has been told that its booking did not.
+/// Guards against a run after "not run": the second attempt was answered "not run" and the delayed
+/// first attempt arrives afterwards. It must not be granted.
 #[test]
 fn overtaken_attempt() {
     let mut owner = owner();
@@ -206,8 +208,8 @@
     assert!(refused(&verdicts(&mut owner)));
 }
 
-/// A claim was held up for longer than a change of owners takes. The second attempt may have run
-/// at the owner before, so this one must not.
+/// Guards against two runs after a change of owners: a claim is delayed for longer than the change
+/// takes, and the second attempt may have run under the previous owner.
 #[test]
 fn held_up_claim() {
     let mut owner = owner();
@@ -219,7 +221,8 @@
     assert!(refused(&verdicts(&mut owner)));
 }
 
-/// A buyer taps "book" again while the first tap is still being worked on. Both get its outcome.
+/// Guards against a second run or an "unknown" for a repeat that arrives while the first attempt is
+/// running. It waits and gets the outcome of the first.
 #[test]
 fn repeat_waits() {
     let mut owner = owner();
@@ -231,8 +234,9 @@
     assert_eq!(verdicts(&mut owner), [known]);
 }
 
-/// An entry was frozen, and what came meanwhile looks like new requests to it. Their callers have
-/// tried again elsewhere by now, so none of them asks for a key; nothing else is held up.
+/// Guards against two runs after a freeze of the entry: requests that arrived during the freeze
+/// look new, but their callers may have retried at another entry. No key is claimed for a while;
+/// requests without a key are not delayed.
 #[test]
 fn after_a_freeze() {
     let mut table = tables::entry(&["a"], 4);
@@ -251,14 +255,14 @@
     assert!(tables::refusals(&table.take_actions()).is_empty());
 }
 
-/// An agent becomes owner of a key whose first attempt may have run under the owner before it. A
-/// repeat is answered "unknown" until whatever ran before would be forgotten anyway.
+/// Guards against two runs after an agent becomes the owner of a key whose first attempt may have
+/// run under the previous owner. A repeat is answered "unknown" until the key window has passed.
 #[test]
 fn new_owner() {
     let mut owner = owner();
     owner.claim(at(59_000), claim(1, 2, 59_000), true);
     assert_eq!(verdicts(&mut owner), [KeyVerdict::Unknown]);
-    // Its own process missed a change of owners: the key may have been another's meanwhile.
+    // The process missed a change of owners, so the key may have had another owner in between.
     owner.set_ring(at(61_000), 3, &["a".into()]);
     owner.claim(at(70_000), claim(2, 2, 70_000), true);
     assert_eq!(verdicts(&mut owner), [KeyVerdict::Unknown]);
@@ -266,8 +270,9 @@
     assert_eq!(verdicts(&mut owner), [KeyVerdict::Granted]);
 }
 
-/// Right after a change the owner before may not have heard of it, and one that has not read the
-/// log lately may be the owner before. Neither grants anything.
+/// Guards against two owners that grant the same key. Right after a change the previous owner may
+/// not know of it, and an owner that has not read the log recently may be the previous one; neither
+/// grants a key.
 #[test]
 fn unsettled_owner() {
     let mut owner = owner();
@@ -295,8 +300,8 @@
     assert_eq!(verdicts(&mut owner), [KeyVerdict::Granted]);
 }
 
-/// An agent leaves the ring. Only its own keys get another owner; if others moved too, their
-/// repeats would be "unknown" for no reason.
+/// Guards against needless "unknown" answers when an agent leaves the ring: only its own keys may
+/// get another owner, since repeats of moved keys are answered "unknown".
 #[test]
 fn keys_that_move() {
     let agents: Vec<Name> = (0..11).map(|n| format!("agent-{n}").into()).collect();
--- a/dragonflyrun/tests/load/mod.rs
+++ b/dragonflyrun/tests/load/mod.rs
@@ -1,6 +1,6 @@
-//! Measures requests under load: how many are answered in time, and what becomes of the others.
+//! Measures requests under load: how many are answered in time, and the outcomes of the others.
 
-#![allow(dead_code)] // The test and the benchmark each use their own part.
+#![allow(dead_code)] // The test and the benchmark each use only a part.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 use crate::simulation::{Backend, Class, Faults, Setup, Sim};
 
-/// Time before the first request, in which the processes find each other.
+/// Time before the first request, in which the processes connect to each other.
 const WARM_UP_MS: u64 = 6_000;
 
-/// How much slower a slow backend server is.
+/// Factor on the run times of a slow backend server.
 const SLOW_FACTOR: f64 = 5.0;
 
-/// The workloads, as they stand in `benches/data/requests.json`.
+/// The workloads in `benches/data/requests.json`.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Workloads {
     pub(crate) deployments: Vec<Workload>,
-    /// Arrivals as a share of what the backend servers that work can run.
+    /// Arrival rates as a share of the capacity of the working backend servers.
     pub(crate) loads: Vec<f64>,
     pub(crate) seconds: u64,
     pub(crate) seeds: Vec<u64>,
@@ -32,7 +32,7 @@
     slots: u32,
     backends: Vec<BackendKind>,
     classes: Vec<ClassData>,
-    /// The share of requests in percent that all go to one entry.
+    /// The percentage of requests that are directed to the first entry.
     #[serde(default)]
     skew: f64,
 }
@@ -56,22 +56,22 @@
     keyed: bool,
 }
 
-/// How agents are chosen.
+/// The policy by which an entry chooses agents.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Policy {
-    /// Any agent that seems to have a free slot.
+    /// A random agent that seems to have a free slot.
     Random,
     /// The better of two such agents.
     BestOfTwo,
-    /// As before, with a part of each agent's slots for each entry.
+    /// Like `BestOfTwo`, with the slots of each agent divided among the entries.
     Divided,
 }
 
-/// What one run gave.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Figures {
-    /// Requests answered in time, as a share of what could have been run.
+    /// Requests answered in time, as a share of the capacity over the run.
     pub(crate) goodput: f64,
     /// Requests answered in time as a share of all, by urgency.
     pub(crate) in_time: BTreeMap<String, f64>,
@@ -84,7 +84,7 @@
 }
 
 impl Workload {
-    /// Returns how many requests a second the backend servers run that work.
+    /// Returns the capacity of the working backend servers, in requests per second.
     fn capacity(&self) -> f64 {
         let weights: u32 = self.classes.iter().map(|c| c.weight).sum();
         let work: f64 = self
--- a/dragonflyrun/tests/request_load.rs
+++ b/dragonflyrun/tests/request_load.rs
@@ -1,4 +1,4 @@
-//! Figures of requests under load stay within the bounds of `benches/data/request_bounds.json`.
+//! Results of requests under load stay within the bounds in `benches/data/request_bounds.json`.
 
 mod load;
 mod simulation;
@@ -9,7 +9,7 @@
 const DATA: &str = include_str!("../benches/data/requests.json");
 const BOUNDS: &str = include_str!("../benches/data/request_bounds.json");
 
-/// Each bound lies a little on the worse side of the run that its data file names.
+/// The bounds are slightly worse than the results of the run named in the data file.
 #[derive(Deserialize)]
 struct Bounds {
     seconds: u64,
@@ -26,9 +26,8 @@
     most_unknown_at_twice: usize,
 }
 
-/// More requests come than can be run. Those that are run must be as many as when just enough
-/// come, and the urgent ones go first; callers must not be refused for retries that only a bad
-/// choice of agents made necessary.
+/// Guards against lower throughput under overload, against urgent requests that wait behind others,
+/// and against refusals for an exhausted retry budget when a poor choice of agents causes retries.
 #[test]
 fn overload() {
     let workloads: Workloads = serde_json::from_str(DATA).unwrap();
@@ -50,8 +49,8 @@
     }
 }
 
-/// The ways to choose an agent that were weighed, side by side: a part of the slots for each entry
-/// wins at capacity.
+/// Compares the policies for choosing an agent: at full capacity, dividing the slots among the
+/// entries must be at least as good as the others.
 #[test]
 fn policies() {
     let workloads: Workloads = serde_json::from_str(DATA).unwrap();
--- a/dragonflyrun/tests/request_routing.rs
+++ b/dragonflyrun/tests/request_routing.rs
@@ -1,4 +1,4 @@
-//! Which requests an entry takes in, which go first, and which agent gets them.
+//! Admission of requests by an entry, their order, and the choice of the agent.
 
 mod tables;
 
@@ -38,8 +38,8 @@
     assert!(runs(&actions).is_empty());
 }
 
-/// More requests come than may wait. An urgent one takes the place of a patient one, and the
-/// caller of that hears at once when to come back, not at its deadline.
+/// Guards against a late refusal of a displaced request. The queue is full and an urgent request
+/// takes the place of a patient one, whose caller is told at once when to retry.
 #[test]
 fn displaced_at_once() {
     let mut table = entry(&["a"], 1);
@@ -71,7 +71,7 @@
     assert!(*retry_after_ms > 0);
 }
 
-/// A steady stream of urgent requests must not leave the patient ones to their deadlines.
+/// Guards against starvation of patient requests under a steady stream of urgent ones.
 #[test]
 fn patient_ones_go() {
     for n in 0..300 {
@@ -108,8 +108,8 @@
     }
 }
 
-/// Operators take out the failure domain of an agent, another one stops, a third falls silent.
-/// None of them may get a request.
+/// Guards against requests to unusable agents: one in a failure domain that operators took out of
+/// service, one that is stopping, and one that is silent.
 #[test]
 fn unusable_agents() {
     let mut table = entry(&["out", "leaves", "silent", "works"], 8);
@@ -145,8 +145,8 @@
     assert_eq!(refusals(&table.take_actions()), [NotRun::OutOfService]);
 }
 
-/// A backend server fails whatever it gets. After three failures it gets one request now and then
-/// that shows whether it works again, instead of a share of all.
+/// Guards against a backend server that fails every request and keeps getting its share of them.
+/// After three failures it gets only an occasional probe.
 #[test]
 fn failing_server() {
     let mut table = entry(&["fails", "works"], 4);
@@ -174,8 +174,8 @@
     assert_eq!(counts[0] + counts[1], 200);
 }
 
-/// A backend server takes far longer than the others. What it could not answer by the deadline
-/// goes elsewhere.
+/// Guards against missed deadlines because of a backend server that is far slower than the others.
+/// Requests that it could not answer in time go to other agents.
 #[test]
 fn slow_server() {
     let mut table = entry(&["quick", "slow"], 8);
@@ -199,7 +199,8 @@
         }
         table.take_actions();
     }
-    // Now and then one shows whether it has become quicker; two draws alone would send it 75.
+    // Occasional requests probe whether the server has become faster. The choice between two random
+    // agents alone would send it 75.
     assert!(
         (1..=45).contains(&late),
         "{late} of 300 went to the slow one"
@@ -217,11 +218,11 @@
     let second = runs(&table.take_actions());
     assert_eq!(second.len(), 1);
     assert_ne!(second[0].0, to);
-    assert_ne!(second[0].1, first[0].1, "each handing over has its own id");
+    assert_ne!(second[0].1, first[0].1, "each dispatch has its own id");
 }
 
-/// A caller's deadline comes while its request waits: it is answered then, and told when to come
-/// back. One whose request could not be done in time any more is answered even earlier.
+/// Guards against late answers to queued requests. A request that is still queued at its deadline
+/// is refused then; one that can't be finished in time any more is refused earlier.
 #[test]
 fn deadlines() {
     let mut table = entry(&["a"], 1);
@@ -236,7 +237,7 @@
     assert_eq!(refusals(&table.take_actions()), [NotRun::Deadline]);
     table.answered(at(2_000), &to, id, done("x"), 1);
     table.take_actions();
-    // It is known by now that a request takes a second.
+    // The entry now expects a run time of one second.
     table.submit(at(2_001), short);
     assert_eq!(refusals(&table.take_actions()), [NotRun::Deadline]);
 }
--- a/dragonflyrun/tests/retry_budget.rs
+++ b/dragonflyrun/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries stay within their share of first attempts, whatever fails.
+//! Retries stay within the configured share of first attempts, whatever fails.
 
 mod tables;
 
@@ -9,8 +9,9 @@
 };
 use tables::{at, check, entry, not_run, refusals, runs, version, view};
 
-/// All backend servers refuse. Without a budget each request would go round all of them until its
-/// deadline, and the load would grow by as many times just when nothing works.
+/// Guards against a retry storm when all backend servers refuse. Without a budget, each request
+/// would be sent to one after the other until its deadline, which multiplies the load during the
+/// outage.
 #[test]
 fn all_refuse() {
     let names: Vec<String> = (0..10).map(|n| format!("agent-{n}")).collect();
@@ -45,7 +46,7 @@
     refused.extend(refusals(&table.take_actions()));
     assert_eq!(refused.len(), 500);
     assert!(refused.contains(&NotRun::RetryBudget));
-    // Ten to begin with, and ten percent of 500.
+    // The initial ten retries, and ten percent of 500 requests.
     assert!(retried > 0 && retried <= 60, "{retried} retries");
     assert!(sent <= 560, "{sent} requests sent for 500");
 }
--- a/dragonflyrun/tests/simulation/callers.rs
+++ b/dragonflyrun/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! The simulated callers: each wants its ticket done once, and attempts again where it may.
+//! The simulated callers. Each wants its ticket done once and retries if the answer allows it.
 
 use dragonflyrun::{
     connection::Outcome,
@@ -8,10 +8,10 @@
 
 use super::{Attempt, Event, Sim, Ticket, nodes, nodes::NodeEvent, nodes::NodeRole};
 
-/// Time beyond the deadline for which a caller waits for its answer.
+/// Time after the deadline during which a caller still waits for its answer.
 const ANSWER_GRACE_MS: u64 = 400;
 
-/// Callers don't try again once their key may be forgotten.
+/// Age of a ticket above which its caller does not retry, since the owner may have removed the key.
 const MAX_RETRY_AGE_MS: u64 = 6_000;
 
 impl Sim {
@@ -55,7 +55,7 @@
             died: false,
         });
         self.schedule_node(self.now + 3, entry, NodeEvent::Submit { attempt_index });
-        // Some hang up long before the deadline and try again at once.
+        // Some callers hang up long before the deadline and retry at once.
         let wait_ms = if self.setup.faults.every_ms > 0 && self.chance(20.0) {
             self.rng.random_range(50..deadline_ms)
         } else {
@@ -100,7 +100,7 @@
         self.schedule(self.now + pause, Event::CallerWakes { attempt_index });
     }
 
-    /// A caller has its answer, or no longer waits for it.
+    /// Handles a caller that has its answer or no longer waits for it.
     pub(super) fn caller_wakes(&mut self, attempt_index: usize) {
         let attempt = &self.attempts[attempt_index];
         let (ticket, number) = (attempt.ticket, attempt.number);
@@ -112,7 +112,8 @@
         }
         let next_number = match &attempt.answer {
             Some((_, Outcome::Done { .. })) => return,
-            // It did not run, so the next attempt may still be the first; some count it anyway.
+            // The request did not run, so the next attempt may have the same number; some callers
+            // increase it anyway.
             Some((_, Outcome::NotRun { .. })) => number + u32::from(self.chance(30.0)),
             Some((_, Outcome::Unknown)) | None => number + 1,
         };
--- a/dragonflyrun/tests/simulation/checks.rs
+++ b/dragonflyrun/tests/simulation/checks.rs
@@ -1,13 +1,13 @@
-//! Compares every answer with the backend servers' record.
+//! Checks every answer against the records of the backend servers.
 
 use dragonflyrun::connection::Outcome;
 
 use super::{Sim, nodes};
 
-/// Ticks and latency by which an answer may be behind its deadline.
+/// Maximum delay of an answer after its deadline, from ticks and latency.
 const MAX_ANSWER_DELAY_MS: u64 = 50;
 
-/// A broken promise.
+/// A violation of the guarantees that entries give to callers.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Violation {
     RanTwice { ticket: usize },
@@ -17,7 +17,7 @@
 }
 
 impl Sim {
-    /// Returns all broken promises of a run that has come to its end.
+    /// Returns all violations of a finished run.
     pub(crate) fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         for ticket in 0..self.tickets.len() {
@@ -60,7 +60,7 @@
                     attempt_index,
                 });
             }
-            // Nothing that the caller had attempt for until this answer ran, at whatever time.
+            // No request that the caller had submitted before this answer may run at any time.
             Some((_, Outcome::NotRun { .. })) => {
                 let ran = |r: &&super::RunRecord| {
                     r.ticket == ticket
@@ -78,16 +78,17 @@
         }
     }
 
-    /// Returns the story of a ticket, to find the cause of a violation.
+    /// Returns all attempts and runs of a ticket, to find the cause of a violation.
     pub(crate) fn trace(&self, ticket: usize) -> String {
         let attempts = self.tickets[ticket].attempts.iter();
-        let attempts = attempts.map(|t| format!("  try {t}: {:?}", self.attempts[*t]));
+        let attempts = attempts.map(|t| format!("  attempt {t}: {:?}", self.attempts[*t]));
         let ran = self.run_records.iter().filter(|r| r.ticket == ticket);
         let ran = ran.map(|r| format!("  {r:?}"));
         attempts.chain(ran).collect::<Vec<_>>().join("\n")
     }
 
-    /// Returns the attempts whose answer came after their deadline though their entry was at work.
+    /// Returns the number of answers that came more than [`MAX_ANSWER_DELAY_MS`] after the
+    /// deadline.
     pub(crate) fn late_answers(&self) -> usize {
         let late = |t: &&super::Attempt| {
             t.answer
--- a/dragonflyrun/tests/simulation/faults.rs
+++ b/dragonflyrun/tests/simulation/faults.rs
@@ -1,22 +1,22 @@
-//! Faults of processes, links and the log, drawn from the seed.
+//! Injects faults of processes, links and the log, drawn from the seed.
 
 use dragonflyrun::{Name, connection::Role};
 use rand::Rng;
 
 use super::{Event, Sim, nodes::NodeRole};
 
-/// How often which faults happen; shares in percent.
+/// The frequency of each kind of fault; message faults in percent of the messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// The mean time between two faults of processes, links or the log; 0 for none.
+    /// Mean time between two faults of processes, links or the log; 0 for no such faults.
     pub(crate) every_ms: u64,
-    /// Messages that are lost though their link lives on.
+    /// Messages that are lost although their link stays up.
     pub(crate) drop: f64,
     /// Messages that arrive twice.
     pub(crate) duplicate: f64,
-    /// Messages that arrive late, behind later ones.
+    /// Messages that are delayed and arrive after later ones.
     pub(crate) delay: f64,
-    /// Answers that arrive cut off.
+    /// Answers that arrive truncated.
     pub(crate) truncate: f64,
 }
 
@@ -35,7 +35,7 @@
         match self.rng.random_range(0..16) {
             0 | 1 => self.restart(node),
             2..=6 => {
-                // A freeze that is made longer and longer would outlast what keys are remembered for.
+                // Repeatedly extended freezes could last longer than the owners keep the keys.
                 if self.now < self.nodes[node].frozen_until {
                     return;
                 }
@@ -56,7 +56,7 @@
                 self.disconnect_log(node, until);
                 let other = self.rng.random_range(0..self.nodes.len());
                 self.disconnect_log(other, until);
-                // What is cut off is likely to be taken from the owners meanwhile.
+                // An agent without access to the log is often removed from the owners.
                 if self.chance(20.0) {
                     self.change_ring(node);
                 }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Kills a process and starts another in its place; its backend server lives on.
+    /// Kills a process and starts another in its place; its backend server keeps running.
     fn restart(&mut self, node: usize) {
         for (entry, agent) in self.pairs_of(node) {
             self.link_down(entry, agent);
@@ -74,7 +74,7 @@
         if let NodeRole::Entry { attempts, .. } = &self.nodes[node].role {
             lost.extend(attempts.values().copied());
         }
-        // Requests that the dead process had not read yet are lost with it too.
+        // Requests that the killed process had not read yet are lost as well.
         let unread = self.attempts.iter().enumerate();
         lost.extend(
             unread
@@ -92,7 +92,7 @@
         self.schedule(until, Event::LogUp { node });
     }
 
-    /// The agent `node` loses its keys, or gets some back.
+    /// Removes the agent `node` from the owners of keys, or adds it again.
     fn change_ring(&mut self, node: usize) {
         if self.is_entry(node) {
             return;
--- a/dragonflyrun/tests/simulation/mod.rs
+++ b/dragonflyrun/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Runs the entries', agents' and key owners' own decision tables on a fake clock, with fake
-//! backend servers that record what they ran, and with faults drawn from a seed.
+//! Simulates entries, agents and key owners by running their decision tables on a fake clock. The
+//! backend servers are fake and record what they ran; faults are drawn from a seed.
 
-#![allow(dead_code)] // Each test file uses its own part.
+#![allow(dead_code)] // Each test file uses only a part.
 
 mod callers;
 mod checks;
@@ -30,11 +30,11 @@
     pub(crate) service: String,
     /// Their urgency.
     pub(crate) urgency: Urgency,
-    /// Their deadline.
+    /// Their deadline after submission.
     pub(crate) deadline_ms: u64,
-    /// The mean of their run times.
+    /// Their mean run time.
     pub(crate) run_ms: u64,
-    /// Their share among all requests.
+    /// Their weight in the random choice of a class.
     pub(crate) weight: u32,
     /// Whether they carry a key.
     pub(crate) keyed: bool,
@@ -43,15 +43,15 @@
 /// How one backend server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Backend {
-    /// It runs what it gets, this many times slower than usual.
+    /// It runs each request, with the run time multiplied by this factor.
     Runs(f64),
     /// It refuses each connection.
     Refuses,
-    /// It runs what it gets and breaks off its answer.
+    /// It runs each request and breaks the connection before the answer is complete.
     Breaks,
 }
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) seed: u64,
@@ -65,7 +65,7 @@
     pub(crate) choices: usize,
     /// Whether the agents' slots are divided among the entries.
     pub(crate) divided: bool,
-    /// The share of requests in percent that all go to the first entry.
+    /// The percentage of requests that are directed to the first entry.
     pub(crate) skew: f64,
     pub(crate) faults: Faults,
 }
@@ -80,11 +80,11 @@
     pub(crate) deadline: u64,
     /// When and how the entry answered it.
     pub(crate) answer: Option<(u64, Outcome)>,
-    /// Whether the entry's process died with it.
+    /// Whether the entry process was killed before it answered.
     pub(crate) died: bool,
 }
 
-/// What a caller wants done once.
+/// One piece of work that a caller wants done exactly once.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
     pub(crate) class: usize,
@@ -92,7 +92,7 @@
     pub(crate) attempts: Vec<usize>,
 }
 
-/// What a backend server recorded.
+/// A run that a backend server recorded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunRecord {
     pub(crate) ticket: usize,
@@ -101,14 +101,15 @@
 }
 
 enum Event {
-    /// For one process; waits while that is frozen, and is lost when it has died.
+    /// An event for one process. It is delayed while the process is frozen and lost if the process
+    /// was replaced.
     Node {
         node: usize,
         generation: u64,
         event: NodeEvent,
     },
     Arrival,
-    /// A caller has waited for long enough, or may come back.
+    /// A caller stops waiting for its answer, or may retry.
     CallerWakes {
         attempt_index: usize,
     },
@@ -129,7 +130,7 @@
     event: Event,
 }
 
-/// The whole simulated system.
+/// The simulated system.
 pub(crate) struct Sim {
     pub(crate) now: u64,
     pub(crate) setup: Setup,
@@ -235,7 +236,7 @@
 }
 
 fn document(setup: &Setup) -> Document {
-    // Without faults no key is asked for again.
+    // Without faults no key is claimed again.
     let key_window_ms = if setup.faults.every_ms > 0 {
         17_000
     } else {
--- a/dragonflyrun/tests/simulation/network.rs
+++ b/dragonflyrun/tests/simulation/network.rs
@@ -1,4 +1,5 @@
-//! The simulated peer links: in order until they break, but for the faults that are drawn.
+//! The simulated peer links. They deliver messages in order until they break, except for the
+//! message faults drawn from the seed.
 
 use dragonflyrun::{
     Name,
@@ -12,13 +13,13 @@
 #[derive(Default)]
 pub(super) struct Link {
     up: bool,
-    /// When the last message in each direction arrives.
+    /// Arrival time of the last message in each direction.
     last: [u64; 2],
     generation: u64,
 }
 
 impl Sim {
-    /// Links a process that has started to all of the other role.
+    /// Links a started process to all processes of the other role.
     pub(super) fn link_all(&mut self, node: usize) {
         let pairs = self.pairs_of(node);
         for (entry, agent) in pairs {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Breaks a link; what is under way on it is lost.
+    /// Breaks a link; messages in transit may be lost.
     pub(super) fn link_down(&mut self, entry: usize, agent: usize) {
         let Some(link) = self.links.get_mut(&(entry, agent)) else {
             return;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Sends to a process by name; returns whether there was a link.
+    /// Sends a message to a process by name; returns whether there was a link.
     pub(super) fn send(&mut self, from: usize, to: &Name, message: Message) -> bool {
         let to = self.nodes.iter().position(|n| n.peer.name == *to);
         to.is_some_and(|to| self.transmit(from, to, message))
@@ -105,7 +106,7 @@
         true
     }
 
-    /// Returns whether a message arrives: what was under way when its link broke may be lost.
+    /// Returns whether a message arrives; one that was in transit when its link broke may be lost.
     pub(super) fn arrives(&mut self, from: usize, to: usize, link: u64) -> bool {
         let pair = if self.is_entry(from) {
             (from, to)
--- a/dragonflyrun/tests/simulation/nodes.rs
+++ b/dragonflyrun/tests/simulation/nodes.rs
@@ -23,9 +23,9 @@
 /// One process.
 pub(super) struct Node {
     pub(super) peer: Peer,
-    /// Tells a process from an earlier one in the same place.
+    /// Distinguishes a process from an earlier one of the same name.
     pub(super) generation: u64,
-    /// Simulated time minus the process's own clock.
+    /// Simulated time minus the clock of the process, in milliseconds.
     clock_offset: u64,
     pub(super) frozen_until: u64,
     pub(super) log_reachable: bool,
@@ -38,7 +38,7 @@
     Entry {
         table: Box<EntryTable>,
         roster: Roster,
-        /// The attempts that wait for an answer, by the table's number.
+        /// The attempts that wait for an answer, by their request number in the table.
         attempts: HashMap<u64, usize>,
     },
     Agent {
@@ -93,7 +93,7 @@
         agents.map(|n| n.peer.name.clone()).collect()
     }
 
-    /// Starts a process in place of the one before, with nothing but its settings.
+    /// Starts a process in place of the previous one, without any of its state.
     pub(super) fn start(&mut self, node: usize) {
         self.generations += 1;
         let generation = self.generations;
@@ -458,7 +458,7 @@
     fn agent_action(&mut self, node: usize, action: AgentAction) {
         match action {
             AgentAction::Start { order, .. } => {
-                // Between the decision and the start the process may be frozen.
+                // The process may be frozen between the decision and the start.
                 let pause = self.rng.random_range(0..2);
                 self.schedule_node(self.now + pause, node, NodeEvent::Start(order));
             }
@@ -578,7 +578,7 @@
     }
 }
 
-/// The body of a request: the number of the try.
+/// The body of a request, which contains the index of the attempt.
 pub(super) fn body(attempt_index: usize) -> Vec<u8> {
     (attempt_index as u64).to_le_bytes().to_vec()
 }
@@ -587,7 +587,7 @@
     u64::from_le_bytes(body.try_into().expect("a body has 8 bytes")) as usize
 }
 
-/// The answer to a ticket, which depends on nothing else.
+/// The answer to a ticket, which depends only on the ticket.
 pub(super) fn done(ticket: usize) -> Outcome {
     let body = vec![ticket as u8; 50 + ticket % 50];
     Outcome::Done {
--- a/dragonflyrun/tests/slot_limits.rs
+++ b/dragonflyrun/tests/slot_limits.rs
@@ -1,5 +1,5 @@
-//! At most the declared slots and connections of a backend server are in use, and one that is
-//! leaving or silent gets nothing.
+//! No more than the declared slots and connections of a backend server are in use, and a leaving or
+//! silent one gets no requests.
 
 mod tables;
 
@@ -30,8 +30,8 @@
     })
 }
 
-/// Entries, restarts of the backend server and late answers come in any order. A backend server
-/// that gets more than it declared may run out of memory with all that it is running.
+/// Guards against a backend server that gets more requests than it declared, which may make it run
+/// out of memory and lose all of them. Requests, announcements and late answers come in any order.
 #[test]
 fn slots_and_connections() {
     for n in 0..300 {
@@ -70,8 +70,8 @@
     }
 }
 
-/// A backend server says that it is leaving, or its process is gone. An entry that has not heard
-/// of it yet still sends requests; they are refused and go elsewhere.
+/// Guards against requests to a backend server that is leaving or whose process has ended. An entry
+/// that does not know this yet still sends requests, which the agent refuses.
 #[test]
 fn leaving_and_lapsed() {
     let mut table = agent(4, 4);
@@ -79,7 +79,10 @@
     leaving.leaving = true;
     assert!(!table.reports(at(1_500))[0].leaving);
     table.announce(at(1_500), leaving);
-    assert!(table.reports(at(1_500))[0].leaving, "entries hear by this");
+    assert!(
+        table.reports(at(1_500))[0].leaving,
+        "entries learn of it from this report"
+    );
     table.run(at(1_500), &"entry".into(), order(1), true);
     assert_eq!(refusal(&mut table), Some(NotRun::NoBackend));
 
@@ -107,21 +110,24 @@
     assert_eq!(refusal(&mut table), Some(NotRun::Leaving));
 }
 
-/// An agent is stopped while requests run. It takes no more, but stays until those have ended, their
-/// entry has the answers, and no entry sends any more because it has not heard of the stop yet. An
-/// entry that is gone does not hold it up.
+/// Guards against requests that a graceful stop of the agent cuts off. The agent stays until its
+/// requests have ended, the entries have the answers, and no entry sends new requests because it
+/// does not know of the stop yet. An entry that is gone must not delay the stop.
 #[test]
 fn agent_stops() {
     let mut table = agent(2, 2);
     table.run(at(1_000), &"entry".into(), order(1), true);
     table.leave(at(1_050));
-    assert!(!table.is_idle(at(4_000)), "it runs");
+    assert!(!table.is_idle(at(4_000)), "the request is running");
     table.finished(at(1_100), &order(1).id, done("x"));
-    assert!(!table.is_idle(at(4_000)), "the entry has no answer yet");
+    assert!(
+        !table.is_idle(at(4_000)),
+        "the entry has not acknowledged the answer"
+    );
     table.received(&order(1).id);
     assert!(
         !table.is_idle(at(2_000)),
-        "an entry may not have heard of it"
+        "an entry may not know of the stop"
     );
     table.run(at(2_000), &"entry".into(), order(2), true);
     table.received(&order(2).id);
--- a/dragonflyrun/tests/tables/mod.rs
+++ b/dragonflyrun/tests/tables/mod.rs
@@ -1,6 +1,6 @@
-//! Makes decision tables for tests.
+//! Builds decision tables, requests and answers for tests.
 
-#![allow(dead_code)] // Each test file uses its own part.
+#![allow(dead_code)] // Each test file uses only a part.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     Timestamp::from_millis(ms)
 }
 
-/// Services `checks` (may be repeated) and `bookings` (may not), and limits.
+/// A configuration with the services `checks` (repeatable) and `bookings` (not repeatable).
 pub(crate) fn version(retry_percent: u32) -> Arc<Version> {
     let document = serde_json::json!({"sections": {"all": {
         "owners": ["ops"],
@@ -33,7 +33,7 @@
     Arc::new(Version::new(1, document))
 }
 
-/// An entry that has heard `agents` with `slots` free slots each at 1,000 ms.
+/// An entry with heartbeats from `agents` at 1,000 ms that report `slots` free slots each.
 pub(crate) fn entry(agents: &[&str], slots: u32) -> EntryTable {
     let mut table = EntryTable::new("entry#1".into(), 7);
     table.set_version(version(20));
@@ -97,7 +97,7 @@
     }
 }
 
-/// The requests handed to agents among `actions`.
+/// The requests sent to agents among `actions`.
 pub(crate) fn runs(actions: &[EntryAction]) -> Vec<(Name, RequestId)> {
     let run = |action: &EntryAction| match action {
         EntryAction::Send {
