--- a/dragonflyrun/src/request/entry_table/answers.rs
+++ b/dragonflyrun/src/request/entry_table/answers.rs
@@ -3,7 +3,7 @@
 use super::{DEFAULT_RETRY_AFTER_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
 use crate::{
     connection::{Message, NotRun, Outcome, RequestId, RequestMessage},
-    request::{Refusal, load::Sample},
+    request::{Refusal, load::DispatchResult},
     utils::{Name, Timestamp},
 };
 
@@ -36,8 +36,12 @@
         let message = Message::Request(RequestMessage::Received { id });
         let to = from.clone();
         if matching.is_some()
-            && let Some(dispatch) =
-                self.end_dispatch(now, number, sample(now, matching, &outcome), Some(free))
+            && let Some(dispatch) = self.end_dispatch(
+                now,
+                number,
+                dispatch_result(now, matching, &outcome),
+                Some(free),
+            )
         {
             self.apply_outcome(now, &dispatch, outcome);
             self.dispatch_queued(now, &dispatch.service);
@@ -49,7 +53,7 @@
     pub fn send_failed(&mut self, now: Timestamp, to: &Name, message: &Message) {
         match message {
             Message::Request(RequestMessage::Run { id, .. }) => {
-                let ended = self.end_dispatch(now, id.number, Sample::NotStarted, None);
+                let ended = self.end_dispatch(now, id.number, DispatchResult::NotStarted, None);
                 if let Some(dispatch) = ended {
                     self.enqueue(now, dispatch.request);
                 }
@@ -98,7 +102,7 @@
         &mut self,
         now: Timestamp,
         number: u64,
-        sample: Sample,
+        result: DispatchResult,
         free: Option<u32>,
     ) -> Option<Dispatch> {
         let dispatch = self.dispatches.remove(&number)?;
@@ -107,12 +111,12 @@
             &dispatch.agent,
             dispatch.incarnation,
             &dispatch.service,
-            sample,
+            result,
             free,
         );
         let state = self.services.entry(dispatch.service.clone()).or_default();
         state.running = state.running.saturating_sub(1);
-        if let Sample::Ran(time) = sample {
+        if let DispatchResult::Ran(time) = result {
             state.record_run_time(now, dispatch.urgency, time);
         }
         Some(dispatch)
@@ -181,16 +185,20 @@
     }
 }
 
-fn sample(now: Timestamp, dispatch: Option<&Dispatch>, outcome: &Outcome) -> Sample {
+fn dispatch_result(
+    now: Timestamp,
+    dispatch: Option<&Dispatch>,
+    outcome: &Outcome,
+) -> DispatchResult {
     let sent_at = dispatch.map_or(now, |d| d.sent_at);
     match outcome {
         Outcome::Done { status, .. } if *status < MIN_SERVER_ERROR_STATUS => {
-            Sample::Ran(now.since(sent_at))
+            DispatchResult::Ran(now.since(sent_at))
         }
-        Outcome::Done { .. } | Outcome::Unknown => Sample::Failed,
+        Outcome::Done { .. } | Outcome::Unknown => DispatchResult::Failed,
         Outcome::NotRun { reason, .. } => match reason {
-            NotRun::Refused => Sample::Refused,
-            _ => Sample::NotStarted,
+            NotRun::Refused => DispatchResult::Refused,
+            _ => DispatchResult::NotStarted,
         },
     }
 }
--- a/dragonflyrun/src/request/entry_table/peers.rs
+++ b/dragonflyrun/src/request/entry_table/peers.rs
@@ -5,7 +5,7 @@
 use super::{Dispatch, EntryTable, NO_BACKEND_GRACE, NO_BACKEND_RETRY_AFTER_MS};
 use crate::{
     connection::{NotRun, Outcome, Peer},
-    request::{AgentView, Refusal, load::Sample},
+    request::{AgentView, Refusal, load::DispatchResult},
     utils::{Name, Timestamp},
 };
 
@@ -116,7 +116,7 @@
     }
 
     fn end_as_lost(&mut self, now: Timestamp, number: u64) {
-        if let Some(dispatch) = self.end_dispatch(now, number, Sample::Failed, None) {
+        if let Some(dispatch) = self.end_dispatch(now, number, DispatchResult::Failed, None) {
             self.apply_outcome(now, &dispatch, Outcome::Unknown);
         }
     }
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -93,7 +93,7 @@
 /// The keys that one agent owns.
 #[derive(Debug)]
 pub struct KeyOwner {
-    me: Peer,
+    local_peer: Peer,
     started: Timestamp,
     /// The changes of owners, the latest last.
     epochs: Vec<Epoch>,
@@ -110,10 +110,10 @@
 }
 
 impl KeyOwner {
-    /// Returns the owner `me`, whose process started at `started`.
-    pub fn new(me: &Peer, started: Timestamp) -> Self {
+    /// Returns the key owner of the agent `local_peer`, whose process started at `started`.
+    pub fn new(local_peer: &Peer, started: Timestamp) -> Self {
         Self {
-            me: me.clone(),
+            local_peer: local_peer.clone(),
             started,
             epochs: Vec::new(),
             keys: HashMap::default(),
@@ -275,7 +275,7 @@
     fn may_grant(&self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> Result<(), Refusal> {
         let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS);
         let epoch = self.epochs.last().ok_or(unsettled)?;
-        if epoch.ring.owner(&claim.service, &claim.key) != Some(&self.me.name) {
+        if epoch.ring.owner(&claim.service, &claim.key) != Some(&self.local_peer.name) {
             return Err(unsettled);
         }
         if now.since(epoch.since) < OWNER_CHANGE_DELAY {
@@ -283,7 +283,8 @@
         }
         // A claim that a frozen process or a broken network delayed may be older than a change of
         // owners, and its caller may have retried at the previous owner.
-        let is_stale = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
+        let is_stale =
+            claim.incarnation != self.local_peer.incarnation || now.since(claim.sent) > FRESH;
         if is_stale {
             return Err(unsettled);
         }
@@ -301,7 +302,8 @@
 
     /// Returns how long this process has owned the key without interruption.
     fn owned_for(&self, now: Timestamp, claim: &KeyClaim) -> Duration {
-        let owns_key = |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.me.name);
+        let owns_key =
+            |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.local_peer.name);
         let first = self.epochs.iter().rev().take_while(owns_key).last();
         first.map_or(Duration::ZERO, |e| now.since(e.since.max(self.started)))
     }
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -20,7 +20,7 @@
 
 /// The result of a dispatch, used for the choice of agents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Sample {
+pub(crate) enum DispatchResult {
     /// The backend server answered after this time.
     Ran(Duration),
     /// The backend server failed, or the agent was lost.
@@ -205,7 +205,7 @@
         agent: &Name,
         incarnation: u64,
         service: &Name,
-        sample: Sample,
+        result: DispatchResult,
         free: Option<u32>,
     ) {
         if self
@@ -218,7 +218,7 @@
             return;
         };
         offer.in_flight = offer.in_flight.saturating_sub(1);
-        offer.record(now, sample);
+        offer.record(now, result);
         if let Some(free) = free {
             offer.update_free(now, free);
         }
--- a/dragonflyrun/src/request/load/offer.rs
+++ b/dragonflyrun/src/request/load/offer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Sample;
+use super::DispatchResult;
 use crate::{request::RunTime, utils::Timestamp};
 
 /// Number of consecutive failures after which an agent is quarantined for a service.
@@ -32,10 +32,10 @@
     /// slots.
     pub(super) reserve: u32,
     /// Slots that requests of other entries use.
-    pub(super) others: u32,
+    pub(super) used_by_others: u32,
     /// Requests of this entry that the agent has not answered.
     pub(super) in_flight: u32,
-    /// The time of the report from which `others` was computed.
+    /// The time of the report from which `used_by_others` was computed.
     pub(super) reported_at: Timestamp,
     pub(super) backoff_until: Timestamp,
     pub(super) failures: u32,
@@ -45,7 +45,7 @@
 
 impl Offer {
     pub(super) fn free(&self) -> u32 {
-        let used = self.others.saturating_add(self.in_flight);
+        let used = self.used_by_others.saturating_add(self.in_flight);
         self.slots.saturating_sub(used)
     }
 
@@ -57,21 +57,21 @@
         }
         self.reported_at = at;
         let used = self.slots.saturating_sub(free);
-        self.others = used.saturating_sub(self.in_flight);
+        self.used_by_others = used.saturating_sub(self.in_flight);
     }
 
-    pub(super) fn record(&mut self, now: Timestamp, sample: Sample) {
-        match sample {
-            Sample::Ran(time) => {
+    pub(super) fn record(&mut self, now: Timestamp, result: DispatchResult) {
+        match result {
+            DispatchResult::Ran(time) => {
                 self.run_time.add(now, time);
                 self.failures = 0;
             }
-            Sample::Failed => self.record_failure(now),
-            Sample::Refused => {
+            DispatchResult::Failed => self.record_failure(now),
+            DispatchResult::Refused => {
                 self.record_failure(now);
                 self.backoff_until = now + REFUSED_BACKOFF;
             }
-            Sample::NotStarted => self.backoff_until = now + BUSY_BACKOFF,
+            DispatchResult::NotStarted => self.backoff_until = now + BUSY_BACKOFF,
         }
     }
 
