--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -25,7 +25,7 @@
     Ran(Duration),
     /// The backend server failed, or the agent was lost.
     Failed,
-    /// The backend server refused the request.
+    /// The backend server refused the connection.
     Refused,
     /// The agent did not start the request.
     NotStarted,
--- a/dragonflyrun/src/request/run_time.rs
+++ b/dragonflyrun/src/request/run_time.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the mean in milliseconds, or none if the last sample is older than
-    /// [`MAX_SAMPLE_AGE`].
+    /// `MAX_SAMPLE_AGE`.
     ///
     /// An agent that seems too slow for every request gets none that could show that it has become
     /// faster, so the estimate has to expire.
--- a/dragonflyrun/tests/simulation/checks.rs
+++ b/dragonflyrun/tests/simulation/checks.rs
@@ -60,7 +60,7 @@
                     attempt_index,
                 });
             }
-            // No request that the caller had submitted before this answer may run at any time.
+            // No request that the caller had submitted by then may run, before or after the answer.
             Some((_, Outcome::NotRun { .. })) => {
                 let ran = |r: &&super::RunRecord| {
                     r.ticket == ticket
