--- a/dragonflyrun/src/request/entry_table/answers.rs
+++ b/dragonflyrun/src/request/entry_table/answers.rs
@@ -1,17 +1,18 @@
-//! What agents answer, and what follows where an answer does not come.
+//! Handles the answers of agents, and requests whose answer does not arrive.
 
-use super::{DEFAULT_RETRY_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
+use super::{DEFAULT_RETRY_AFTER_MS, Dispatch, Due, EntryAction, EntryTable, Stage};
 use crate::{
     connection::{Message, NotRun, Outcome, RequestId, RequestMessage},
-    request::{Refusal, load::Sample},
+    request::{Refusal, load::DispatchResult},
     utils::{Name, Timestamp},
 };
 
-/// The first status by which a backend server says that it failed.
-const SERVER_ERROR: u16 = 500;
+/// The lowest HTTP status that counts as a failure of the backend server.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl EntryTable {
-    /// Takes in an agent's answer, with the free slots of the service after it.
+    /// Handles an answer from an agent; `free` is the number of free slots of the service at the
+    /// agent after the request ended.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -24,39 +25,45 @@
             return;
         }
         let number = id.number;
-        let known = self.dispatches.get(&number).filter(|d| d.agent == *from);
-        if known.is_some() && !is_whole(&outcome) {
-            // The agent keeps the answer until we have it, and gives it again to the same request.
-            self.out.push(EntryAction::Event("answer_cut_off"));
+        let matching = self.dispatches.get(&number).filter(|d| d.agent == *from);
+        if matching.is_some() && !is_complete(&outcome) {
+            // The agent keeps the answer until it is acknowledged and returns it to a repeated
+            // request.
+            self.actions.push(EntryAction::Event("answer_cut_off"));
             self.resend(number);
             return;
         }
         let message = Message::Request(RequestMessage::Received { id });
         let to = from.clone();
-        if known.is_some()
-            && let Some(dispatch) = self.end(now, number, sample(now, known, &outcome), Some(free))
+        if matching.is_some()
+            && let Some(dispatch) = self.end_dispatch(
+                now,
+                number,
+                dispatch_result(now, matching, &outcome),
+                Some(free),
+            )
         {
-            self.conclude(now, &dispatch, outcome);
-            self.pump(now, &dispatch.service);
+            self.apply_outcome(now, &dispatch, outcome);
+            self.dispatch_queued(now, &dispatch.service);
         }
-        self.out.push(EntryAction::Resend { to, message });
+        self.actions.push(EntryAction::Resend { to, message });
     }
 
-    /// Takes note that `message`, which [`EntryAction::Send`] was to hand to `to`, was not sent.
-    pub fn unsent(&mut self, now: Timestamp, to: &Name, message: &Message) {
+    /// Handles the failure of an [`EntryAction::Send`] of `message` to `to`.
+    pub fn send_failed(&mut self, now: Timestamp, to: &Name, message: &Message) {
         match message {
             Message::Request(RequestMessage::Run { id, .. }) => {
-                let ended = self.end(now, id.number, Sample::NotStarted, None);
+                let ended = self.end_dispatch(now, id.number, DispatchResult::NotStarted, None);
                 if let Some(dispatch) = ended {
                     self.enqueue(now, dispatch.request);
                 }
             }
-            Message::Key(message) => self.key_unsent(now, to, message),
+            Message::Key(message) => self.key_send_failed(now, to, message),
             _ => {}
         }
     }
 
-    /// Answers what is due by `now`.
+    /// Answers the requests whose deadline has passed by `now`.
     pub(super) fn expire_due(&mut self, now: Timestamp) {
         while let Some(due) = self.due.first().copied().filter(|d| d.at <= now) {
             self.due.remove(&due);
@@ -70,7 +77,7 @@
         };
         match pending.stage.clone() {
             Stage::Claiming { .. } => {
-                let refusal = Refusal::new(NotRun::Deadline, DEFAULT_RETRY_MS);
+                let refusal = Refusal::new(NotRun::Deadline, DEFAULT_RETRY_AFTER_MS);
                 self.give_up_claim(now, number, refusal);
             }
             Stage::Queued => {
@@ -79,8 +86,8 @@
                 let refusal = Refusal::new(NotRun::Deadline, retry_after);
                 self.finish(number, refusal.outcome());
             }
-            // The agent may be at it. Its answer still tells the key's owner the truth, so the
-            // request stays known without its body.
+            // The agent may be running the request. Its answer still gives the key's owner the
+            // true outcome, so the request is kept without its body.
             Stage::Running { dispatch } => {
                 pending.stage = Stage::Answered { dispatch };
                 pending.body = Vec::new();
@@ -90,33 +97,34 @@
         }
     }
 
-    /// Forgets a dispatch and frees what it held.
-    pub(super) fn end(
+    /// Removes a dispatch and releases its slot.
+    pub(super) fn end_dispatch(
         &mut self,
         now: Timestamp,
         number: u64,
-        sample: Sample,
+        result: DispatchResult,
         free: Option<u32>,
     ) -> Option<Dispatch> {
         let dispatch = self.dispatches.remove(&number)?;
-        self.loads.ended(
+        self.loads.request_ended(
             now,
             &dispatch.agent,
             dispatch.incarnation,
             &dispatch.service,
-            sample,
+            result,
             free,
         );
         let state = self.services.entry(dispatch.service.clone()).or_default();
         state.running = state.running.saturating_sub(1);
-        if let Sample::Ran(time) = sample {
-            state.ran(now, dispatch.urgency, time);
+        if let DispatchResult::Ran(time) = result {
+            state.record_run_time(now, dispatch.urgency, time);
         }
         Some(dispatch)
     }
 
-    /// Concludes from the answer of an agent, or from the loss of it, what becomes of a request.
-    pub(super) fn conclude(&mut self, now: Timestamp, dispatch: &Dispatch, outcome: Outcome) {
+    /// Finishes or retries a request according to the answer of its agent, or the loss of the
+    /// agent.
+    pub(super) fn apply_outcome(&mut self, now: Timestamp, dispatch: &Dispatch, outcome: Outcome) {
         let number = dispatch.request;
         let Some(pending) = self.requests.get_mut(&number) else {
             return;
@@ -129,7 +137,7 @@
             Outcome::NotRun { reason, .. } if reason != NotRun::Deadline => {
                 self.retry(now, number, EntryAction::Retried(reason));
             }
-            // Running it twice does no harm, and it may not have run at all.
+            // The request may not have run at all, and running it twice does no harm.
             Outcome::Unknown if repeatable => {
                 self.retry(now, number, EntryAction::Event("retried_after_loss"));
             }
@@ -137,28 +145,28 @@
         }
     }
 
-    /// Lets a request wait for another agent, if the budget allows.
-    fn retry(&mut self, now: Timestamp, number: u64, count: EntryAction) {
+    /// Queues a request for another agent if the retry budget allows it, and refuses it otherwise.
+    fn retry(&mut self, now: Timestamp, number: u64, action: EntryAction) {
         if self.budget.spend() {
-            self.out.push(count);
+            self.actions.push(action);
             self.enqueue(now, number);
             return;
         }
         let service = self.requests.get(&number).map(|p| p.service.clone());
-        let retry_after = service.map_or(DEFAULT_RETRY_MS, |s| self.retry_after(now, &s));
+        let retry_after = service.map_or(DEFAULT_RETRY_AFTER_MS, |s| self.retry_after(now, &s));
         let refusal = Refusal::new(NotRun::RetryBudget, retry_after);
         self.finish(number, refusal.outcome());
     }
 
-    /// Sends a request again to the same process of its agent, which knows it by its id.
+    /// Sends a request again to the same process of its agent, which recognizes it by its id.
     pub(super) fn resend(&mut self, dispatch: u64) {
         let to = self.dispatches.get(&dispatch).map(|d| d.agent.clone());
         if let (Some(to), Some(message)) = (to, self.run_message(dispatch)) {
-            self.out.push(EntryAction::Resend { to, message });
+            self.actions.push(EntryAction::Resend { to, message });
         }
     }
 
-    /// Answers a request at its deadline, for the thread that waits for it.
+    /// Answers a request at its deadline; called by the thread that waits for the request.
     pub fn deadline_passed(&mut self, now: Timestamp, number: u64) {
         let Some(pending) = self.requests.get(&number) else {
             return;
@@ -170,21 +178,27 @@
     }
 }
 
-pub(super) fn is_whole(outcome: &Outcome) -> bool {
+pub(super) fn is_complete(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Done { length, body, .. } => *length == body.len() as u64,
         Outcome::NotRun { .. } | Outcome::Unknown => true,
     }
 }
 
-fn sample(now: Timestamp, dispatch: Option<&Dispatch>, outcome: &Outcome) -> Sample {
-    let sent = dispatch.map_or(now, |d| d.sent);
+fn dispatch_result(
+    now: Timestamp,
+    dispatch: Option<&Dispatch>,
+    outcome: &Outcome,
+) -> DispatchResult {
+    let sent_at = dispatch.map_or(now, |d| d.sent_at);
     match outcome {
-        Outcome::Done { status, .. } if *status < SERVER_ERROR => Sample::Ran(now.since(sent)),
-        Outcome::Done { .. } | Outcome::Unknown => Sample::Failed,
+        Outcome::Done { status, .. } if *status < MIN_SERVER_ERROR_STATUS => {
+            DispatchResult::Ran(now.since(sent_at))
+        }
+        Outcome::Done { .. } | Outcome::Unknown => DispatchResult::Failed,
         Outcome::NotRun { reason, .. } => match reason {
-            NotRun::Refused => Sample::Refused,
-            _ => Sample::NotStarted,
+            NotRun::Refused => DispatchResult::Refused,
+            _ => DispatchResult::NotStarted,
         },
     }
 }
--- a/dragonflyrun/src/request/entry_table/keys.rs
+++ b/dragonflyrun/src/request/entry_table/keys.rs
@@ -1,36 +1,37 @@
-//! What an entry asks and tells the owners of keys.
+//! Exchanges claims, verdicts and outcomes with the owners of keys.
 
 use std::time::Duration;
 
-use super::{DEFAULT_RETRY_MS, EntryAction, EntryTable, Pending, Stage};
+use super::{DEFAULT_RETRY_AFTER_MS, EntryAction, EntryTable, Pending, Stage};
 use crate::{
     connection::{KeyMessage, KeyVerdict, Message, NotRun, Outcome, RequestId},
     request::Refusal,
     utils::{Name, Timestamp},
 };
 
-/// Pause after which a new owner of a key is in office.
-const UNSETTLED_RETRY_MS: u64 = 3_000;
+/// Milliseconds after which a new owner of a key can grant it.
+const UNSETTLED_RETRY_AFTER_MS: u64 = 3_000;
 
-/// Time for which a grant that comes too late is given back.
-const ABANDONED: Duration = Duration::from_secs(60);
+/// How long an abandoned claim is kept, so that a grant that arrives for it can be returned.
+const ABANDONED_CLAIM_TTL: Duration = Duration::from_secs(60);
 
-/// Time for which an owner is told what became of a key.
-const SETTLE: Duration = Duration::from_secs(10);
+/// How long the entry tries to deliver an outcome to the owner of a key.
+const SETTLEMENT_TTL: Duration = Duration::from_secs(10);
 
-/// Settlements that wait for a link, at the most; without one the owner answers "unknown".
-const SETTLEMENTS: usize = 64;
+/// Maximum number of settlements that wait for a link to the owner. If one is dropped, the owner
+/// answers "unknown" for the key.
+const MAX_SETTLEMENTS: usize = 64;
 
-/// What an owner is to be told once it is linked again.
+/// An outcome to send to an owner once there is a link to it again.
 #[derive(Debug)]
 pub(super) struct Settlement {
     owner: Name,
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl EntryTable {
-    /// Takes over the owners of keys as of the log's record at `offset`.
+    /// Sets the owners of keys as of the log record at `offset`.
     pub fn set_ring(&mut self, offset: u64, ring: &crate::request::Ring) {
         if offset != self.ring_offset {
             self.ring_offset = offset;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Returns the offset of the record that made the owners known here.
+    /// Returns the offset of the log record that set the current owners.
     pub fn ring_offset(&self) -> u64 {
         self.ring_offset
     }
@@ -48,7 +49,7 @@
         self.ring.owner(service, key)
     }
 
-    /// Asks the key's owner whether the request may run.
+    /// Claims the key at its owner.
     pub(super) fn claim(&mut self, now: Timestamp, number: u64) {
         let id = self.id(number);
         let Some(pending) = self.requests.get_mut(&number) else {
@@ -59,7 +60,7 @@
         };
         let owner = self.ring.owner(&pending.service, &key);
         let Some(view) = owner.and_then(|owner| self.loads.view(owner)) else {
-            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
             self.give_up_claim(now, number, refusal);
             return;
         };
@@ -79,27 +80,29 @@
         self.send_key(owner, claim);
     }
 
-    /// Takes in an owner's verdict.
+    /// Handles the verdict of an owner.
     pub fn verdict(&mut self, now: Timestamp, from: &Name, id: &RequestId, verdict: KeyVerdict) {
         if id.entry != self.entry {
             return;
         }
         let number = id.number;
-        let asked = Stage::Claiming {
+        let claiming = Stage::Claiming {
             owner: from.clone(),
         };
         match self.requests.get(&number) {
-            Some(pending) if pending.stage == asked => self.heed(now, number, from, verdict),
+            Some(pending) if pending.stage == claiming => {
+                self.apply_verdict(now, number, from, verdict)
+            }
             Some(_) => {}
-            None => self.give_back(from, number, &verdict),
+            None => self.return_grant(from, number, &verdict),
         }
     }
 
-    fn heed(&mut self, now: Timestamp, number: u64, owner: &Name, verdict: KeyVerdict) {
+    fn apply_verdict(&mut self, now: Timestamp, number: u64, owner: &Name, verdict: KeyVerdict) {
         match verdict {
             KeyVerdict::Granted => self.granted(now, number, owner),
-            KeyVerdict::Known(outcome) if !super::answers::is_whole(&outcome) => {
-                self.out.push(EntryAction::Event("answer_cut_off"));
+            KeyVerdict::Known(outcome) if !super::answers::is_complete(&outcome) => {
+                self.actions.push(EntryAction::Event("answer_cut_off"));
                 self.claim(now, number);
             }
             KeyVerdict::Known(outcome) => self.finish(number, outcome),
@@ -122,8 +125,8 @@
         let waiting = pending.waiting(number);
         let version = self.version.clone();
         let room = match version.service(&pending.service) {
-            Some(service) => self.make_room(now, service, waiting),
-            None => Err(Refusal::new(NotRun::UnknownService, DEFAULT_RETRY_MS)),
+            Some(service) => self.ensure_queue_room(now, service, waiting),
+            None => Err(Refusal::new(NotRun::UnknownService, DEFAULT_RETRY_AFTER_MS)),
         };
         match room {
             Ok(()) => self.enqueue(now, number),
@@ -131,10 +134,10 @@
         }
     }
 
-    /// Gives back a grant that came after its request had been answered "not run"; the owner would
-    /// take the key for running until its deadline. A grant of any other request is a second copy
-    /// and must not be given back, since the request may have run.
-    fn give_back(&mut self, owner: &Name, number: u64, verdict: &KeyVerdict) {
+    /// Returns a grant that arrived after its request had been answered "not run"; otherwise the
+    /// owner would treat the key as running until its deadline. A grant for any other request is a
+    /// duplicate and must not be returned, since that request may have run.
+    fn return_grant(&mut self, owner: &Name, number: u64, verdict: &KeyVerdict) {
         let abandoned = self.abandoned.iter().find(|a| a.claim == number);
         let message = abandoned.map(|a| a.message.clone());
         if let (Some(message), KeyVerdict::Granted) = (message, verdict) {
@@ -142,13 +145,13 @@
         }
     }
 
-    /// Ends a request whose claim has no verdict. It was handed to no agent and won't be.
+    /// Ends a request whose claim has no verdict. The request was sent to no agent and won't be.
     pub(super) fn give_up_claim(&mut self, now: Timestamp, number: u64, refusal: Refusal) {
         let claim = self.id(number);
         let Some(pending) = self.requests.get(&number) else {
             return;
         };
-        // An earlier attempt with this key may have run, which only the owner knows.
+        // Only the owner knows whether an earlier attempt with this key has run.
         let outcome = if pending.attempt > 1 {
             Outcome::Unknown
         } else {
@@ -165,14 +168,14 @@
             self.abandoned.push(Abandoned {
                 claim: number,
                 message: message.clone(),
-                until: now + ABANDONED,
+                expires_at: now + ABANDONED_CLAIM_TTL,
             });
             self.send_key(owner, message);
         }
         self.finish(number, outcome);
     }
 
-    /// Tells the owner that granted the key, and the one who owns it now, what became of it.
+    /// Sends the outcome to the owner that granted the key and to its current owner.
     pub(super) fn settle(&mut self, number: u64, pending: &Pending, outcome: &Outcome) {
         let (Some(granter), Some(key)) = (&pending.granted_by, &pending.key) else {
             return;
@@ -190,7 +193,7 @@
         self.send_key(granter.clone(), message);
     }
 
-    /// Passes on what an agent says of a key whose entry is gone.
+    /// Forwards to the owner an outcome that an agent reports because the entry is gone.
     pub fn relay(&mut self, settle: KeyMessage) {
         if let KeyMessage::Settle { service, key, .. } = &settle
             && let Some(owner) = self.ring.owner(service, key).cloned()
@@ -199,46 +202,46 @@
         }
     }
 
-    pub(super) fn key_unsent(&mut self, now: Timestamp, to: &Name, message: &KeyMessage) {
+    pub(super) fn key_send_failed(&mut self, now: Timestamp, to: &Name, message: &KeyMessage) {
         match message {
             KeyMessage::Claim { id, .. } => {
-                let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+                let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
                 self.give_up_claim(now, id.number, refusal);
             }
-            KeyMessage::Settle { .. } if self.settlements.len() < SETTLEMENTS => {
+            KeyMessage::Settle { .. } if self.settlements.len() < MAX_SETTLEMENTS => {
                 self.settlements.push(Settlement {
                     owner: to.clone(),
                     message: message.clone(),
-                    until: now + SETTLE,
+                    expires_at: now + SETTLEMENT_TTL,
                 });
             }
             _ => {}
         }
     }
 
-    /// Ends the claims at an owner that is lost.
+    /// Ends the claims at an owner to which the link ended.
     pub(super) fn owner_lost(&mut self, now: Timestamp, owner: &Name) {
-        let asked = Stage::Claiming {
+        let claiming = Stage::Claiming {
             owner: owner.clone(),
         };
         let lost: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, p)| p.stage == asked)
+            .filter(|(_, p)| p.stage == claiming)
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
-            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_MS);
+            let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
             self.give_up_claim(now, number, refusal);
         }
     }
 
-    /// Tries again what could not be handed over, and forgets what is too old.
+    /// Sends undelivered settlements again and removes expired ones.
     pub(super) fn tick_keys(&mut self, now: Timestamp) {
-        self.abandoned.retain(|a| a.until > now);
+        self.abandoned.retain(|a| a.expires_at > now);
         for settlement in std::mem::take(&mut self.settlements) {
-            if settlement.until <= now {
-                self.out.push(EntryAction::Event("settlement_lost"));
+            if settlement.expires_at <= now {
+                self.actions.push(EntryAction::Event("settlement_lost"));
             } else if self.loads.is_silent(now, &settlement.owner) {
                 self.settlements.push(settlement);
             } else {
@@ -249,7 +252,7 @@
 
     fn send_key(&mut self, to: Name, message: KeyMessage) {
         let message = Message::Key(message);
-        self.out.push(EntryAction::Send { to, message });
+        self.actions.push(EntryAction::Send { to, message });
     }
 }
 
@@ -257,7 +260,7 @@
 #[derive(Debug)]
 pub(super) struct Abandoned {
     claim: u64,
-    /// What gives the grant back.
+    /// The message that returns the grant.
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
--- a/dragonflyrun/src/request/entry_table/peers.rs
+++ b/dragonflyrun/src/request/entry_table/peers.rs
@@ -1,43 +1,45 @@
-//! Agents that come, go, fall silent, or are replaced.
+//! Handles agents that join, leave, become silent or are replaced.
 
 use std::time::Duration;
 
-use super::{Dispatch, EntryTable, NO_BACKEND_GRACE, NO_BACKEND_RETRY_MS};
+use super::{Dispatch, EntryTable, NO_BACKEND_GRACE, NO_BACKEND_RETRY_AFTER_MS};
 use crate::{
     connection::{NotRun, Outcome, Peer},
-    request::{AgentView, Refusal, load::Sample},
+    request::{AgentView, Refusal, load::DispatchResult},
     utils::{Name, Timestamp},
 };
 
-/// Time that a link has to come back before what went over it is taken for lost.
+/// Time within which a link must be restored before the requests sent over it count as lost.
 const LINK_GRACE: Duration = Duration::from_secs(1);
 
-/// Pause before a request is sent again over a new link, which is not yet open when it is told.
-const RESEND: Duration = Duration::from_millis(100);
+/// Delay before a request is sent again over a new link, which is reported before it is open.
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// How often it is sent again; a single one may still meet a link that is not open.
-const RESENDS: u32 = 3;
+/// How many times a request is sent again over a new link; the first time the link may still not be
+/// open.
+const MAX_RESENDS: u32 = 3;
 
 impl EntryTable {
-    /// Takes note of an agent's state.
-    pub fn agent_heard(&mut self, view: AgentView) {
+    /// Updates the state of an agent.
+    pub fn update_agent(&mut self, view: AgentView) {
         self.loads.update(view);
     }
 
-    /// Divides the agents' slots among `count` entries, of which this one has the place `rank` in
-    /// the order of their names.
+    /// Divides the slots of the agents among `count` entries; `rank` is the position of this entry
+    /// in the order of their names.
     pub fn set_entries(&mut self, count: u32, rank: u32) {
         self.loads.set_entries(count, rank);
     }
 
-    /// Forgets all agents but those for which `keep` holds.
+    /// Removes all agents for which `keep` returns false.
     pub fn retain_agents(&mut self, keep: impl Fn(&Name) -> bool) {
         self.loads.retain(keep);
     }
 
-    /// Takes note of a new link to an agent.
+    /// Handles a new link to an agent.
     pub fn agent_up(&mut self, now: Timestamp, peer: &Peer) {
-        // What is known is of the process before; a request for that would be ignored.
+        // The known state belongs to the previous process; a request addressed to that process
+        // would be ignored.
         let before = self.loads.view(&peer.name);
         if before.is_some_and(|view| view.incarnation != peer.incarnation) {
             self.loads.retain(|name| *name != peer.name);
@@ -48,15 +50,15 @@
             };
             if dispatch.incarnation == peer.incarnation {
                 dispatch.lost_at = None;
-                dispatch.resend_at = Some(now + RESEND);
-                dispatch.resends_left = RESENDS;
+                dispatch.resend_at = Some(now + RESEND_DELAY);
+                dispatch.resends_left = MAX_RESENDS;
             } else {
-                self.lose(now, number);
+                self.end_as_lost(now, number);
             }
         }
     }
 
-    /// Takes note that the link to an agent ended.
+    /// Handles the end of a link to an agent.
     pub fn agent_down(&mut self, now: Timestamp, peer: &Peer) {
         for dispatch in self.dispatches.values_mut() {
             if dispatch.agent == peer.name && dispatch.incarnation == peer.incarnation {
@@ -67,16 +69,16 @@
         self.owner_lost(now, &peer.name);
     }
 
-    /// Does what time alone brings about; to be called every 100 ms or so.
+    /// Handles deadlines, lost agents and repeated messages; to be called about every 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
-        self.notice_freeze(now);
+        self.detect_freeze(now);
         self.expire_due(now);
         self.tick_dispatches(now);
         self.tick_keys(now);
         let services: Vec<Name> = self.services.keys().cloned().collect();
         for service in &services {
-            self.pump(now, service);
-            self.refuse_bare(now, service);
+            self.dispatch_queued(now, service);
+            self.refuse_without_backend(now, service);
         }
     }
 
@@ -87,24 +89,24 @@
                 continue;
             };
             if self.is_lost(now, dispatch) {
-                self.lose(now, number);
+                self.end_as_lost(now, number);
             } else if dispatch.resend_at.is_some_and(|at| at <= now) {
-                self.resend_later(now, number);
+                self.schedule_next_resend(now, number);
                 self.resend(number);
             }
         }
     }
 
-    fn resend_later(&mut self, now: Timestamp, number: u64) {
+    fn schedule_next_resend(&mut self, now: Timestamp, number: u64) {
         if let Some(dispatch) = self.dispatches.get_mut(&number) {
             dispatch.resends_left = dispatch.resends_left.saturating_sub(1);
-            let again = (dispatch.resends_left > 0).then_some(now + RESEND * 3);
-            dispatch.resend_at = again;
+            let next_at = (dispatch.resends_left > 0).then_some(now + RESEND_DELAY * 3);
+            dispatch.resend_at = next_at;
         }
     }
 
-    /// Returns whether no answer is to be waited for any more. From a silent agent one may still
-    /// come, so only what may be repeated is given up for silence.
+    /// Returns whether the entry no longer waits for an answer. A silent agent may still answer, so
+    /// silence counts as a loss only for a request that may be repeated.
     fn is_lost(&self, now: Timestamp, dispatch: &Dispatch) -> bool {
         if let Some(at) = dispatch.lost_at {
             return now.since(at) >= LINK_GRACE;
@@ -113,23 +115,23 @@
         request.is_some_and(|r| r.repeatable) && self.loads.is_silent(now, &dispatch.agent)
     }
 
-    fn lose(&mut self, now: Timestamp, number: u64) {
-        if let Some(dispatch) = self.end(now, number, Sample::Failed, None) {
-            self.conclude(now, &dispatch, Outcome::Unknown);
+    fn end_as_lost(&mut self, now: Timestamp, number: u64) {
+        if let Some(dispatch) = self.end_dispatch(now, number, DispatchResult::Failed, None) {
+            self.apply_outcome(now, &dispatch, Outcome::Unknown);
         }
     }
 
-    /// Refuses what waits for a service that no agent has had for a while.
-    fn refuse_bare(&mut self, now: Timestamp, service: &Name) {
+    /// Refuses the queued requests of a service that no agent has had for [`NO_BACKEND_GRACE`].
+    fn refuse_without_backend(&mut self, now: Timestamp, service: &Name) {
         let capacity = self.loads.capacity(now, service);
         let Some(state) = self.services.get_mut(service) else {
             return;
         };
         if capacity.slots > 0 || state.queue.is_empty() {
-            state.bare_since = None;
+            state.without_backend_since = None;
             return;
         }
-        let since = *state.bare_since.get_or_insert(now);
+        let since = *state.without_backend_since.get_or_insert(now);
         if now.since(since) < NO_BACKEND_GRACE {
             return;
         }
@@ -140,7 +142,7 @@
         };
         let waiting: Vec<u64> = state.queue.all().map(|w| w.number).collect();
         for number in waiting {
-            let refusal = Refusal::new(reason, NO_BACKEND_RETRY_MS);
+            let refusal = Refusal::new(reason, NO_BACKEND_RETRY_AFTER_MS);
             self.finish(number, refusal.outcome());
         }
     }
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -1,9 +1,10 @@
-//! The keys that one agent owns: each is granted once, and repeats get the first outcome.
+//! The keys that one agent owns: each key is granted once, and repeats get the first outcome.
 //!
-//! What can go wrong is that two owners grant the same key, or that one grants it again after it
-//! has forgotten it. An owner therefore grants a first attempt only while it is fresh and no change
-//! of owners is so recent that the one before may not know of it, and a later attempt only where
-//! it would remember an earlier one. See `docs/REQUESTS.md`, keys.
+//! A request could run twice if two owners granted the same key, or if an owner granted it again
+//! after it had removed the record of the first grant. An owner therefore grants a first attempt
+//! only while its view of the log is fresh and the last change of owners is long enough ago for the
+//! previous owner to have read of it. It grants a later attempt only if it has owned the key for
+//! long enough to have a record of any earlier attempt. See `docs/REQUESTS.md`, keys.
 
 mod record;
 
@@ -15,54 +16,55 @@
     request::{Refusal, Ring},
     utils::{HashMap, Name, Timestamp},
 };
-use record::{KeyId, KeyState, Record, body_bytes, known, refused};
+use record::{KeyId, KeyState, Record, body_bytes, known_verdict, refused_verdict};
 
-/// Time after a change of owners for which nothing is granted anew: an earlier owner that has not
-/// read of the change stops being fresh within [`FRESH`].
-const SETTLING: Duration = FRESH.saturating_add(Duration::from_millis(500));
+/// Time after a change of owners during which no new grant is given: a previous owner that has not
+/// read of the change stops granting within [`FRESH`].
+const OWNER_CHANGE_DELAY: Duration = FRESH.saturating_add(Duration::from_millis(500));
 
-/// Time beyond a deadline for which a grant's outcome is waited for.
+/// Time after the deadline during which the owner still waits for the outcome of a grant.
 const OUTCOME_MARGIN: Duration = Duration::from_millis(500);
 
-/// Changes of owners that are remembered.
-const EPOCHS: usize = 64;
+/// Maximum number of owner changes that are kept.
+const MAX_EPOCHS: usize = 64;
 
-/// Keys that are remembered, at the most; above it new ones are refused.
-const KEYS: usize = 200_000;
+/// Maximum number of keys that are kept; once it is reached, new keys are refused.
+const MAX_KEYS: usize = 200_000;
 
-/// Bytes of outcomes that are remembered, at the most; above it they are remembered as unknown.
-const OUTCOME_BYTES: usize = 64 << 20;
+/// Maximum total size of stored outcome bodies, in bytes. An outcome that would exceed it is stored
+/// as unknown.
+const MAX_OUTCOME_BYTES: usize = 64 << 20;
 
-/// Repeats that wait for the outcome of one key, at the most.
-const WAITERS: usize = 16;
+/// Maximum number of repeats that wait for the outcome of one key.
+const MAX_WAITERS: usize = 16;
 
-/// Milliseconds after which an owner that refused may grant.
-const RETRY_MS: u64 = 1_000;
+/// Milliseconds after which a caller may retry a claim that the owner refused.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// A claim as the owner takes it in.
+/// A claim of a key, as its owner receives it.
 #[derive(Clone, Debug)]
 pub struct KeyClaim {
-    /// The entry that asks.
+    /// The entry that sent the claim.
     pub from: Name,
-    /// Its request.
+    /// The entry's request.
     pub id: RequestId,
     /// The service.
     pub service: Name,
     /// The caller's key.
     pub key: Name,
-    /// The caller's count of attempts, from 1.
+    /// The caller's attempt number, from 1.
     pub attempt: u32,
-    /// The owner's incarnation that the entry means.
+    /// The incarnation of the owner to which the entry addressed the claim.
     pub incarnation: u64,
-    /// When the entry sent it, at the earliest, on the owner's clock.
+    /// The earliest time at which the entry can have sent the claim, on the owner's clock.
     pub sent: Timestamp,
     /// The caller's deadline on the owner's clock.
     pub deadline: Timestamp,
-    /// For how long the service's keys are remembered.
+    /// How long the keys of the service are kept.
     pub window: Duration,
 }
 
-/// What became of a key that a request holds or asked for.
+/// The outcome for a key that a request holds or has claimed.
 #[derive(Clone, Debug)]
 pub struct KeyOutcome {
     /// The service.
@@ -71,9 +73,9 @@
     pub key: Name,
     /// The request.
     pub id: RequestId,
-    /// What became of it.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// For how long the service's keys are remembered.
+    /// How long the keys of the service are kept.
     pub window: Duration,
 }
 
@@ -82,7 +84,7 @@
 pub struct OwnerAction {
     /// The entry.
     pub to: Name,
-    /// Its request.
+    /// The entry's request.
     pub id: RequestId,
     /// The verdict.
     pub verdict: KeyVerdict,
@@ -91,13 +93,13 @@
 /// The keys that one agent owns.
 #[derive(Debug)]
 pub struct KeyOwner {
-    me: Peer,
+    local_peer: Peer,
     started: Timestamp,
-    /// The latest change of owners last.
+    /// The changes of owners, the latest last.
     epochs: Vec<Epoch>,
     keys: HashMap<KeyId, Record>,
     outcome_bytes: usize,
-    out: Vec<OwnerAction>,
+    actions: Vec<OwnerAction>,
 }
 
 #[derive(Debug)]
@@ -108,27 +110,27 @@
 }
 
 impl KeyOwner {
-    /// Returns the owner `me`, whose process started at `started`.
-    pub fn new(me: &Peer, started: Timestamp) -> Self {
+    /// Returns the key owner of the agent `local_peer`, whose process started at `started`.
+    pub fn new(local_peer: &Peer, started: Timestamp) -> Self {
         Self {
-            me: me.clone(),
+            local_peer: local_peer.clone(),
             started,
             epochs: Vec::new(),
             keys: HashMap::default(),
             outcome_bytes: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
     /// Returns the verdicts decided since the last call, in order.
     pub fn take_actions(&mut self) -> Vec<OwnerAction> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Takes note of the owners after the `change`th change of them that this process folded.
+    /// Sets the owners after change number `change`, counted over the changes this process folded.
     ///
-    /// Where a change was missed, the key may have had another owner meanwhile, so whatever this
-    /// process owned before counts for nothing.
+    /// If a change was missed, a key may have had another owner in between, so the earlier
+    /// ownership of this process no longer counts.
     pub fn set_ring(&mut self, now: Timestamp, change: u64, members: &[Name]) {
         let last = self.epochs.last().map(|e| e.change);
         if last == Some(change) {
@@ -142,63 +144,65 @@
             since: now,
             ring: Ring::new(members),
         });
-        if self.epochs.len() > EPOCHS {
+        if self.epochs.len() > MAX_EPOCHS {
             self.epochs.remove(0);
         }
     }
 
-    /// Returns the ring in force.
+    /// Returns the current ring, or none before the first change of owners.
     pub fn ring(&self) -> Option<&Ring> {
         self.epochs.last().map(|e| &e.ring)
     }
 
-    /// Takes in a claim; `fresh` tells whether this process knows the latest state of the log.
+    /// Handles a claim; `fresh` is true if this process knows the latest state of the log.
     pub fn claim(&mut self, now: Timestamp, claim: KeyClaim, fresh: bool) {
         let id = KeyId::of(&claim);
-        let mut overtaken = false;
+        let mut superseded = false;
         if let Some(record) = self.keys.get_mut(&id) {
-            overtaken = claim.attempt < record.attempt;
+            superseded = claim.attempt < record.attempt;
             record.attempt = record.attempt.max(claim.attempt);
         }
         let verdict = match self.keys.get_mut(&id).map(|r| &mut r.state) {
-            Some(KeyState::Ran { outcome, .. }) => known(outcome),
+            Some(KeyState::Ran { outcome, .. }) => known_verdict(outcome),
             Some(KeyState::Granted { holder, .. }) if *holder == claim.id => KeyVerdict::Granted,
-            Some(KeyState::Granted { until, waiters, .. })
-                if now < *until && waiters.len() < WAITERS =>
-            {
-                // Its outcome answers the repeat too.
+            Some(KeyState::Granted {
+                outcome_due_at,
+                waiters,
+                ..
+            }) if now < *outcome_due_at && waiters.len() < MAX_WAITERS => {
+                // The repeat is answered with the outcome of the running request.
                 if !waiters.iter().any(|w| w.id == claim.id) {
                     waiters.push(claim);
                 }
                 return;
             }
             Some(KeyState::Granted { .. }) => KeyVerdict::Unknown,
-            // The caller may have been told "not run" for a later attempt; that must stay true.
-            Some(KeyState::NotRun) if overtaken => {
-                refused(Refusal::new(NotRun::KeyUnsettled, RETRY_MS))
+            // The caller may have received "not run" for a later attempt, and that must stay true.
+            Some(KeyState::NotRun) if superseded => {
+                refused_verdict(Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS))
             }
             Some(KeyState::NotRun) => match self.may_grant(now, &claim, fresh) {
                 Ok(()) => self.grant(now, &claim),
-                // Another owner may have granted it meanwhile.
+                // Another owner may have granted the key since.
                 Err(refusal) if claim.attempt > 1 && refusal.reason != NotRun::Busy => {
                     KeyVerdict::Unknown
                 }
-                Err(refusal) => refused(refusal),
+                Err(refusal) => refused_verdict(refusal),
             },
             None => self.first_claim(now, &claim, fresh),
         };
         self.reply(&claim, verdict);
     }
 
-    /// Takes in what became of a key; `fresh` tells whether this process knows the latest state of
-    /// the log, for those who wait for the key.
+    /// Handles the outcome for a key; `fresh` is true if this process knows the latest state of the
+    /// log, which decides whether a waiting claim may be granted.
     pub fn settle(&mut self, now: Timestamp, settled: KeyOutcome, fresh: bool) {
         let key = KeyId {
             service: settled.service.clone(),
             key: settled.key.clone(),
         };
         let Some(record) = self.keys.get_mut(&key) else {
-            self.learn(now, key, settled);
+            self.record_foreign_outcome(now, key, settled);
             return;
         };
         let not_run = matches!(settled.outcome, Outcome::NotRun { .. });
@@ -208,38 +212,42 @@
                 holder, waiters, ..
             } if *holder == settled.id => {
                 let waiters = std::mem::take(waiters);
-                self.conclude(now, key, settled, waiters, fresh);
+                self.record_outcome(now, key, settled, waiters, fresh);
             }
             KeyState::Granted { waiters, .. } => waiters.retain(|w| w.id != settled.id),
-            // The entry gave up on an answer that has come after all.
+            // The entry had stopped waiting for this answer, but it has arrived after all.
             KeyState::Ran {
                 holder,
                 outcome: Outcome::Unknown,
             } if done && *holder == settled.id => {
-                self.conclude(now, key, settled, Vec::new(), fresh);
+                self.record_outcome(now, key, settled, Vec::new(), fresh);
             }
             KeyState::Ran { .. } => {}
             KeyState::NotRun if not_run => {}
-            KeyState::NotRun => self.conclude(now, key, settled, Vec::new(), fresh),
+            KeyState::NotRun => self.record_outcome(now, key, settled, Vec::new(), fresh),
         }
     }
 
-    /// Does what time alone brings about; to be called every 100 ms or so.
+    /// Answers overdue waiters and removes expired keys; to be called about every 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
-        let mut late = Vec::new();
+        let mut overdue = Vec::new();
         for record in self.keys.values_mut() {
-            if let KeyState::Granted { until, waiters, .. } = &mut record.state
-                && *until <= now
+            if let KeyState::Granted {
+                outcome_due_at,
+                waiters,
+                ..
+            } = &mut record.state
+                && *outcome_due_at <= now
             {
-                late.append(waiters);
+                overdue.append(waiters);
             }
         }
-        for claim in late {
+        for claim in overdue {
             self.reply(&claim, KeyVerdict::Unknown);
         }
         let bytes = &mut self.outcome_bytes;
         self.keys.retain(|_, record| {
-            let keep = now < record.forget_at;
+            let keep = now < record.expires_at;
             if !keep {
                 *bytes -= record.state.bytes();
             }
@@ -248,81 +256,83 @@
     }
 
     fn first_claim(&mut self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> KeyVerdict {
-        let may = self.may_grant(now, claim, fresh);
+        let allowed = self.may_grant(now, claim, fresh);
         if claim.attempt > 1 {
             let remembers = self.owned_for(now, claim) >= claim.window;
-            // An earlier attempt may have been granted where this process can't know.
-            return match may {
+            // Another owner may have granted an earlier attempt without this process knowing.
+            return match allowed {
                 Ok(()) if remembers => self.grant(now, claim),
                 _ => KeyVerdict::Unknown,
             };
         }
-        match may {
+        match allowed {
             Ok(()) => self.grant(now, claim),
-            Err(refusal) => refused(refusal),
+            Err(refusal) => refused_verdict(refusal),
         }
     }
 
-    /// Returns why nothing may be granted, if so.
+    /// Returns the refusal if the claim must not be granted.
     fn may_grant(&self, now: Timestamp, claim: &KeyClaim, fresh: bool) -> Result<(), Refusal> {
-        let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_MS);
+        let unsettled = Refusal::new(NotRun::KeyUnsettled, RETRY_AFTER_MS);
         let epoch = self.epochs.last().ok_or(unsettled)?;
-        if epoch.ring.owner(&claim.service, &claim.key) != Some(&self.me.name) {
+        if epoch.ring.owner(&claim.service, &claim.key) != Some(&self.local_peer.name) {
             return Err(unsettled);
         }
-        if now.since(epoch.since) < SETTLING {
+        if now.since(epoch.since) < OWNER_CHANGE_DELAY {
             return Err(unsettled);
         }
-        // Held up in a frozen process or a broken network, it may be older than a change of
-        // owners, and its caller may have tried again at the one before.
-        let late = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
-        if late {
+        // A claim that a frozen process or a broken network delayed may be older than a change of
+        // owners, and its caller may have retried at the previous owner.
+        let is_stale =
+            claim.incarnation != self.local_peer.incarnation || now.since(claim.sent) > FRESH;
+        if is_stale {
             return Err(unsettled);
         }
         if !fresh {
-            return Err(Refusal::new(NotRun::NotFresh, RETRY_MS));
+            return Err(Refusal::new(NotRun::NotFresh, RETRY_AFTER_MS));
         }
-        if self.keys.len() >= KEYS {
-            return Err(Refusal::new(NotRun::Busy, RETRY_MS));
+        if self.keys.len() >= MAX_KEYS {
+            return Err(Refusal::new(NotRun::Busy, RETRY_AFTER_MS));
         }
         if now >= claim.deadline {
-            return Err(Refusal::new(NotRun::Deadline, RETRY_MS));
+            return Err(Refusal::new(NotRun::Deadline, RETRY_AFTER_MS));
         }
         Ok(())
     }
 
-    /// Returns for how long this process has owned the key without interruption.
+    /// Returns how long this process has owned the key without interruption.
     fn owned_for(&self, now: Timestamp, claim: &KeyClaim) -> Duration {
-        let mine = |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.me.name);
-        let first = self.epochs.iter().rev().take_while(mine).last();
+        let owns_key =
+            |e: &&Epoch| e.ring.owner(&claim.service, &claim.key) == Some(&self.local_peer.name);
+        let first = self.epochs.iter().rev().take_while(owns_key).last();
         first.map_or(Duration::ZERO, |e| now.since(e.since.max(self.started)))
     }
 
     fn grant(&mut self, now: Timestamp, claim: &KeyClaim) -> KeyVerdict {
-        let until = claim.deadline + OUTCOME_MARGIN;
+        let outcome_due_at = claim.deadline + OUTCOME_MARGIN;
         let record = Record {
             state: KeyState::Granted {
                 holder: claim.id.clone(),
-                until,
+                outcome_due_at,
                 waiters: Vec::new(),
             },
             attempt: claim.attempt,
-            forget_at: until.max(now) + claim.window,
+            expires_at: outcome_due_at.max(now) + claim.window,
         };
         self.replace(KeyId::of(claim), record);
         KeyVerdict::Granted
     }
 
-    /// Remembers the outcome of a grant that another owner gave.
-    fn learn(&mut self, now: Timestamp, key: KeyId, settled: KeyOutcome) {
+    /// Stores the outcome of a grant that another owner gave.
+    fn record_foreign_outcome(&mut self, now: Timestamp, key: KeyId, settled: KeyOutcome) {
         let not_run = matches!(settled.outcome, Outcome::NotRun { .. });
-        if not_run || self.keys.len() >= KEYS {
+        if not_run || self.keys.len() >= MAX_KEYS {
             return;
         }
-        self.conclude(now, key, settled, Vec::new(), false);
+        self.record_outcome(now, key, settled, Vec::new(), false);
     }
 
-    fn conclude(
+    fn record_outcome(
         &mut self,
         now: Timestamp,
         key: KeyId,
@@ -336,29 +346,30 @@
         } else {
             KeyState::Ran {
                 holder: settled.id,
-                outcome: self.affordable(settled.outcome.clone()),
+                outcome: self.within_size_limit(settled.outcome.clone()),
             }
         };
         let attempt = self.keys.get(&key).map_or(1, |r| r.attempt);
         let record = Record {
             state,
             attempt,
-            forget_at: now + settled.window,
+            expires_at: now + settled.window,
         };
         self.replace(key, record);
         for waiter in waiters {
             if not_run {
-                // The first of them may run now; the others wait for it in turn.
+                // The first waiter may be granted now; the others then wait for its outcome.
                 self.claim(now, waiter, fresh);
             } else {
-                self.reply(&waiter, known(&settled.outcome));
+                self.reply(&waiter, known_verdict(&settled.outcome));
             }
         }
     }
 
-    /// Returns `outcome`, or "unknown" where there is no room left for its body: that is true too.
-    fn affordable(&self, outcome: Outcome) -> Outcome {
-        if self.outcome_bytes + body_bytes(&outcome) > OUTCOME_BYTES {
+    /// Returns `outcome`, or "unknown" if its body would exceed [`MAX_OUTCOME_BYTES`]. "Unknown" is
+    /// always a true answer.
+    fn within_size_limit(&self, outcome: Outcome) -> Outcome {
+        if self.outcome_bytes + body_bytes(&outcome) > MAX_OUTCOME_BYTES {
             return Outcome::Unknown;
         }
         outcome
@@ -372,7 +383,7 @@
     }
 
     fn reply(&mut self, claim: &KeyClaim, verdict: KeyVerdict) {
-        self.out.push(OwnerAction {
+        self.actions.push(OwnerAction {
             to: claim.from.clone(),
             id: claim.id.clone(),
             verdict,
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -1,4 +1,4 @@
-//! How busy the agents are, as one entry can tell, and which of them gets the next request.
+//! The load of the agents as seen by one entry, and the choice of the agent for the next request.
 
 mod offer;
 mod view;
@@ -15,23 +15,23 @@
 use offer::Offer;
 pub use view::{AgentView, ServiceView};
 
-/// Random draws before all agents are looked through for one that has a free slot.
-const DRAWS: usize = 8;
+/// Number of random draws before all agents are scanned for one with a free slot.
+const MAX_DRAWS: usize = 8;
 
-/// What became of a request that an agent was given, for the choice of agents.
+/// The result of a dispatch, used for the choice of agents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Sample {
+pub(crate) enum DispatchResult {
     /// The backend server answered after this time.
     Ran(Duration),
-    /// The backend server failed, or its agent was lost.
+    /// The backend server failed, or the agent was lost.
     Failed,
-    /// The backend server did not take it.
+    /// The backend server refused the connection.
     Refused,
-    /// The agent did not start it.
+    /// The agent did not start the request.
     NotStarted,
 }
 
-/// All agents as one entry sees them.
+/// The state of all agents as seen by one entry.
 #[derive(Debug, Default)]
 pub struct AgentLoads {
     agents: HashMap<Name, Agent>,
@@ -39,7 +39,7 @@
     entries: Entries,
 }
 
-/// Among how many entries the slots are divided, and which of them this one is.
+/// The number of entries that share the slots, and the rank of this entry among them.
 #[derive(Clone, Copy, Debug)]
 struct Entries {
     count: u32,
@@ -52,19 +52,19 @@
     offers: HashMap<Name, Offer>,
 }
 
-/// What all agents together have for one service.
+/// The slots of all agents together for one service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Capacity {
     /// Slots of all usable agents.
     pub(crate) slots: u32,
-    /// Slots that our requests use or that are free.
-    pub(crate) ours: u32,
-    /// Whether only a failure domain that is out of service has it.
+    /// Slots that are free or that requests of this entry use.
+    pub(crate) available: u32,
+    /// Whether all agents with the service are in failure domains that are out of service.
     pub(crate) out_of_service: bool,
 }
 
 impl AgentLoads {
-    /// Takes note of an agent's state.
+    /// Updates the state of an agent.
     pub fn update(&mut self, view: AgentView) {
         let name = view.name.clone();
         let agent = self.agents.entry(name.clone()).or_insert_with(|| Agent {
@@ -75,28 +75,28 @@
             agent.offers.clear();
         }
         for offer in agent.offers.values_mut() {
-            (offer.slots, offer.part) = (0, 0);
+            (offer.slots, offer.share) = (0, 0);
         }
         let entries = self.entries;
         for service in &view.services {
-            let part = entries.part(&name, service.slots);
+            let share = entries.share(&name, service.slots);
             let offer = agent.offers.entry(service.service.clone()).or_default();
             offer.slots = service.slots;
-            offer.part = part;
+            offer.share = share;
             offer.reserve = (entries.count - 1).min(service.slots / 2);
-            offer.learn(view.heard, service.free);
+            offer.update_free(view.heard, service.free);
             let agents = self.services.entry(service.service.clone()).or_default();
-            if let Err(place) = agents.binary_search(&name) {
-                agents.insert(place, name.clone());
+            if let Err(index) = agents.binary_search(&name) {
+                agents.insert(index, name.clone());
             }
         }
         agent.view = view;
     }
 
-    /// Divides the slots among `count` entries, of which this one has the place `rank`.
+    /// Divides the slots among `count` entries; `rank` is the position of this entry among them.
     ///
-    /// Entries that all see the same free slot take it at the same time, and all but one are
-    /// refused. With a part of its own each can count on some slots without asking anybody.
+    /// If several entries see the same free slot and use it at the same time, all but one are
+    /// refused. With a share of its own, each entry can use some slots without coordination.
     pub(crate) fn set_entries(&mut self, count: u32, rank: u32) {
         let count = count.max(1);
         self.entries = Entries {
@@ -105,7 +105,7 @@
         };
     }
 
-    /// Forgets all agents but those for which `keep` holds.
+    /// Removes all agents for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         self.agents.retain(|name, _| keep(name));
         let agents = &self.agents;
@@ -115,18 +115,18 @@
         });
     }
 
-    /// Returns what is known of an agent.
+    /// Returns the last known state of an agent.
     pub fn view(&self, agent: &Name) -> Option<&AgentView> {
         self.agents.get(agent).map(|a| &a.view)
     }
 
-    /// Returns whether `agent` was not heard lately.
+    /// Returns whether no heartbeat of `agent` has arrived within [`SILENCE`].
     pub(crate) fn is_silent(&self, now: Timestamp, agent: &Name) -> bool {
         let heard = self.view(agent).map(|v| v.heard);
         heard.is_none_or(|heard| now.since(heard) > SILENCE)
     }
 
-    /// Returns what all usable agents together have for `service`.
+    /// Returns the slots of all usable agents together for `service`.
     pub(crate) fn capacity(&self, now: Timestamp, service: &Name) -> Capacity {
         let mut sum = Capacity::default();
         let mut out_of_service = false;
@@ -140,15 +140,15 @@
             out_of_service |= agent.view.out_of_service;
             if agent.is_usable(now) {
                 sum.slots += offer.slots;
-                sum.ours += offer.free() + offer.in_flight.min(offer.slots);
+                sum.available += offer.free() + offer.in_flight.min(offer.slots);
             }
         }
         sum.out_of_service = out_of_service && sum.slots == 0;
         sum
     }
 
-    /// Returns the least mean run time of any agent; zero where none is known.
-    pub(crate) fn quickest(&self, now: Timestamp, service: &Name) -> Duration {
+    /// Returns the lowest mean run time of all agents, or zero if none is known.
+    pub(crate) fn fastest_mean(&self, now: Timestamp, service: &Name) -> Duration {
         let names = self.services.get(service).into_iter().flatten();
         let offers = names.filter_map(|name| self.usable_offer(now, name, service));
         let means = offers.filter_map(|o| o.run_time.recent_mean_ms(now));
@@ -156,31 +156,32 @@
         Duration::from_secs_f64(least_ms / 1_000.0)
     }
 
-    /// Chooses an agent for a request of `service` among those that take no longer than `slowest`
-    /// on average: the best of `choices` drawn at random from those that have a free slot.
+    /// Chooses an agent for a request of `service` among those with a mean run time of at most
+    /// `max_mean`: the best of `choices` agents drawn at random from those with a free slot.
     ///
-    /// Taking the best of all would make every entry choose the same agent until the next
-    /// heartbeat; two draws come close to it without that (`docs/REQUESTS.md`, choice of agents).
+    /// If each entry chose the best of all agents, all entries would choose the same agent until
+    /// the next heartbeat. Two draws come close to the best without that effect
+    /// (`docs/REQUESTS.md`, choice of agents).
     pub fn choose(
         &self,
         now: Timestamp,
         service: &Name,
-        slowest: Duration,
+        max_mean: Duration,
         choices: usize,
         rng: &mut impl Rng,
     ) -> Option<Name> {
         let names = self.services.get(service)?;
-        let offer = |name: &Name| self.open_offer(now, name, service);
-        let good = |o: &Offer| o.may_be_tried(now) && o.is_fast_enough(now, slowest);
-        let own = |name: &Name| offer(name).is_some_and(|o| o.has_own() && good(o));
-        let borrowed = |name: &Name| offer(name).is_some_and(|o| o.may_borrow() && good(o));
+        let offer = |name: &Name| self.available_offer(now, name, service);
+        let suitable = |o: &Offer| o.is_eligible(now) && o.is_fast_enough(now, max_mean);
+        let own = |name: &Name| offer(name).is_some_and(|o| o.has_own_free() && suitable(o));
+        let borrowed = |name: &Name| offer(name).is_some_and(|o| o.may_borrow() && suitable(o));
         let mut drawn = draw(names, choices, rng, own);
         if drawn.is_empty() {
             drawn = draw(names, choices, rng, borrowed);
         }
-        if drawn.is_empty() && self.all_set_aside(now, service) {
-            // Where every backend server fails, the fault may lie in the requests; refusing all
-            // would keep it from ever being noticed that they work again.
+        if drawn.is_empty() && self.all_quarantined(now, service) {
+            // If every backend server fails, the requests may be at fault. Refusing all of them
+            // would hide that the servers work again.
             let any = |name: &Name| offer(name).is_some_and(|o| o.free() > 0);
             drawn = draw(names, choices, rng, any);
         }
@@ -189,22 +190,22 @@
         best.cloned()
     }
 
-    /// Takes note that `agent` was given a request.
-    pub(crate) fn sent(&mut self, agent: &Name, service: &Name) {
+    /// Records that a request was sent to `agent`.
+    pub(crate) fn request_sent(&mut self, agent: &Name, service: &Name) {
         if let Some(offer) = self.offer(agent, service) {
             offer.in_flight += 1;
         }
     }
 
-    /// Takes note of what became of a request that `agent` of `incarnation` was given, and of the
-    /// free slots it reported with that.
-    pub(crate) fn ended(
+    /// Records the result of a request that was sent to `agent` with this `incarnation`, and the
+    /// free slots that the agent reported with it.
+    pub(crate) fn request_ended(
         &mut self,
         now: Timestamp,
         agent: &Name,
         incarnation: u64,
         service: &Name,
-        sample: Sample,
+        result: DispatchResult,
         free: Option<u32>,
     ) {
         if self
@@ -217,9 +218,9 @@
             return;
         };
         offer.in_flight = offer.in_flight.saturating_sub(1);
-        offer.add(now, sample);
+        offer.record(now, result);
         if let Some(free) = free {
-            offer.learn(now, free);
+            offer.update_free(now, free);
         }
     }
 
@@ -232,19 +233,20 @@
         agent.offers.get(service)
     }
 
-    /// Returns what `agent` has for `service`, if it may get requests and has not just refused.
-    fn open_offer(&self, now: Timestamp, agent: &Name, service: &Name) -> Option<&Offer> {
+    /// Returns the offer of `agent` for `service` if the agent is usable and has not just refused a
+    /// request.
+    fn available_offer(&self, now: Timestamp, agent: &Name, service: &Name) -> Option<&Offer> {
         self.usable_offer(now, agent, service)
-            .filter(|o| now >= o.held_until)
+            .filter(|o| now >= o.backoff_until)
     }
 
-    fn all_set_aside(&self, now: Timestamp, service: &Name) -> bool {
+    fn all_quarantined(&self, now: Timestamp, service: &Name) -> bool {
         let names = self.services.get(service).into_iter().flatten();
         let mut offers = names.filter_map(|n| self.usable_offer(now, n, service));
-        offers.all(|o| o.slots == 0 || o.has_failed())
+        offers.all(|o| o.slots == 0 || o.is_failing())
     }
 
-    /// The run time to expect, longer the more slots are in use.
+    /// Returns the expected run time in milliseconds, which grows with the share of used slots.
     fn cost(&self, agent: &Name, service: &Name) -> f64 {
         let offer = self.agents.get(agent).and_then(|a| a.offers.get(service));
         offer.map_or(f64::MAX, |offer| {
@@ -262,12 +264,12 @@
 }
 
 impl Entries {
-    /// Returns how many of an agent's `slots` are this entry's own. Which entries have one more
-    /// differs from agent to agent.
-    fn part(self, agent: &Name, slots: u32) -> u32 {
-        let turn = u32::try_from(FxBuildHasher.hash_one(agent) % u64::from(self.count));
-        let place = (self.rank + turn.unwrap_or(0)) % self.count;
-        slots / self.count + u32::from(place < slots % self.count)
+    /// Returns how many of the `slots` of an agent belong to this entry. The entries that get one
+    /// of the remaining slots differ from agent to agent.
+    fn share(self, agent: &Name, slots: u32) -> u32 {
+        let rotation = u32::try_from(FxBuildHasher.hash_one(agent) % u64::from(self.count));
+        let position = (self.rank + rotation.unwrap_or(0)) % self.count;
+        slots / self.count + u32::from(position < slots % self.count)
     }
 }
 
@@ -277,22 +279,22 @@
     }
 }
 
-/// Draws `choices` of those names at random for which `open` holds.
+/// Draws `choices` names at random for which `accept` returns true.
 fn draw<'a>(
     names: &'a [Name],
     choices: usize,
     rng: &mut impl Rng,
-    open: impl Fn(&Name) -> bool,
+    accept: impl Fn(&Name) -> bool,
 ) -> Vec<&'a Name> {
-    let drawn: Vec<&Name> = (0..DRAWS.max(choices))
+    let drawn: Vec<&Name> = (0..MAX_DRAWS.max(choices))
         .map(|_| &names[rng.random_range(0..names.len())])
-        .filter(|name| open(name))
+        .filter(|name| accept(name))
         .take(choices)
         .collect();
     if !drawn.is_empty() {
         return drawn;
     }
     let start = rng.random_range(0..names.len());
-    let turned = names[start..].iter().chain(&names[..start]);
-    turned.filter(|name| open(name)).take(choices).collect()
+    let rotated = names[start..].iter().chain(&names[..start]);
+    rotated.filter(|name| accept(name)).take(choices).collect()
 }
--- a/dragonflyrun/tests/load/mod.rs
+++ b/dragonflyrun/tests/load/mod.rs
@@ -1,6 +1,6 @@
-//! Measures requests under load: how many are answered in time, and what becomes of the others.
+//! Measures requests under load: how many are answered in time, and the outcomes of the others.
 
-#![allow(dead_code)] // The test and the benchmark each use their own part.
+#![allow(dead_code)] // The test and the benchmark each use only a part.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 use crate::simulation::{Backend, Class, Faults, Setup, Sim};
 
-/// Time before the first request, in which the processes find each other.
+/// Time before the first request, in which the processes connect to each other.
 const WARM_UP_MS: u64 = 6_000;
 
-/// How much slower a slow backend server is.
-const SLOWNESS: f64 = 5.0;
+/// Factor on the run times of a slow backend server.
+const SLOW_FACTOR: f64 = 5.0;
 
-/// The workloads, as they stand in `benches/data/requests.json`.
+/// The workloads in `benches/data/requests.json`.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Workloads {
     pub(crate) deployments: Vec<Workload>,
-    /// Arrivals as a share of what the backend servers that work can run.
+    /// Arrival rates as a share of the capacity of the working backend servers.
     pub(crate) loads: Vec<f64>,
     pub(crate) seconds: u64,
     pub(crate) seeds: Vec<u64>,
@@ -30,16 +30,16 @@
     pub(crate) name: String,
     entries: usize,
     slots: u32,
-    backends: Vec<Kind>,
+    backends: Vec<BackendKind>,
     classes: Vec<ClassData>,
-    /// The share of requests in percent that all go to one entry.
+    /// The percentage of requests that are directed to the first entry.
     #[serde(default)]
     skew: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Kind {
+enum BackendKind {
     Runs,
     Slow,
     Refuses,
@@ -56,22 +56,22 @@
     keyed: bool,
 }
 
-/// How agents are chosen.
+/// The policy by which an entry chooses agents.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Policy {
-    /// Any agent that seems to have a free slot.
+    /// A random agent that seems to have a free slot.
     Random,
     /// The better of two such agents.
     BestOfTwo,
-    /// As before, with a part of each agent's slots for each entry.
+    /// Like `BestOfTwo`, with the slots of each agent divided among the entries.
     Divided,
 }
 
-/// What one run gave.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Figures {
-    /// Requests answered in time, as a share of what could have been run.
+    /// Requests answered in time, as a share of the capacity over the run.
     pub(crate) goodput: f64,
     /// Requests answered in time as a share of all, by urgency.
     pub(crate) in_time: BTreeMap<String, f64>,
@@ -84,7 +84,7 @@
 }
 
 impl Workload {
-    /// Returns how many requests a second the backend servers run that work.
+    /// Returns the capacity of the working backend servers, in requests per second.
     fn capacity(&self) -> f64 {
         let weights: u32 = self.classes.iter().map(|c| c.weight).sum();
         let work: f64 = self
@@ -97,9 +97,9 @@
             .backends
             .iter()
             .map(|b| match b {
-                Kind::Runs => f64::from(self.slots),
-                Kind::Slow => f64::from(self.slots) / SLOWNESS,
-                Kind::Refuses | Kind::Breaks => 0.0,
+                BackendKind::Runs => f64::from(self.slots),
+                BackendKind::Slow => f64::from(self.slots) / SLOW_FACTOR,
+                BackendKind::Refuses | BackendKind::Breaks => 0.0,
             })
             .sum();
         slots / mean_s
@@ -115,7 +115,7 @@
             classes: self.classes.iter().map(ClassData::class).collect(),
             arrivals_per_s: self.capacity() * load,
             arrivals_until_ms: until,
-            tries: 1,
+            max_attempts: 1,
             choices: if policy == Policy::Random { 1 } else { 2 },
             divided: policy == Policy::Divided,
             skew: self.skew,
@@ -130,11 +130,11 @@
         let mut times: BTreeMap<String, Vec<Option<u64>>> = BTreeMap::new();
         let (mut in_time, mut unknown) = (0, 0);
         let mut refusals = BTreeMap::new();
-        for asked in &sim.tries {
-            let class = &self.classes[sim.tickets[asked.ticket].class];
+        for attempt in &sim.attempts {
+            let class = &self.classes[sim.tickets[attempt.ticket].class];
             let urgency = format!("{:?}", class.urgency).to_lowercase();
-            let time = match &asked.answer {
-                Some((at, Outcome::Done { .. })) => Some(at - asked.submitted),
+            let time = match &attempt.answer {
+                Some((at, Outcome::Done { .. })) => Some(at - attempt.submitted),
                 Some((_, Outcome::NotRun { reason, .. })) => {
                     *refusals.entry(format!("{reason:?}")).or_insert(0) += 1;
                     None
@@ -149,31 +149,34 @@
         }
         Figures {
             goodput: in_time as f64 / (self.capacity() * seconds as f64),
-            in_time: times.iter().map(|(u, t)| (u.clone(), share(t))).collect(),
-            p99_ms: times.iter().map(|(u, t)| (u.clone(), p99(t))).collect(),
+            in_time: times
+                .iter()
+                .map(|(u, t)| (u.clone(), share_in_time(t)))
+                .collect(),
+            p99_ms: times.iter().map(|(u, t)| (u.clone(), p99_ms(t))).collect(),
             unknown,
             refusals,
             retries: sim.retries,
-            requests: sim.tries.len(),
+            requests: sim.attempts.len(),
         }
     }
 }
 
-fn share(times: &[Option<u64>]) -> f64 {
+fn share_in_time(times: &[Option<u64>]) -> f64 {
     times.iter().flatten().count() as f64 / times.len() as f64
 }
 
-fn p99(times: &[Option<u64>]) -> u64 {
+fn p99_ms(times: &[Option<u64>]) -> u64 {
     let mut times: Vec<u64> = times.iter().flatten().copied().collect();
     times.sort_unstable();
     times.get(times.len() * 99 / 100).copied().unwrap_or(0)
 }
 
-impl Kind {
+impl BackendKind {
     fn behaviour(self) -> Backend {
         match self {
             Self::Runs => Backend::Runs(1.0),
-            Self::Slow => Backend::Runs(SLOWNESS),
+            Self::Slow => Backend::Runs(SLOW_FACTOR),
             Self::Refuses => Backend::Refuses,
             Self::Breaks => Backend::Breaks,
         }
--- a/dragonflyrun/tests/simulation/faults.rs
+++ b/dragonflyrun/tests/simulation/faults.rs
@@ -1,29 +1,29 @@
-//! Faults of processes, links and the log, drawn from the seed.
+//! Injects faults of processes, links and the log, drawn from the seed.
 
 use dragonflyrun::{Name, connection::Role};
 use rand::Rng;
 
 use super::{Event, Sim, nodes::NodeRole};
 
-/// How often which faults happen; shares in percent.
+/// The frequency of each kind of fault; message faults in percent of the messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// The mean time between two faults of processes, links or the log; 0 for none.
+    /// Mean time between two faults of processes, links or the log; 0 for no such faults.
     pub(crate) every_ms: u64,
-    /// Messages that are lost though their link lives on.
+    /// Messages that are lost although their link stays up.
     pub(crate) drop: f64,
     /// Messages that arrive twice.
     pub(crate) duplicate: f64,
-    /// Messages that arrive late, behind later ones.
+    /// Messages that are delayed and arrive after later ones.
     pub(crate) delay: f64,
-    /// Answers that arrive cut off.
+    /// Answers that arrive truncated.
     pub(crate) truncate: f64,
 }
 
 impl Sim {
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        self.fail(node);
+        self.apply_fault(node);
         let every = self.setup.faults.every_ms;
         let pause = self.rng.random_range(every / 2..every * 3 / 2);
         if self.now < self.setup.arrivals_until_ms {
@@ -31,16 +31,16 @@
         }
     }
 
-    fn fail(&mut self, node: usize) {
+    fn apply_fault(&mut self, node: usize) {
         match self.rng.random_range(0..16) {
             0 | 1 => self.restart(node),
             2..=6 => {
-                // A freeze that is made longer and longer would outlast what keys are remembered for.
+                // Repeatedly extended freezes could last longer than the owners keep the keys.
                 if self.now < self.nodes[node].frozen_until {
                     return;
                 }
-                let most = if self.chance(50.0) { 900 } else { 8_000 };
-                let until = self.now + self.rng.random_range(50..most);
+                let max_ms = if self.chance(50.0) { 900 } else { 8_000 };
+                let until = self.now + self.rng.random_range(50..max_ms);
                 self.nodes[node].frozen_until = until;
                 self.schedule(until, Event::Thaw);
             }
@@ -53,10 +53,10 @@
             }
             11..=14 => {
                 let until = self.now + self.rng.random_range(500..9_000);
-                self.lose_log(node, until);
+                self.disconnect_log(node, until);
                 let other = self.rng.random_range(0..self.nodes.len());
-                self.lose_log(other, until);
-                // What is cut off is likely to be taken from the owners meanwhile.
+                self.disconnect_log(other, until);
+                // An agent without access to the log is often removed from the owners.
                 if self.chance(20.0) {
                     self.change_ring(node);
                 }
@@ -65,34 +65,34 @@
         }
     }
 
-    /// Kills a process and starts another in its place; its backend server lives on.
+    /// Kills a process and starts another in its place; its backend server keeps running.
     fn restart(&mut self, node: usize) {
         for (entry, agent) in self.pairs_of(node) {
             self.link_down(entry, agent);
         }
         let mut lost = Vec::new();
-        if let NodeRole::Entry { tries, .. } = &self.nodes[node].role {
-            lost.extend(tries.values().copied());
+        if let NodeRole::Entry { attempts, .. } = &self.nodes[node].role {
+            lost.extend(attempts.values().copied());
         }
-        // Requests that the dead process had not read yet are lost with it too.
-        let unread = self.tries.iter().enumerate();
+        // Requests that the killed process had not read yet are lost as well.
+        let unread = self.attempts.iter().enumerate();
         lost.extend(
             unread
                 .filter(|(_, t)| t.entry == node && t.answer.is_none())
                 .map(|(i, _)| i),
         );
-        for number_of_try in lost {
-            self.tries[number_of_try].died = true;
+        for attempt_index in lost {
+            self.attempts[attempt_index].died = true;
         }
         self.start(node);
     }
 
-    fn lose_log(&mut self, node: usize, until: u64) {
+    fn disconnect_log(&mut self, node: usize, until: u64) {
         self.nodes[node].log_reachable = false;
         self.schedule(until, Event::LogUp { node });
     }
 
-    /// The agent `node` loses its keys, or gets some back.
+    /// Removes the agent `node` from the owners of keys, or adds it again.
     fn change_ring(&mut self, node: usize) {
         if self.is_entry(node) {
             return;
