--- a/dragonflyrun/benches/capacity.rs
+++ b/dragonflyrun/benches/capacity.rs
@@ -40,7 +40,7 @@
 const PAGE_BYTES: u64 = 4_096;
 
 /// Members on one worker at the size of two years on: 160,000 tasks on 5,500 workers.
-const MEMBERS: u32 = 29;
+const MEMBERS_PER_WORKER: u32 = 29;
 
 fn main() {
     println!(
@@ -53,13 +53,13 @@
     jobs();
 }
 
-fn row(what: &str, size: u32, time: Duration, bytes: u64) {
+fn print_row(what: &str, size: u32, time: Duration, bytes: u64) {
     let time = format!("{:.2} us", time.as_secs_f64() * 1e6);
     println!("{what:<44} {size:>10} {time:>14} {bytes:>12}");
 }
 
 /// Returns the time of one call, as the least mean of several runs of `calls` calls.
-fn time_of(calls: u32, mut call: impl FnMut(u32)) -> Duration {
+fn min_mean_time(calls: u32, mut call: impl FnMut(u32)) -> Duration {
     let run = |call: &mut dyn FnMut(u32)| {
         let start = Instant::now();
         (0..calls).for_each(call);
@@ -80,24 +80,24 @@
 }
 
 fn heartbeats() {
-    for members in [0, 1, MEMBERS] {
-        for whole in [false, true] {
-            let message = heartbeat(0, members, whole);
+    for members in [0, 1, MEMBERS_PER_WORKER] {
+        for full in [false, true] {
+            let message = heartbeat(0, members, full);
             let bytes = codec::encode(&message);
-            let encode = time_of(2_000, |_| {
+            let encode = min_mean_time(2_000, |_| {
                 black_box(codec::encode(black_box(&message)));
             });
-            let decode = time_of(2_000, |_| {
+            let decode = min_mean_time(2_000, |_| {
                 black_box(codec::decode::<Message>(black_box(&bytes)).ok());
             });
-            let kind = if whole { "with report" } else { "unchanged" };
-            row(
+            let kind = if full { "with report" } else { "unchanged" };
+            print_row(
                 &format!("heartbeat encode, {kind}, members"),
                 members,
                 encode,
                 bytes.len() as u64,
             );
-            row(
+            print_row(
                 &format!("heartbeat decode, {kind}, members"),
                 members,
                 decode,
@@ -112,22 +112,24 @@
         let before = resident_bytes();
         let mut roster = Roster::default();
         for worker in 0..workers {
-            roster.up(Timestamp::from_millis(1), peer(worker));
-            hear(&mut roster, worker, MEMBERS, true);
+            roster.link_up(Timestamp::from_millis(1), peer(worker));
+            apply_heartbeat(&mut roster, worker, MEMBERS_PER_WORKER, true);
         }
         let bytes = resident_bytes().saturating_sub(before) / u64::from(workers);
-        let unchanged = time_of(20_000, |i| hear(&mut roster, i % workers, MEMBERS, false));
-        row(
+        let unchanged = min_mean_time(20_000, |i| {
+            apply_heartbeat(&mut roster, i % workers, MEMBERS_PER_WORKER, false)
+        });
+        print_row(
             "roster, unchanged heartbeat; bytes a worker",
             workers,
             unchanged,
             bytes,
         );
         let now = Timestamp::from_millis(1_000);
-        let scan = time_of(20, |_| {
+        let scan = min_mean_time(20, |_| {
             black_box(roster.agents(now).count());
         });
-        row("roster, scan of all agents", workers, scan, 0);
+        print_row("roster, scan of all agents", workers, scan, 0);
     }
 }
 
@@ -137,19 +139,19 @@
     for tasks in [1, 8, 256] {
         let body = started(0, tasks);
         let data = key.seal(&id, &body);
-        let seal = time_of(1_000, |_| {
+        let seal = min_mean_time(1_000, |_| {
             black_box(key.seal(&id, black_box(&body)));
         });
-        let open = time_of(1_000, |_| {
+        let open = min_mean_time(1_000, |_| {
             black_box(dragonflyrun::connection::open(black_box(&data), SECRET).ok());
         });
-        row(
+        print_row(
             "record seal, job started, workers",
             tasks,
             seal,
             data.len() as u64,
         );
-        row(
+        print_row(
             "record open, job started, workers",
             tasks,
             open,
@@ -170,7 +172,7 @@
         }
         let time = start.elapsed() / count;
         let bytes = resident_bytes().saturating_sub(before) / u64::from(jobs);
-        row("ledger fold, a record; bytes a live job", jobs, time, bytes);
+        print_row("ledger fold, a record; bytes a live job", jobs, time, bytes);
     }
 }
 
@@ -223,18 +225,18 @@
     }
 }
 
-fn hear(roster: &mut Roster, worker: u32, members: u32, whole: bool) {
-    let Message::Heartbeat(heartbeat) = heartbeat(worker, members, whole) else {
+fn apply_heartbeat(roster: &mut Roster, worker: u32, members: u32, full: bool) {
+    let Message::Heartbeat(heartbeat) = heartbeat(worker, members, full) else {
         return;
     };
-    roster.heard(
+    roster.on_heartbeat(
         Timestamp::from_millis(500),
         &worker_name(worker),
         *heartbeat,
     );
 }
 
-fn heartbeat(worker: u32, members: u32, whole: bool) -> Message {
+fn heartbeat(worker: u32, members: u32, full: bool) -> Message {
     let report = || AgentReport {
         failure_domain: "judenburg".into(),
         rack: format!("judenburg-{}", worker / 3).into(),
@@ -260,7 +262,7 @@
             append_pending: false,
             version: 999_000,
         },
-        report: whole.then(|| Report::Agent(report())),
+        report: full.then(|| Report::Agent(report())),
     }))
 }
 
--- a/dragonflyrun/benches/config_fold.rs
+++ b/dragonflyrun/benches/config_fold.rs
@@ -23,12 +23,12 @@
 };
 
 const TEAMS: usize = 160;
-const WORKSPACES: u64 = 10;
-const SERVICES: u64 = 6;
+const WORKSPACES_PER_TEAM: u64 = 10;
+const SERVICES_PER_TEAM: u64 = 6;
 const EDITS: u32 = 12_000;
 
 fn section(team: usize, change: u32) -> Section {
-    let workspaces = (0..WORKSPACES)
+    let workspaces = (0..WORKSPACES_PER_TEAM)
         .map(|w| Workspace {
             name: format!("team-{team}-workspace-{w}").into(),
             guarantees: vec![
@@ -42,7 +42,7 @@
             quota_accelerators: Some(200 + change % 100),
         })
         .collect();
-    let services = (0..SERVICES)
+    let services = (0..SERVICES_PER_TEAM)
         .map(|s| Service {
             name: format!("team-{team}-service-{s}").into(),
             urgency: Urgency::Normal,
--- a/dragonflyrun/benches/gang_costs.rs
+++ b/dragonflyrun/benches/gang_costs.rs
@@ -129,7 +129,7 @@
                 role: Role::Agent,
                 incarnation: 1,
             };
-            entry.roster.up(Timestamp::from_millis(0), peer);
+            entry.roster.link_up(Timestamp::from_millis(0), peer);
             entry.beat(worker, Some(MemberState::Running));
         }
         entry
@@ -148,7 +148,7 @@
             log: LogView::default(),
             report: first.map(|first| self.report(worker, first)),
         };
-        self.roster.heard(now, &name(worker), heartbeat);
+        self.roster.on_heartbeat(now, &name(worker), heartbeat);
         let peer = self.roster.peer(&name(worker)).expect("it is linked");
         let notices = self.table.on_heartbeat(now, peer);
         let is_renewal = |m: &GangMessage| matches!(m, GangMessage::Renewal { .. });
--- a/dragonflyrun/src/job/timing.rs
+++ b/dragonflyrun/src/job/timing.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::process::FRESH;
+use crate::process::MAX_HEAD_AGE;
 
 /// How long a member may run after the last time at which all members were alive for certain.
 pub const GANG_LEASE: Duration = Duration::from_millis(3_000);
@@ -50,9 +50,9 @@
 /// Upper bound of the time from an edit that takes a failure domain out of service to the last
 /// start of a task in it.
 ///
-/// The agent's view of the log is at most [`FRESH`] old when it decides to start, and the worker
+/// The agent's view of the log is at most [`MAX_HEAD_AGE`] old when it decides to start, and the worker
 /// lease lapses [`WORKER_TTL`] after its last renewal, which precedes that decision.
-pub const START_BOUND: Duration = FRESH.saturating_add(WORKER_TTL);
+pub const START_BOUND: Duration = MAX_HEAD_AGE.saturating_add(WORKER_TTL);
 
 /// Time after which a member that no entry renews any more has stopped for certain.
 pub const LAPSE: Duration = GANG_LEASE
--- a/dragonflyrun/src/process/agent.rs
+++ b/dragonflyrun/src/process/agent.rs
@@ -73,11 +73,11 @@
 }
 
 impl Node for AgentNode {
-    fn on_up(&self, peer: &Peer) {
+    fn on_link_up(&self, peer: &Peer) {
         self.requests.on_peer_up(peer);
     }
 
-    fn on_down(&self, peer: &Peer) {
+    fn on_link_down(&self, peer: &Peer) {
         self.requests.on_peer_down(peer);
     }
 
--- a/dragonflyrun/src/process/agent_jobs.rs
+++ b/dragonflyrun/src/process/agent_jobs.rs
@@ -21,12 +21,12 @@
 const WORKER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Threads that call the worker.
-const CALLERS: usize = 4;
+const WORKER_CALL_THREADS: usize = 4;
 
 /// How long a stopping agent waits for its members to save their checkpoints.
-const STOP_WAIT: Duration = Duration::from_millis(5_000);
+const STOP_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The gang members of one agent.
 ///
@@ -60,7 +60,7 @@
             worker: worker.map(|address| WorkerClient::new(address, WORKER_TIMEOUT)),
         });
         let (calls, queue) = unbounded();
-        for _ in 0..CALLERS {
+        for _ in 0..WORKER_CALL_THREADS {
             let (shared, queue) = (shared.clone(), queue.clone());
             thread::Builder::new()
                 .name("worker_calls".to_owned())
@@ -118,9 +118,9 @@
     pub fn stop(&self) {
         self.drain();
         let start = Instant::now();
-        while lock(&self.shared.members).is_active() && start.elapsed() < STOP_WAIT {
+        while lock(&self.shared.members).is_active() && start.elapsed() < STOP_TIMEOUT {
             self.tick();
-            thread::sleep(STOP_POLL);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 }
@@ -136,16 +136,16 @@
     }
 
     fn run_call(&self, worker: &WorkerClient, call: WorkerCall) {
-        let asked = self.cx.now();
+        let called_at = self.cx.now();
         match call {
             WorkerCall::ListLeases => {
                 let view = worker.view();
-                lock(&self.members).on_leases(self.cx.now(), asked, &view);
+                lock(&self.members).on_leases(self.cx.now(), called_at, &view);
             }
             WorkerCall::Lease { number, lease, op } => {
-                if let Some(answer) = self.call_lease(worker, asked, number, &lease, &op) {
+                if let Some(answer) = self.call_lease(worker, called_at, number, &lease, &op) {
                     let mut members = lock(&self.members);
-                    members.on_answer(self.cx.now(), asked, number, &op, &answer);
+                    members.on_answer(self.cx.now(), called_at, number, &op, &answer);
                 }
             }
             WorkerCall::Remove { lease } => {
@@ -195,14 +195,14 @@
         let Some(gang) = lock(&self.members).gang(number).cloned() else {
             return false;
         };
-        let gate = self.gate(&gang);
-        let check = lock(&self.members).may_start(self.cx.now(), number, gate);
+        let conditions = self.start_conditions(&gang);
+        let check = lock(&self.members).may_start(self.cx.now(), number, conditions);
         if check != StartCheck::Start {
             log::info!(
                 job:% = gang.job,
                 attempt = gang.attempt,
                 check:? = check,
-                gate:? = gate;
+                gate:? = conditions;
                 "start_refused"
             );
             self.cx.counters.event("start_refused");
@@ -210,7 +210,7 @@
         check == StartCheck::Start
     }
 
-    fn gate(&self, gang: &GangId) -> StartConditions {
+    fn start_conditions(&self, gang: &GangId) -> StartConditions {
         let fresh = self.cx.is_fresh();
         let ledger = lock(&self.cx.ledger);
         let version = ledger.history.current();
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -36,19 +36,19 @@
 };
 
 /// How often a stop looks whether all requests have ended.
-const STOP_PAUSE: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time for which an owner is told what became of a key.
-const SETTLE: Duration = Duration::from_secs(30);
+const SETTLEMENT_TTL: Duration = Duration::from_secs(30);
 
 /// Settlements that wait for an entry to carry them, at the most.
-const SETTLEMENTS: usize = 64;
+const MAX_SETTLEMENTS: usize = 64;
 
 /// For how long a key is remembered whose service has left the document.
-const DEFAULT_WINDOW: Duration = Duration::from_secs(600);
+const DEFAULT_KEY_WINDOW: Duration = Duration::from_secs(600);
 
 /// Milliseconds after which a request may be tried elsewhere.
-const ELSEWHERE_RETRY_MS: u64 = 500;
+const OTHER_AGENT_RETRY_AFTER_MS: u64 = 500;
 
 /// Requests at one agent, and the keys that it owns.
 pub struct AgentRequests {
@@ -62,12 +62,12 @@
     table: AgentTable,
     owner: KeyOwner,
     /// What could not be told to a key's owner yet.
-    unsettled: Vec<Unsettled>,
+    pending_settlements: Vec<PendingSettlement>,
 }
 
-struct Unsettled {
+struct PendingSettlement {
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl AgentRequests {
@@ -80,7 +80,7 @@
         let inner = Inner {
             table: AgentTable::new(cx.identity.incarnation),
             owner: KeyOwner::new(&cx.identity, cx.now()),
-            unsettled: Vec::new(),
+            pending_settlements: Vec::new(),
         };
         Arc::new(Self {
             cx,
@@ -148,9 +148,9 @@
                 sent_ms,
                 deadline_ms,
             } => {
-                self.follow_ring();
+                self.update_ring();
                 let fresh = self.cx.is_fresh();
-                let window = self.window(&service);
+                let window = self.key_window(&service);
                 let claim = KeyClaim {
                     from: from.clone(),
                     id,
@@ -185,20 +185,20 @@
 
     /// Takes note that records of the log were folded; the owners of keys may have changed.
     pub fn on_folded(&self) {
-        self.follow_ring();
+        self.update_ring();
     }
 
     /// Does what time alone brings about; to be called every 100 ms.
     pub fn tick(self: &Arc<Self>) {
-        self.follow_ring();
-        let unsettled = self.decide(|now, inner| {
+        self.update_ring();
+        let pending_settlements = self.decide(|now, inner| {
             inner.table.tick(now);
             inner.owner.tick(now);
-            inner.unsettled.retain(|u| u.until > now);
-            std::mem::take(&mut inner.unsettled)
+            inner.pending_settlements.retain(|u| u.expires_at > now);
+            std::mem::take(&mut inner.pending_settlements)
         });
-        for settlement in unsettled {
-            self.tell_owner(settlement);
+        for settlement in pending_settlements {
+            self.send_settlement(settlement);
         }
     }
 
@@ -207,16 +207,16 @@
         lock(&self.inner).table.leave(self.cx.now());
     }
 
-    /// Refuses new requests and waits up to `most` until all others have ended and their answers
+    /// Refuses new requests and waits up to `timeout` until all others have ended and their answers
     /// have arrived; returns whether they have.
-    pub fn stop(&self, most: Duration) -> bool {
+    pub fn stop(&self, timeout: Duration) -> bool {
         self.leave();
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         while !lock(&self.inner).table.is_idle(self.cx.now()) {
             if Instant::now() >= end {
                 return false;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         true
     }
@@ -247,8 +247,11 @@
                 }
             }
             AgentAction::Settle(message) => {
-                let until = self.cx.now() + SETTLE;
-                self.tell_owner(Unsettled { message, until });
+                let expires_at = self.cx.now() + SETTLEMENT_TTL;
+                self.send_settlement(PendingSettlement {
+                    message,
+                    expires_at,
+                });
             }
         }
     }
@@ -267,14 +270,14 @@
         // This thread may have been frozen since the decision; the caller has long been answered.
         let may_start = lock(&self.inner).table.may_start(self.cx.now(), &order.id);
         let outcome = if may_start {
-            let most = self.cx.version().limits.body_bytes;
+            let max_body_bytes = self.cx.version().limits.body_bytes;
             let req = BackendRequest {
                 id: order.id.clone(),
                 service: order.service,
                 key: order.key,
                 body: order.body,
             };
-            run_at_backend(address, req, most)
+            run_at_backend(address, req, max_body_bytes)
         } else {
             not_run(NotRun::Deadline)
         };
@@ -308,7 +311,7 @@
             return;
         };
         let fresh = self.cx.is_fresh();
-        let window = self.window(&service);
+        let window = self.key_window(&service);
         let settled = KeyOutcome {
             service,
             key,
@@ -321,16 +324,16 @@
 
     /// Tells a key's owner what became of the key: this agent itself, or through an entry, since
     /// agents have no links to each other.
-    fn tell_owner(self: &Arc<Self>, settlement: Unsettled) {
+    fn send_settlement(self: &Arc<Self>, settlement: PendingSettlement) {
         let KeyMessage::Settle { service, key, .. } = &settlement.message else {
             return;
         };
-        let mine = {
+        let is_own_key = {
             let inner = lock(&self.inner);
             let owner = inner.owner.ring().and_then(|r| r.owner(service, key));
             owner == Some(&self.cx.identity.name)
         };
-        if mine {
+        if is_own_key {
             self.settle(settlement.message);
             return;
         }
@@ -344,12 +347,12 @@
             .iter()
             .any(|entry| self.cx.links.send(entry, message.clone()).is_ok());
         let mut inner = lock(&self.inner);
-        if !sent && inner.unsettled.len() < SETTLEMENTS {
-            inner.unsettled.push(settlement);
+        if !sent && inner.pending_settlements.len() < MAX_SETTLEMENTS {
+            inner.pending_settlements.push(settlement);
         }
     }
 
-    fn follow_ring(&self) {
+    fn update_ring(&self) {
         let ledger = lock(&self.cx.ledger);
         let membership = &ledger.membership;
         let mut inner = lock(&self.inner);
@@ -360,16 +363,18 @@
         }
     }
 
-    fn window(&self, service: &Name) -> Duration {
+    fn key_window(&self, service: &Name) -> Duration {
         let version = self.cx.version();
         let service = version.service(service);
-        service.map_or(DEFAULT_WINDOW, |s| Duration::from_millis(s.key_window_ms))
+        service.map_or(DEFAULT_KEY_WINDOW, |s| {
+            Duration::from_millis(s.key_window_ms)
+        })
     }
 }
 
 const fn not_run(reason: NotRun) -> Outcome {
     Outcome::NotRun {
         reason,
-        retry_after_ms: ELSEWHERE_RETRY_MS,
+        retry_after_ms: OTHER_AGENT_RETRY_AFTER_MS,
     }
 }
--- a/dragonflyrun/src/process/appender.rs
+++ b/dragonflyrun/src/process/appender.rs
@@ -19,16 +19,16 @@
 };
 
 /// Records in one append, at the most.
-const BATCH_RECORDS: usize = 64;
+const MAX_BATCH_RECORDS: usize = 64;
 
 /// How long a record whose answer was lost is looked for and appended again.
-const UNCERTAIN_FOR: Duration = Duration::from_secs(8);
+const UNCERTAIN_RETRY_PERIOD: Duration = Duration::from_secs(8);
 
 /// Pause before a record whose answer was lost is appended again, so that the reader can find it.
-const UNCERTAIN_PAUSE: Duration = Duration::from_millis(400);
+const UNCERTAIN_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// How often the appender looks whether the process stops.
-const STOP_POLL: Duration = Duration::from_millis(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 quick_error! {
     /// Why a record is not known to be on the log.
@@ -48,14 +48,14 @@
 /// The queue of records that this process appends.
 pub struct Appender {
     key: AuthorKey,
-    tx: Sender<Pending>,
-    rx: Receiver<Pending>,
+    tx: Sender<QueuedRecord>,
+    rx: Receiver<QueuedRecord>,
     waiters: Mutex<HashMap<Name, Sender<Result<Folded, AppendError>>>>,
-    unseen: Mutex<HashSet<Name>>,
+    not_folded: Mutex<HashSet<Name>>,
     stopping: AtomicBool,
 }
 
-struct Pending {
+struct QueuedRecord {
     id: Name,
     data: String,
 }
@@ -69,7 +69,7 @@
             tx,
             rx,
             waiters: Mutex::default(),
-            unseen: Mutex::default(),
+            not_folded: Mutex::default(),
             stopping: AtomicBool::new(false),
         }
     }
@@ -103,7 +103,7 @@
     /// Takes note that a record was folded, and wakes whoever waits for it.
     pub fn on_folded(&self, folded: &Folded) {
         let id = &folded.record.id;
-        lock(&self.unseen).remove(id);
+        lock(&self.not_folded).remove(id);
         if let Some(tx) = lock(&self.waiters).remove(id) {
             // Whoever waited may have given up in the meantime.
             let _ = tx.try_send(Ok(folded.clone()));
@@ -115,16 +115,16 @@
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Appends what is queued until [`Appender::stop`]; `pending` is told whenever it becomes or
-    /// ceases to be possible that an append took effect unseen, `failed` of each record given up.
+    /// Appends what is queued until [`Appender::stop`]; `on_uncertain` is called whenever it becomes or
+    /// ceases to be possible that an append took effect unseen, `on_failed` for each record given up.
     pub fn run(
         &self,
         log: &LogClient,
-        pending: impl Fn(bool),
-        failed: impl Fn(&Name, &AppendError),
+        on_uncertain: impl Fn(bool),
+        on_failed: impl Fn(&Name, &AppendError),
     ) {
         loop {
-            let Ok(first) = self.rx.recv_timeout(STOP_POLL) else {
+            let Ok(first) = self.rx.recv_timeout(STOP_POLL_INTERVAL) else {
                 if self.stopping.load(Ordering::Relaxed) {
                     return;
                 }
@@ -132,70 +132,70 @@
             };
             // While one append is under way the queue fills, so the next one takes more: under
             // load the number of appends stays far below the number of records.
-            let rest = self.rx.try_iter().take(BATCH_RECORDS - 1);
-            let batch: Vec<Pending> = std::iter::once(first).chain(rest).collect();
-            self.append_batch(log, batch, &pending, &failed);
+            let rest = self.rx.try_iter().take(MAX_BATCH_RECORDS - 1);
+            let batch: Vec<QueuedRecord> = std::iter::once(first).chain(rest).collect();
+            self.append_batch(log, batch, &on_uncertain, &on_failed);
         }
     }
 
     fn append_batch(
         &self,
         log: &LogClient,
-        mut batch: Vec<Pending>,
-        pending: &impl Fn(bool),
-        failed: &impl Fn(&Name, &AppendError),
+        mut batch: Vec<QueuedRecord>,
+        on_uncertain: &impl Fn(bool),
+        on_failed: &impl Fn(&Name, &AppendError),
     ) {
         let start = Instant::now();
         let mut uncertain = false;
         while !batch.is_empty() {
             let data: Vec<String> = batch.iter().map(|p| p.data.clone()).collect();
-            lock(&self.unseen).extend(batch.iter().map(|p| p.id.clone()));
+            lock(&self.not_folded).extend(batch.iter().map(|p| p.id.clone()));
             match log.append(&data) {
                 Ok(_) => break,
                 // An earlier try whose answer was lost may still have taken effect.
                 Err(LogError::Refused(reason)) if !uncertain => {
                     let error = AppendError::Refused(reason);
-                    self.give_up(&batch, &error, failed);
+                    self.fail_batch(&batch, &error, on_failed);
                     return;
                 }
                 Err(error) => {
                     log::warn!(records = batch.len(), error:% = error; "append_uncertain");
                     uncertain = true;
-                    pending(true);
+                    on_uncertain(true);
                 }
             }
             // The reader may find the records on the log; those are done. Appending the others
             // again is harmless, since every reader drops a second copy of an id.
-            std::thread::sleep(UNCERTAIN_PAUSE);
-            self.drop_seen(&mut batch);
-            if start.elapsed() > UNCERTAIN_FOR {
-                self.give_up(&batch, &AppendError::Uncertain, failed);
+            std::thread::sleep(UNCERTAIN_RETRY_DELAY);
+            self.drop_folded(&mut batch);
+            if start.elapsed() > UNCERTAIN_RETRY_PERIOD {
+                self.fail_batch(&batch, &AppendError::Uncertain, on_failed);
                 return;
             }
         }
         if uncertain {
-            pending(false);
+            on_uncertain(false);
         }
     }
 
-    fn drop_seen(&self, batch: &mut Vec<Pending>) {
-        let unseen = lock(&self.unseen);
-        batch.retain(|p| unseen.contains(&p.id));
+    fn drop_folded(&self, batch: &mut Vec<QueuedRecord>) {
+        let not_folded = lock(&self.not_folded);
+        batch.retain(|p| not_folded.contains(&p.id));
     }
 
-    fn give_up(
+    fn fail_batch(
         &self,
-        batch: &[Pending],
+        batch: &[QueuedRecord],
         error: &AppendError,
-        failed: &impl Fn(&Name, &AppendError),
+        on_failed: &impl Fn(&Name, &AppendError),
     ) {
-        for Pending { id, .. } in batch {
-            lock(&self.unseen).remove(id);
+        for QueuedRecord { id, .. } in batch {
+            lock(&self.not_folded).remove(id);
             if let Some(tx) = lock(&self.waiters).remove(id) {
                 let _ = tx.try_send(Err(error.clone()));
             }
             log::warn!(id:% = id, error:% = error; "append_failed");
-            failed(id, error);
+            on_failed(id, error);
         }
     }
 
@@ -205,11 +205,11 @@
     }
 
     fn queue(&self, id: &Name, body: &RecordBody) {
-        let pending = Pending {
+        let record = QueuedRecord {
             id: id.clone(),
             data: self.key.seal(id, body),
         };
         // The receiver lives as long as the sender, in the same struct.
-        let _ = self.tx.send(pending);
+        let _ = self.tx.send(record);
     }
 }
--- a/dragonflyrun/src/process/cli.rs
+++ b/dragonflyrun/src/process/cli.rs
@@ -14,7 +14,7 @@
 };
 
 /// Bytes of the settings file, at the most.
-const SETTINGS_BYTES: u64 = 1 << 20;
+const MAX_SETTINGS_BYTES: u64 = 1 << 20;
 
 /// The daemon's options; each overrides the field of the same name in the settings file.
 #[derive(Debug, Default, Options)]
@@ -65,21 +65,21 @@
             Some(path) => read(path)?,
             None => Config::default(),
         };
-        let over = Config {
+        let overrides = Config {
             name: self.name.map(Into::into),
             http: self.http,
             peers: self.peers,
             log: self.log,
             ..Config::default()
         };
-        Settings::check(file.merge(over))
+        Settings::check(file.merge(overrides))
     }
 }
 
 fn read(path: &PathBuf) -> Result<Config, SettingsError> {
     let place = path.display().to_string();
     let length = fs::metadata(path).map_err(|e| finding(&place, &e))?.len();
-    if length > SETTINGS_BYTES {
+    if length > MAX_SETTINGS_BYTES {
         return Err(finding(&place, &"The file is longer than 1 MiB."));
     }
     let text = fs::read(path).map_err(|e| finding(&place, &e))?;
--- a/dragonflyrun/src/process/config.rs
+++ b/dragonflyrun/src/process/config.rs
@@ -46,25 +46,25 @@
 }
 
 impl Config {
-    /// Returns `self` with what `over` sets in place of its own.
-    pub fn merge(self, over: Self) -> Self {
+    /// Returns `self` with what `overrides` sets in place of its own.
+    pub fn merge(self, overrides: Self) -> Self {
         Self {
-            role: over.role.or(self.role),
-            name: over.name.or(self.name),
-            http: over.http.or(self.http),
-            peers: over.peers.or(self.peers),
-            advertise: over.advertise.or(self.advertise),
-            log: over.log.or(self.log),
-            secret: over.secret.or(self.secret),
-            entries: over.entries.or(self.entries),
-            failure_domain: over.failure_domain.or(self.failure_domain),
-            rack: over.rack.or(self.rack),
-            worker: over.worker.or(self.worker),
-            connections: over.connections.or(self.connections),
-            http_timeout_ms: over.http_timeout_ms.or(self.http_timeout_ms),
-            log_timeout_ms: over.log_timeout_ms.or(self.log_timeout_ms),
-            quiet_ms: over.quiet_ms.or(self.quiet_ms),
-            threads: over.threads.or(self.threads),
+            role: overrides.role.or(self.role),
+            name: overrides.name.or(self.name),
+            http: overrides.http.or(self.http),
+            peers: overrides.peers.or(self.peers),
+            advertise: overrides.advertise.or(self.advertise),
+            log: overrides.log.or(self.log),
+            secret: overrides.secret.or(self.secret),
+            entries: overrides.entries.or(self.entries),
+            failure_domain: overrides.failure_domain.or(self.failure_domain),
+            rack: overrides.rack.or(self.rack),
+            worker: overrides.worker.or(self.worker),
+            connections: overrides.connections.or(self.connections),
+            http_timeout_ms: overrides.http_timeout_ms.or(self.http_timeout_ms),
+            log_timeout_ms: overrides.log_timeout_ms.or(self.log_timeout_ms),
+            quiet_ms: overrides.quiet_ms.or(self.quiet_ms),
+            threads: overrides.threads.or(self.threads),
         }
     }
 }
--- a/dragonflyrun/src/process/context.rs
+++ b/dragonflyrun/src/process/context.rs
@@ -60,7 +60,7 @@
         if ledger.history.unsupported_format().is_some() {
             return Err("the document is in a format of a later release");
         }
-        if !ledger.is_whole() {
+        if !ledger.is_complete() {
             return Err("records of the log were missed, waiting for the planner to repeat them");
         }
         if ledger.history.current().offset == 0 {
@@ -80,7 +80,7 @@
         let (next_offset, names) = {
             let ledger = lock(&self.ledger);
             // It may have missed that a failure domain was taken out or a planner replaced.
-            if !ledger.is_whole() {
+            if !ledger.is_complete() {
                 return false;
             }
             let names: Vec<Name> = ledger.membership.entries().keys().cloned().collect();
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -34,28 +34,28 @@
 };
 
 /// Events that wait for one thread of the pool, at the most.
-const LANE_EVENTS: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// Time between two ticks of the role.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often a thread of the pool looks whether the process stops.
-const STOP_POLL: Duration = Duration::from_millis(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time after which a silent peer whose link has ended is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+const REMOVE_PEER_AFTER: Duration = Duration::from_secs(120);
 
 /// Bytes of one body, at the most. The document's limit may be lower.
-const BODY_BYTES: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Bytes of all bodies that the HTTP listener holds at once, at the most.
-const HELD_BYTES: usize = 96 << 20;
+const MAX_TOTAL_BODY_BYTES: usize = 96 << 20;
 
 /// Time for which a stopping process waits for its callers to read their answers.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time for which a leaving process stays, so that its last heartbeats and answers arrive.
-const LEAVE_LINGER: Duration = Duration::from_millis(300);
+const FINAL_SEND_TIME: Duration = Duration::from_millis(300);
 
 quick_error! {
     /// Why a process did not start.
@@ -90,8 +90,9 @@
     ///
     /// Any [`StartError`]; nothing of the process is left running then.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
-        let (lanes, queues): (Vec<_>, Vec<_>) =
-            (0..settings.threads).map(|_| bounded(LANE_EVENTS)).unzip();
+        let (lanes, queues): (Vec<_>, Vec<_>) = (0..settings.threads)
+            .map(|_| bounded(MAX_QUEUED_EVENTS))
+            .unzip();
         let cx = Arc::new(context(settings, lanes)?);
         let peers = listen(&cx)?;
         let node = node(&cx)?;
@@ -141,7 +142,7 @@
         if !self.http.drain(READ_TIMEOUT) {
             log::warn!(in_flight = self.http.in_flight(); "answers_not_read");
         }
-        thread::sleep(LEAVE_LINGER);
+        thread::sleep(FINAL_SEND_TIME);
         self.stopping.store(true, Ordering::Relaxed);
         self.cx.appender.stop();
         for handle in self.threads {
@@ -152,21 +153,21 @@
     }
 
     fn spawn_threads(&mut self, queues: Vec<Receiver<LinkEvent>>) -> Result<(), StartError> {
-        let beats = Arc::new(Shared {
+        let thread_context = Arc::new(ThreadContext {
             cx: self.cx.clone(),
             node: self.node.clone(),
         });
         let (cx, node, stopping) = (&self.cx, &self.node, &self.stopping);
         let threads = &mut self.threads;
         for queue in queues {
-            let (shared, stop) = (beats.clone(), stopping.clone());
+            let (shared, stop) = (thread_context.clone(), stopping.clone());
             spawn(threads, "pool", move || shared.handle_events(&queue, &stop))?;
         }
-        let (shared, stop) = (beats.clone(), stopping.clone());
+        let (shared, stop) = (thread_context.clone(), stopping.clone());
         spawn(threads, "heartbeats", move || {
             Heartbeats::new(&shared.cx, &*shared.node).run(&stop);
         })?;
-        let (shared, stop) = (beats, stopping.clone());
+        let (shared, stop) = (thread_context, stopping.clone());
         spawn(threads, "log_reader", move || {
             LogReader::new(&shared.cx, &*shared.node).run(&stop);
         })?;
@@ -180,15 +181,15 @@
 }
 
 /// What the threads of the pool work on.
-struct Shared {
+struct ThreadContext {
     cx: Arc<Context>,
     node: Arc<dyn Node>,
 }
 
-impl Shared {
+impl ThreadContext {
     fn handle_events(&self, queue: &Receiver<LinkEvent>, stopping: &AtomicBool) {
         loop {
-            match queue.recv_timeout(STOP_POLL) {
+            match queue.recv_timeout(STOP_POLL_INTERVAL) {
                 Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) if !stopping.load(Ordering::Relaxed) => {}
                 Err(_) => return,
@@ -199,12 +200,12 @@
     fn handle(&self, event: LinkEvent) {
         match event {
             LinkEvent::Up { peer } => {
-                lock(&self.cx.roster).up(self.cx.now(), peer.clone());
-                self.node.on_up(&peer);
+                lock(&self.cx.roster).link_up(self.cx.now(), peer.clone());
+                self.node.on_link_up(&peer);
             }
             LinkEvent::Down { peer } => {
-                lock(&self.cx.roster).down(&peer);
-                self.node.on_down(&peer);
+                lock(&self.cx.roster).link_down(&peer);
+                self.node.on_link_down(&peer);
             }
             LinkEvent::Received { from, message } => self.receive(&from, message),
         }
@@ -217,7 +218,7 @@
                 let view = heartbeat.log;
                 let confirmed = {
                     let mut roster = lock(&self.cx.roster);
-                    roster.heard(self.cx.now(), from, *heartbeat);
+                    roster.on_heartbeat(self.cx.now(), from, *heartbeat);
                     roster.peer(from).and_then(|p| p.confirmed)
                 };
                 reader.on_view(from, &view, confirmed);
@@ -284,8 +285,8 @@
 fn serve_http(cx: &Arc<Context>, node: &Arc<dyn Node>) -> Result<HttpServer, StartError> {
     let limits = HttpLimits {
         connections: cx.settings.connections,
-        body_bytes: BODY_BYTES,
-        held_bytes: HELD_BYTES,
+        body_bytes: MAX_BODY_BYTES,
+        held_bytes: MAX_TOTAL_BODY_BYTES,
         pause: cx.settings.http_timeout,
     };
     let address = cx.settings.http;
@@ -301,23 +302,23 @@
 fn append(cx: &Context, node: &dyn Node) {
     cx.appender.run(
         &cx.log,
-        |pending| lock(&cx.freshness).append_pending(cx.now(), pending),
+        |pending| lock(&cx.freshness).set_append_pending(cx.now(), pending),
         |id, error| node.on_append_failed(id, error),
     );
 }
 
 fn tick(cx: &Context, node: &dyn Node, stopping: &AtomicBool) {
     while !stopping.load(Ordering::Relaxed) {
-        lock(&cx.roster).forget(cx.now(), FORGET_AFTER);
-        cx.links.dial(&wanted_links(cx));
+        lock(&cx.roster).remove_silent(cx.now(), REMOVE_PEER_AFTER);
+        cx.links.dial(&entries_to_dial(cx));
         node.tick();
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
 }
 
 /// Returns the entries to dial. An agent dials all. Of two entries the one with the smaller address
 /// dials the other, so that there is one link between them.
-fn wanted_links(cx: &Context) -> Vec<SocketAddr> {
+fn entries_to_dial(cx: &Context) -> Vec<SocketAddr> {
     let known: Vec<SocketAddr> = {
         let ledger = lock(&cx.ledger);
         let entries = ledger.membership.entries();
--- a/dragonflyrun/src/process/entry.rs
+++ b/dragonflyrun/src/process/entry.rs
@@ -45,11 +45,11 @@
 }
 
 impl Node for EntryNode {
-    fn on_up(&self, peer: &Peer) {
+    fn on_link_up(&self, peer: &Peer) {
         self.requests.on_peer_up(peer);
     }
 
-    fn on_down(&self, peer: &Peer) {
+    fn on_link_down(&self, peer: &Peer) {
         self.requests.on_peer_down(peer);
         self.jobs.on_peer_down(peer);
     }
--- a/dragonflyrun/src/process/entry_http.rs
+++ b/dragonflyrun/src/process/entry_http.rs
@@ -11,12 +11,12 @@
 };
 
 /// Characters of a key, at the most.
-const KEY_BYTES: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// Milliseconds after which a malformed request may be sent again, mended.
-const MALFORMED_RETRY_MS: u64 = 10_000;
+const MALFORMED_RETRY_AFTER_MS: u64 = 10_000;
 
-const OUTCOME: HeaderName = HeaderName::from_static("dragonfly-outcome");
+const OUTCOME_HEADER: HeaderName = HeaderName::from_static("dragonfly-outcome");
 
 /// Returns the service that a path of the form `/v1/services/{service}/requests` names.
 pub fn requested_service(path: &str) -> Option<&str> {
@@ -27,16 +27,16 @@
 
 /// Reads a caller's request from its headers.
 pub(super) fn caller_request(service: &str, req: HttpRequest) -> Result<CallerRequest, Refusal> {
-    let malformed = Refusal::new(NotRun::Malformed, MALFORMED_RETRY_MS);
-    let key = optional(&req, "idempotency-key", |text| {
-        let fits = !text.is_empty() && text.len() <= KEY_BYTES;
+    let malformed = Refusal::new(NotRun::Malformed, MALFORMED_RETRY_AFTER_MS);
+    let key = optional_header(&req, "idempotency-key", |text| {
+        let fits = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
         fits.then(|| Name::from(text))
     });
-    let attempt = optional(&req, "dragonfly-attempt", |text| {
+    let attempt = optional_header(&req, "dragonfly-attempt", |text| {
         text.parse().ok().filter(|attempt| *attempt > 0)
     });
-    let deadline_ms = optional(&req, "dragonfly-deadline-ms", |text| text.parse().ok());
-    let urgency = optional(&req, "dragonfly-urgency", urgency);
+    let deadline_ms = optional_header(&req, "dragonfly-deadline-ms", |text| text.parse().ok());
+    let urgency = optional_header(&req, "dragonfly-urgency", urgency);
     let (key, attempt) = (key.ok_or(malformed)?, attempt.ok_or(malformed)?);
     // Taken for a first attempt, a repeat by a caller who does not count could be granted by an
     // owner that does not know of the first, and a forest owner would be paid twice.
@@ -54,7 +54,7 @@
 }
 
 /// Reads a header that need not be there; none where it is there and can't be read.
-fn optional<T>(
+fn optional_header<T>(
     req: &HttpRequest,
     name: &str,
     read: impl Fn(&str) -> Option<T>,
@@ -76,7 +76,7 @@
 
 /// What a caller reads in an answer other than "done".
 #[derive(Serialize)]
-struct NotDone {
+struct FailureBody {
     outcome: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     reason: Option<NotRun>,
@@ -92,30 +92,31 @@
     match outcome {
         Outcome::Done { status, body, .. } => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            HttpResponse::bytes(status, body).with_header(OUTCOME, "done")
+            HttpResponse::bytes(status, body).with_header(OUTCOME_HEADER, "done")
         }
         Outcome::NotRun {
             reason,
             retry_after_ms,
         } => {
-            let answer = NotDone {
+            let answer = FailureBody {
                 outcome: "not_run",
                 reason: Some(reason),
                 retry_after_ms: Some(retry_after_ms),
                 next_attempt: attempt,
             };
             HttpResponse::json(not_run_status(reason), &answer)
-                .with_header(OUTCOME, "not-run")
+                .with_header(OUTCOME_HEADER, "not-run")
                 .with_retry_after(retry_after_ms)
         }
         Outcome::Unknown => {
-            let answer = NotDone {
+            let answer = FailureBody {
                 outcome: "unknown",
                 reason: None,
                 retry_after_ms: None,
                 next_attempt: attempt.saturating_add(1),
             };
-            HttpResponse::json(StatusCode::BAD_GATEWAY, &answer).with_header(OUTCOME, "unknown")
+            HttpResponse::json(StatusCode::BAD_GATEWAY, &answer)
+                .with_header(OUTCOME_HEADER, "unknown")
         }
     }
 }
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -23,26 +23,26 @@
         JobStatus,
         JobsAnswer,
         TickView,
-        carried_body,
         lock, //
+        state_to_repeat,
     },
     utils::Name,
 };
 
 /// How long a submitter waits for its job to be on the log.
-const ACCEPT_WAIT: Duration = Duration::from_secs(10);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which a job that was refused is worth another attempt.
-const RETRY_LOG_MS: u64 = 2_000;
-const RETRY_FRESH_MS: u64 = 1_000;
-const RETRY_LIMIT_MS: u64 = 5_000;
+const LOG_RETRY_AFTER_MS: u64 = 2_000;
+const FRESHNESS_RETRY_AFTER_MS: u64 = 1_000;
+const LIMIT_RETRY_AFTER_MS: u64 = 5_000;
 
 /// Characters of a job's name, at the most; it is part of the names of leases.
-const JOB_NAME: usize = 128;
+const MAX_JOB_NAME_BYTES: usize = 128;
 
 /// Bytes of a job's program and workspace together, at the most: its record has to fit on the log
 /// many times over.
-const JOB_TEXT: usize = 64 << 10;
+const MAX_JOB_TEXT_BYTES: usize = 64 << 10;
 
 /// The jobs of one entry.
 pub struct EntryJobs {
@@ -75,14 +75,14 @@
         if self.leaving.load(Ordering::Relaxed) {
             return;
         }
-        let notices = {
+        let messages = {
             let roster = lock(&self.cx.roster);
             let Some(peer) = roster.peer(from).filter(|p| p.peer.role == Role::Agent) else {
                 return;
             };
             lock(&self.table).on_heartbeat(self.cx.now(), peer)
         };
-        for AgentMessage { to, message } in notices {
+        for AgentMessage { to, message } in messages {
             self.send(&to, message);
         }
     }
@@ -90,7 +90,7 @@
     /// Takes note that the link to a peer ended.
     pub fn on_peer_down(&self, peer: &Peer) {
         if peer.role == Role::Agent {
-            lock(&self.table).on_down(self.cx.now(), &peer.name);
+            lock(&self.table).on_link_down(self.cx.now(), &peer.name);
         }
     }
 
@@ -118,15 +118,15 @@
             let me = &self.cx.identity.name;
             TickView::read(self.cx.now(), me, fresh, &ledger, &roster)
         };
-        let mut carried = Vec::new();
+        let mut items_to_repeat = Vec::new();
         {
             let mut table = lock(&self.table);
             for action in table.tick(self.cx.now(), &view) {
-                self.follow(&mut table, action, &mut carried);
+                self.perform(&mut table, action, &mut items_to_repeat);
             }
         }
-        for item in carried {
-            self.carry(item);
+        for item in items_to_repeat {
+            self.repeat(item);
         }
     }
 
@@ -147,7 +147,7 @@
         let answer = self.append(job.clone(), body);
         // Somebody else may have taken the name in the meantime.
         match lock(&self.cx.ledger).jobs.live(&job) {
-            Some(live) if live.spec != spec => taken(),
+            Some(live) if live.spec != spec => name_taken(),
             _ => answer,
         }
     }
@@ -204,22 +204,27 @@
 
     /// Carries out an action while the table is locked, so that a record can't be folded before
     /// the planner knows its id. None of this waits.
-    fn follow(&self, table: &mut GangTable, action: PlannerAction, carried: &mut Vec<Item>) {
+    fn perform(
+        &self,
+        table: &mut GangTable,
+        action: PlannerAction,
+        items_to_repeat: &mut Vec<Item>,
+    ) {
         match action {
             PlannerAction::Send(AgentMessage { to, message }) => self.send(&to, message),
             PlannerAction::Append { body, purpose } => {
                 let id = self.cx.appender.append(*body);
                 table.appended(id, purpose);
             }
-            PlannerAction::Repeat(item) => carried.push(item),
+            PlannerAction::Repeat(item) => items_to_repeat.push(item),
         }
     }
 
     /// Repeats a state as the ledger has it now.
-    fn carry(&self, item: Item) {
+    fn repeat(&self, item: Item) {
         let body = {
             let ledger = lock(&self.cx.ledger);
-            carried_body(&ledger, &item)
+            state_to_repeat(&ledger, &item)
         };
         if let Some(body) = body {
             let mut table = lock(&self.table);
@@ -231,24 +236,27 @@
     /// Returns the answer to a job that is not to be put on the log.
     fn refuse(&self, job: &JobId, spec: &JobSpec) -> Option<JobAnswer> {
         if self.leaving.load(Ordering::Relaxed) {
-            return Some(not_run(JobRefusal::Leaving, Some(RETRY_FRESH_MS)));
+            return Some(not_run(JobRefusal::Leaving, Some(FRESHNESS_RETRY_AFTER_MS)));
         }
         if !is_job_name(job) {
             let rule = "a job's name has up to 128 letters, digits, '.', '_' and '-'";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
-        if spec.program.len() + spec.workspace.len() > JOB_TEXT {
+        if spec.program.len() + spec.workspace.len() > MAX_JOB_TEXT_BYTES {
             let rule = "a job's program and workspace have up to 65,536 bytes";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
         if !self.cx.is_fresh() {
-            return Some(not_run(JobRefusal::NotFresh, Some(RETRY_FRESH_MS)));
+            return Some(not_run(
+                JobRefusal::NotFresh,
+                Some(FRESHNESS_RETRY_AFTER_MS),
+            ));
         }
         {
             let ledger = lock(&self.cx.ledger);
             if let Some(live) = ledger.jobs.live(job) {
                 let same = live.spec == *spec;
-                return Some(if same { accepted(job) } else { taken() });
+                return Some(if same { accepted(job) } else { name_taken() });
             }
             if ledger.jobs.ended(job).is_some() {
                 return Some(accepted(job));
@@ -258,17 +266,19 @@
                 return Some(not_run(JobRefusal::UnknownWorkspace, None));
             }
             if ledger.jobs.all_live().count() >= version.limits.live_jobs as usize {
-                return Some(not_run(JobRefusal::TooManyJobs, Some(RETRY_LIMIT_MS)));
+                return Some(not_run(JobRefusal::TooManyJobs, Some(LIMIT_RETRY_AFTER_MS)));
             }
         }
-        let why = lock(&self.table).possible(spec).err()?;
+        let why = lock(&self.table).check_possible(spec).err()?;
         Some(not_run(JobRefusal::Impossible(why), None))
     }
 
     fn append(&self, job: JobId, body: RecordBody) -> JobAnswer {
-        match self.cx.appender.append_and_wait(body, ACCEPT_WAIT) {
+        match self.cx.appender.append_and_wait(body, ACCEPT_TIMEOUT) {
             Ok(_) => JobAnswer::Accepted { job },
-            Err(AppendError::Refused(_)) => not_run(JobRefusal::LogUnavailable, Some(RETRY_LOG_MS)),
+            Err(AppendError::Refused(_)) => {
+                not_run(JobRefusal::LogUnavailable, Some(LOG_RETRY_AFTER_MS))
+            }
             Err(AppendError::Uncertain) => JobAnswer::Unknown { job },
         }
     }
@@ -292,7 +302,7 @@
 
 fn is_job_name(name: &str) -> bool {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    !name.is_empty() && name.len() <= JOB_NAME && name.chars().all(is_plain)
+    !name.is_empty() && name.len() <= MAX_JOB_NAME_BYTES && name.chars().all(is_plain)
 }
 
 fn status(live: &LiveJob) -> JobStatus {
@@ -314,7 +324,7 @@
     JobAnswer::Accepted { job: job.clone() }
 }
 
-fn taken() -> JobAnswer {
+fn name_taken() -> JobAnswer {
     let rule = "the name is that of another job";
     not_run(JobRefusal::Malformed(rule.to_owned()), None)
 }
--- a/dragonflyrun/src/process/entry_presence.rs
+++ b/dragonflyrun/src/process/entry_presence.rs
@@ -13,11 +13,11 @@
 };
 
 /// Pause before a record that has not been folded is appended again.
-const APPEND_PAUSE: Duration = Duration::from_secs(5);
+const APPEND_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Silence after which the planner removes an entry from the list. One that was only cut off joins
 /// again when it reads of its removal.
-const REMOVE_AFTER: Duration = Duration::from_secs(30);
+const REMOVE_ENTRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Keeps the list of entries on the log true.
 pub(crate) struct EntryPresence {
@@ -47,14 +47,14 @@
         let now = self.cx.now();
         let due = lock(&self.table)
             .last_append
-            .is_none_or(|at| now.since(at) >= APPEND_PAUSE);
+            .is_none_or(|at| now.since(at) >= APPEND_RETRY_DELAY);
         if !due {
             return;
         }
         if !self.is_listed() {
             self.join(now);
         } else if self.is_planner() {
-            self.remove_gone(now);
+            self.remove_silent(now);
         }
     }
 
@@ -87,19 +87,19 @@
         });
     }
 
-    fn remove_gone(&self, now: Timestamp) {
+    fn remove_silent(&self, now: Timestamp) {
         let listed: Vec<Name> = {
             let ledger = lock(&self.cx.ledger);
             ledger.membership.entries().keys().cloned().collect()
         };
-        for entry in self.gone(now, &listed) {
+        for entry in self.silent_entries(now, &listed) {
             log::warn!(entry:% = entry; "entry_gone");
             lock(&self.table).last_append = Some(now);
             self.cx.appender.append(RecordBody::EntryLeft { entry });
         }
     }
 
-    fn gone(&self, now: Timestamp, listed: &[Name]) -> Vec<Name> {
+    fn silent_entries(&self, now: Timestamp, listed: &[Name]) -> Vec<Name> {
         let live: Vec<bool> = {
             let roster = lock(&self.cx.roster);
             listed
@@ -118,7 +118,7 @@
         }
         let silent = table.silent_since.iter();
         silent
-            .filter(|(_, since)| now.since(**since) >= REMOVE_AFTER)
+            .filter(|(_, since)| now.since(**since) >= REMOVE_ENTRY_AFTER)
             .map(|(entry, _)| entry.clone())
             .collect()
     }
--- a/dragonflyrun/src/process/entry_requests.rs
+++ b/dragonflyrun/src/process/entry_requests.rs
@@ -41,7 +41,7 @@
 };
 
 /// How often a stop looks whether all requests have their answers.
-const STOP_PAUSE: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The number of a caller's first attempt.
 const FIRST_ATTEMPT: u32 = 1;
@@ -102,9 +102,9 @@
     pub fn submit(&self, req: CallerRequest) -> Outcome {
         let log = self.log_state();
         let (tx, rx) = bounded(1);
-        let (number, left) = {
+        let (number, remaining) = {
             let mut inner = lock(&self.inner);
-            inner.follow(log);
+            inner.apply_log_state(log);
             let now = self.cx.now();
             let number = inner.table.submit(now, req);
             inner.waiting.insert(number, tx);
@@ -112,7 +112,7 @@
             self.perform(&mut inner);
             (number, deadline.map_or(Duration::ZERO, |at| at.since(now)))
         };
-        if let Ok(outcome) = rx.recv_timeout(left) {
+        if let Ok(outcome) = rx.recv_timeout(remaining) {
             return outcome;
         }
         let mut inner = lock(&self.inner);
@@ -162,7 +162,7 @@
             inner.table.agent_down(self.cx.now(), peer);
             self.perform(&mut inner);
         }
-        self.on_peer_change();
+        self.update_agents();
     }
 
     /// Takes note of what the roster knows of one agent; to be called at its heartbeats.
@@ -178,22 +178,24 @@
     }
 
     /// Takes note of what the roster knows of all agents.
-    pub fn on_peer_change(&self) {
+    pub fn update_agents(&self) {
         let version = self.cx.version();
         let now = self.cx.now();
         let own = &self.cx.identity.name;
-        let (views, names, before, others) = {
+        let (views, names, preceding, others) = {
             let roster = lock(&self.cx.roster);
             let peers = roster.all();
             let views = peers.iter().filter_map(|p| AgentView::of(p, &version));
             let views: Vec<AgentView> = views.collect();
             let names: HashSet<Name> = peers.iter().map(|p| p.peer.name.clone()).collect();
             let entries = || roster.live(now, Role::Entry).map(|p| &p.peer.name);
-            let before = entries().filter(|name| *name < own).count();
-            (views, names, before, entries().count())
+            let preceding = entries().filter(|name| *name < own).count();
+            (views, names, preceding, entries().count())
         };
         let mut inner = lock(&self.inner);
-        inner.table.set_entries(narrow(others + 1), narrow(before));
+        inner
+            .table
+            .set_entries(saturating_u32(others + 1), saturating_u32(preceding));
         inner.table.retain_agents(|name| names.contains(name));
         for view in views {
             inner.table.agent_heard(view);
@@ -202,24 +204,24 @@
 
     /// Does what time alone brings about; to be called every 100 ms.
     pub fn tick(&self) {
-        self.on_peer_change();
+        self.update_agents();
         let log = self.log_state();
         let mut inner = lock(&self.inner);
-        inner.follow(log);
+        inner.apply_log_state(log);
         inner.table.tick(self.cx.now());
         self.perform(&mut inner);
     }
 
-    /// Refuses new requests and waits up to `most` until all others are answered; returns whether
+    /// Refuses new requests and waits up to `timeout` until all others are answered; returns whether
     /// they are.
-    pub fn stop(&self, most: Duration) -> bool {
+    pub fn stop(&self, timeout: Duration) -> bool {
         lock(&self.inner).table.leave();
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         while !lock(&self.inner).table.is_idle() {
             if Instant::now() >= end {
                 return false;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         true
     }
@@ -289,7 +291,7 @@
 }
 
 impl Inner {
-    fn follow(&mut self, log: LogState) {
+    fn apply_log_state(&mut self, log: LogState) {
         self.table.set_version(log.version);
         if let Some(new) = log.ring {
             self.table.set_ring(new.offset, &new.ring);
@@ -297,6 +299,6 @@
     }
 }
 
-fn narrow(count: usize) -> u32 {
+fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/dragonflyrun/src/process/freshness.rs
+++ b/dragonflyrun/src/process/freshness.rs
@@ -12,18 +12,18 @@
 };
 
 /// Age of the last view of the log's head up to which a process is fresh.
-pub const FRESH: Duration = Duration::from_millis(2_000);
+pub const MAX_HEAD_AGE: Duration = Duration::from_millis(2_000);
 
 /// Time after which an append without an answer, made before, can no longer take effect: the log
 /// drops a request that it has not carried out by then. Longer than any append is tried.
-const DOUBT_PERIOD: Duration = Duration::from_secs(15);
+const UNCERTAIN_APPEND_PERIOD: Duration = Duration::from_secs(15);
 
 /// What this process knows of the log's head.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     head_seen: Option<Timestamp>,
     reachable: bool,
-    in_doubt: Option<Timestamp>,
+    append_uncertain_since: Option<Timestamp>,
 }
 
 /// What an entry last said of the log, for the decision whether all agree that it is down.
@@ -41,24 +41,24 @@
 
 impl Freshness {
     /// Takes note that the log's head was seen at `at`, and all before it is folded.
-    pub fn head_seen(&mut self, at: Timestamp) {
+    pub fn on_head_seen(&mut self, at: Timestamp) {
         self.head_seen = self.head_seen.max(Some(at));
         if self
-            .in_doubt
-            .is_some_and(|since| at.since(since) > DOUBT_PERIOD)
+            .append_uncertain_since
+            .is_some_and(|since| at.since(since) > UNCERTAIN_APPEND_PERIOD)
         {
-            self.in_doubt = None;
+            self.append_uncertain_since = None;
         }
     }
 
     /// Takes note of whether this process's own read of the log succeeded.
-    pub fn reached(&mut self, reachable: bool) {
+    pub fn set_reachable(&mut self, reachable: bool) {
         self.reachable = reachable;
     }
 
     /// Takes note of whether an append of this process may have taken effect without an answer.
-    pub fn append_pending(&mut self, now: Timestamp, pending: bool) {
-        self.in_doubt = pending.then_some(now);
+    pub fn set_append_pending(&mut self, now: Timestamp, pending: bool) {
+        self.append_uncertain_since = pending.then_some(now);
     }
 
     /// Returns the time since the log's head was last known to be folded; none before the first.
@@ -73,7 +73,7 @@
             next_offset,
             age_ms: age.and_then(|ms| u64::try_from(ms).ok()),
             reachable: self.reachable,
-            append_pending: self.in_doubt.is_some(),
+            append_pending: self.append_uncertain_since.is_some(),
             version,
         }
     }
@@ -86,20 +86,23 @@
     /// we do: then nobody can have changed anything. An entry that is merely silent may be at work
     /// on the log behind a partition, so silence is not enough.
     pub fn is_fresh(&self, now: Timestamp, next_offset: u64, entries: &[EntryView]) -> bool {
-        if self.head_seen.is_some_and(|at| now.since(at) <= FRESH) {
+        if self
+            .head_seen
+            .is_some_and(|at| now.since(at) <= MAX_HEAD_AGE)
+        {
             return true;
         }
-        if self.reachable || self.in_doubt.is_some() || self.head_seen.is_none() {
+        if self.reachable || self.append_uncertain_since.is_some() || self.head_seen.is_none() {
             return false;
         }
         let mut others = entries.iter().filter(|e| !e.gone).peekable();
-        others.peek().is_some() && others.all(|e| e.says_down(now, next_offset))
+        others.peek().is_some() && others.all(|e| e.reports_log_down(now, next_offset))
     }
 }
 
 impl EntryView {
-    fn says_down(&self, now: Timestamp, next_offset: u64) -> bool {
-        let heard = self.heard.is_some_and(|at| now.since(at) <= FRESH);
+    fn reports_log_down(&self, now: Timestamp, next_offset: u64) -> bool {
+        let heard = self.heard.is_some_and(|at| now.since(at) <= MAX_HEAD_AGE);
         let down = !self.log.reachable && !self.log.append_pending;
         heard && down && self.log.next_offset <= next_offset
     }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -11,22 +11,22 @@
         AgentMessage, ElectionView, ImpossibleReason, Item, JobId, JobRecord, JobSpec, Planner,
         PlannerAction, PlannerView, Purpose, RENEWAL_WITHOUT_LOG, Renewals, WorkerInfo,
     },
-    process::{FRESH, Folded, Ledger, PeerState, Roster, SILENCE},
+    process::{Folded, Ledger, MAX_HEAD_AGE, MAX_PEER_SILENCE, PeerState, Roster},
     utils::{HashMap, Name, Timestamp},
     version::Version,
 };
 
 /// Time between two ticks that shows that this process was frozen in between. What its peers sent
 /// then still waits to be read, so nobody counts as silent until it was.
-const FROZEN: Duration = Duration::from_millis(1_000);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
 /// What was last taken from an agent's state in the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct Taken {
+struct AgentSnapshot {
     incarnation: u64,
     report_number: u64,
     /// Whether its worker may get work.
-    up: bool,
+    usable: bool,
     /// Its worker and its members, of which a report may say the same once more.
     worker: WorkerInfo,
     members: Vec<MemberReport>,
@@ -51,7 +51,7 @@
             .as_ref()
             .and_then(|p| roster.peer(p))
             .is_some_and(|p| p.is_live(now));
-        let smaller = roster
+        let preceding = roster
             .live(now, Role::Entry)
             .filter(|p| p.peer.name < *me)
             .count();
@@ -65,7 +65,7 @@
             .fold(next_offset, u64::min);
         let silent = roster
             .of_role(Role::Agent)
-            .filter(|p| now.since(p.heard) > SILENCE)
+            .filter(|p| now.since(p.heard) > MAX_PEER_SILENCE)
             .map(|p| p.peer.name.clone())
             .collect();
         Self {
@@ -75,7 +75,7 @@
                     planner_alive,
                     planner,
                     fresh,
-                    rank: u32::try_from(smaller).unwrap_or(u32::MAX),
+                    rank: u32::try_from(preceding).unwrap_or(u32::MAX),
                 },
                 next_offset,
                 folded_by_all,
@@ -91,10 +91,10 @@
 pub struct GangTable {
     renewals: Renewals,
     planner: Planner,
-    agents: HashMap<Name, Taken>,
+    agents: HashMap<Name, AgentSnapshot>,
     last_tick: Timestamp,
     /// Until when no agent counts as silent.
-    grace: Timestamp,
+    silence_grace_until: Timestamp,
     /// When this entry last knew the latest state of the log.
     fresh_at: Option<Timestamp>,
     /// Entries that the planner has removed, and until when they may go on renewing gangs. One
@@ -111,7 +111,7 @@
             planner: Planner::new(me, version),
             agents: HashMap::default(),
             last_tick: now,
-            grace: now + SILENCE,
+            silence_grace_until: now + MAX_PEER_SILENCE,
             fresh_at: None,
             removed: HashMap::default(),
             gaps: 0,
@@ -128,14 +128,14 @@
     /// # Errors
     ///
     /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
+    pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         self.planner.check_possible(spec)
     }
 
     /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
     pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<AgentMessage> {
         let agent = &peer.peer.name;
-        let mut notices = self.take_report(now, agent, peer);
+        let mut messages = self.apply_report(now, agent, peer);
         let renewal = self
             .renewals
             .on_heartbeat(now, agent, peer.confirmed, peer.sent_ms);
@@ -144,18 +144,18 @@
             .is_some_and(|at| now.since(at) <= RENEWAL_WITHOUT_LOG);
         if let Some(message) = renewal.filter(|_| may_renew) {
             let to = agent.clone();
-            notices.push(AgentMessage { to, message });
+            messages.push(AgentMessage { to, message });
         }
-        notices
+        messages
     }
 
     /// Takes note that the link to an agent ended.
     ///
     /// It gets no new work from then on. What it runs goes on: the link may come back, and an agent
     /// whose process was replaced may go on with its members.
-    pub fn on_down(&mut self, now: Timestamp, agent: &Name) {
-        if let Some(taken) = self.agents.get_mut(agent) {
-            taken.up = false;
+    pub fn on_link_down(&mut self, now: Timestamp, agent: &Name) {
+        if let Some(snapshot) = self.agents.get_mut(agent) {
+            snapshot.usable = false;
             self.planner.agent_live(agent, false);
             self.planner.worker_down(now, agent);
         }
@@ -164,7 +164,7 @@
     /// Follows a record that was folded last into `ledger`.
     pub fn on_folded(&mut self, now: Timestamp, folded: &Folded, ledger: &Ledger) {
         if ledger.gaps() != self.gaps {
-            self.begin_anew(now, ledger);
+            self.reset_after_gap(now, ledger);
         }
         if !folded.in_effect {
             return;
@@ -182,7 +182,7 @@
                 }
             }
         }
-        self.follow_entries(now, &folded.record);
+        self.track_removed_entries(now, &folded.record);
         self.planner.configure(ledger.history.current());
         let record = JobRecord {
             offset: folded.offset,
@@ -212,16 +212,16 @@
 
     /// Returns what is to be done now; to be called every 100 ms.
     pub fn tick(&mut self, now: Timestamp, view: &TickView) -> Vec<PlannerAction> {
-        if now.since(self.last_tick) > FROZEN {
-            self.grace = now + SILENCE;
+        if now.since(self.last_tick) > FREEZE_THRESHOLD {
+            self.silence_grace_until = now + MAX_PEER_SILENCE;
         }
         self.last_tick = now;
         if view.planner.election.fresh {
             self.fresh_at = Some(now);
         }
         self.renewals.tick(now);
-        if now >= self.grace {
-            self.drop_silent(now, &view.silent);
+        if now >= self.silence_grace_until {
+            self.drop_silent_agents(now, &view.silent);
         }
         self.removed.retain(|_, until| *until > now);
         let mut view = view.planner.clone();
@@ -232,7 +232,7 @@
     }
 
     /// Drops the agents that have been silent for so long that their members count as lost.
-    fn drop_silent(&mut self, now: Timestamp, silent: &[Name]) {
+    fn drop_silent_agents(&mut self, now: Timestamp, silent: &[Name]) {
         for agent in silent {
             if self.agents.remove(agent).is_none() {
                 continue;
@@ -245,7 +245,7 @@
         }
     }
 
-    fn follow_entries(&mut self, now: Timestamp, record: &Record) {
+    fn track_removed_entries(&mut self, now: Timestamp, record: &Record) {
         match &record.body {
             RecordBody::EntryJoined { entry, .. } => {
                 self.removed.remove(entry);
@@ -253,7 +253,7 @@
             // One that leaves by itself renews nothing from then on.
             RecordBody::EntryLeft { entry } if record.author != *entry => {
                 self.removed
-                    .insert(entry.clone(), now + FRESH + RENEWAL_WITHOUT_LOG);
+                    .insert(entry.clone(), now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
             }
             _ => {}
         }
@@ -263,32 +263,38 @@
     /// process's term, or the removal of an entry. The agents' next heartbeats and the carried
     /// states fill the table. It renews nothing before it knows the log's head again, since a
     /// fence may be among what was missed.
-    fn begin_anew(&mut self, now: Timestamp, ledger: &Ledger) {
+    fn reset_after_gap(&mut self, now: Timestamp, ledger: &Ledger) {
         let me = self.planner.me().clone();
         *self = Self::new(now, me.clone(), ledger.history.current().clone());
-        self.removed.insert(me, now + FRESH + RENEWAL_WITHOUT_LOG);
+        self.removed
+            .insert(me, now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
         self.gaps = ledger.gaps();
     }
 
-    fn take_report(&mut self, now: Timestamp, agent: &Name, peer: &PeerState) -> Vec<AgentMessage> {
+    fn apply_report(
+        &mut self,
+        now: Timestamp,
+        agent: &Name,
+        peer: &PeerState,
+    ) -> Vec<AgentMessage> {
         let Some(Report::Agent(report)) = &peer.report else {
             return Vec::new();
         };
         let live = peer.is_live(now);
         self.planner.agent_live(agent, live);
-        let up = report.accelerators > 0 && live;
+        let usable = report.accelerators > 0 && live;
         let incarnation = peer.peer.incarnation;
-        if let Some(taken) = self.agents.get(agent)
-            && taken.report_number == peer.report_number
-            && taken.incarnation == incarnation
-            && taken.up == up
+        if let Some(snapshot) = self.agents.get(agent)
+            && snapshot.report_number == peer.report_number
+            && snapshot.incarnation == incarnation
+            && snapshot.usable == usable
         {
             return Vec::new();
         }
-        let taken = Taken {
+        let snapshot = AgentSnapshot {
             incarnation,
             report_number: peer.report_number,
-            up,
+            usable,
             worker: WorkerInfo {
                 name: agent.clone(),
                 rack: report.rack.clone(),
@@ -297,32 +303,32 @@
             },
             members: report.members.clone(),
         };
-        let before = self.agents.insert(agent.clone(), taken.clone());
-        if before.is_some_and(|before| before.says_the_same(&taken)) {
+        let before = self.agents.insert(agent.clone(), snapshot.clone());
+        if before.is_some_and(|before| before.has_same_gang_state(&snapshot)) {
             return Vec::new();
         }
-        if up {
-            self.planner.worker_up(now, taken.worker);
+        if usable {
+            self.planner.worker_up(now, snapshot.worker);
         } else {
             self.planner.worker_down(now, agent);
         }
         // Before it knows its worker, an agent reports none of those that its predecessor left.
         let knows_worker = report.accelerators > 0;
-        let mut notices = self
+        let mut messages = self
             .planner
-            .report(now, agent, &taken.members, knows_worker);
-        notices.extend(self.renewals.report(agent, incarnation, taken.members));
-        notices
+            .report(now, agent, &snapshot.members, knows_worker);
+        messages.extend(self.renewals.report(agent, incarnation, snapshot.members));
+        messages
     }
 }
 
-impl Taken {
+impl AgentSnapshot {
     /// Returns whether a later report says nothing new about gangs, such as one on the free slots
     /// of backend servers. What was marked as not taken by the planner is always new.
-    fn says_the_same(&self, later: &Self) -> bool {
+    fn has_same_gang_state(&self, later: &Self) -> bool {
         self.report_number != 0
             && self.incarnation == later.incarnation
-            && self.up == later.up
+            && self.usable == later.usable
             && self.worker == later.worker
             && self.members == later.members
     }
@@ -336,7 +342,7 @@
             carried.version >= ledger.history.current().offset
         }
         RecordBody::Carried(Carried::Membership(carried)) => {
-            ledger.membership.carried().as_ref() == Some(carried)
+            ledger.membership.state_to_repeat().as_ref() == Some(carried)
         }
         RecordBody::Carried(Carried::Job { job, .. }) => ledger.jobs.live(&job.job) == Some(&**job),
         _ => true,
@@ -344,10 +350,10 @@
 }
 
 /// Returns a state as it is on the log now, to be repeated in a record; none where it is over.
-pub fn carried_body(ledger: &Ledger, item: &Item) -> Option<Carried> {
+pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<Carried> {
     let term = ledger.membership.term();
     match item {
-        Item::Membership => ledger.membership.carried().map(Carried::Membership),
+        Item::Membership => ledger.membership.state_to_repeat().map(Carried::Membership),
         Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
         Item::Job(job) => ledger.jobs.live(job).map(|live| Carried::Job {
             term,
--- a/dragonflyrun/src/process/heartbeats.rs
+++ b/dragonflyrun/src/process/heartbeats.rs
@@ -15,19 +15,19 @@
 };
 
 /// Time between two heartbeats to the same peer.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(250);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How often the report is looked at for a change that can't wait for the next heartbeat.
-const LOOK: Duration = Duration::from_millis(25);
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What was last sent, so that an unchanged report is not sent again.
 #[derive(Default)]
-struct Sent {
+struct SentReports {
     report: Option<Report>,
     /// Counts the changes of the report.
     change: u64,
     /// The last change of anything but the backend servers.
-    whole_change: u64,
+    full_change: u64,
     delivered: HashMap<Name, Delivered>,
     last: Timestamp,
 }
@@ -43,7 +43,7 @@
 pub(crate) struct Heartbeats<'a> {
     cx: &'a Context,
     node: &'a dyn Node,
-    sent: Mutex<Sent>,
+    sent: Mutex<SentReports>,
 }
 
 impl<'a> Heartbeats<'a> {
@@ -59,7 +59,7 @@
     pub(crate) fn run(&self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Relaxed) {
             self.send_due();
-            std::thread::sleep(LOOK);
+            std::thread::sleep(REPORT_CHECK_INTERVAL);
         }
     }
 
@@ -68,13 +68,13 @@
         let report = self.node.report();
         let mut sent = lock(&self.sent);
         let change = Change::between(sent.report.as_ref(), &report);
-        if change != Change::Urgent && now.since(sent.last) < HEARTBEAT {
+        if change != Change::Urgent && now.since(sent.last) < HEARTBEAT_INTERVAL {
             return;
         }
-        sent.take(report, change);
+        sent.update(report, change);
         sent.last = now;
         for Linked { peer, link } in self.cx.links.linked() {
-            let part = sent.part_for(&peer, link);
+            let part = sent.undelivered_part(&peer, link);
             let heartbeat = self.heartbeat(now, &peer, sent.change, part);
             let message = Message::Heartbeat(Box::new(heartbeat));
             if self.cx.links.send(&peer, message).is_ok() {
@@ -109,24 +109,24 @@
     }
 }
 
-impl Sent {
-    fn take(&mut self, report: Report, change: Change) {
+impl SentReports {
+    fn update(&mut self, report: Report, change: Change) {
         if change == Change::None {
             return;
         }
         self.change += 1;
         if change != Change::Slots {
-            self.whole_change = self.change;
+            self.full_change = self.change;
         }
         self.report = Some(report);
     }
 
     /// Returns what the link to `peer` has not delivered yet.
-    fn part_for(&self, peer: &Name, link: u64) -> Option<Report> {
+    fn undelivered_part(&self, peer: &Name, link: u64) -> Option<Report> {
         let delivered = self.delivered.get(peer).filter(|c| c.link == link);
         match (delivered, &self.report) {
             (Some(c), _) if c.change == self.change => None,
-            (Some(c), Some(Report::Agent(report))) if c.change >= self.whole_change => {
+            (Some(c), Some(Report::Agent(report))) if c.change >= self.full_change => {
                 Some(Report::Backends(report.backends.clone()))
             }
             (_, report) => report.clone(),
@@ -153,17 +153,17 @@
         if before == after {
             return Self::None;
         }
-        let rest = before.members == after.members
+        let others_equal = before.members == after.members
             && before.leaving == after.leaving
             && before.accelerators == after.accelerators;
-        if rest && same_but_free(&before.backends, &after.backends) {
+        if others_equal && differ_only_in_free_slots(&before.backends, &after.backends) {
             return Self::Slots;
         }
         Self::Urgent
     }
 }
 
-fn same_but_free(before: &[BackendReport], after: &[BackendReport]) -> bool {
+fn differ_only_in_free_slots(before: &[BackendReport], after: &[BackendReport]) -> bool {
     let same = |(a, b): (&BackendReport, &BackendReport)| {
         a.name == b.name && a.service == b.service && a.slots == b.slots && a.leaving == b.leaving
     };
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -12,10 +12,10 @@
 
 /// Ids of records that are remembered to drop a second copy. A copy comes from a writer that
 /// appended again after a lost answer, which happens within its few seconds of trying.
-const REMEMBERED_IDS: usize = 65_536;
+const MAX_REMEMBERED_IDS: usize = 65_536;
 
 /// Records kept for peers that can't reach the log.
-const KEPT_RECORDS: usize = 4_096;
+const MAX_KEPT_RECORDS: usize = 4_096;
 
 /// All tables that are folded from the log, as of one offset.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     next_offset: u64,
     gaps: u64,
     /// Whether a planner's record was seen since the last gap.
-    planned: bool,
+    saw_planner: bool,
     ids: HashSet<Name>,
     id_order: VecDeque<Name>,
     kept: VecDeque<LogRecord>,
@@ -83,7 +83,7 @@
         if !matches!(record.body, RecordBody::Edit(_)) && !self.is_new(&record.id) {
             return None;
         }
-        self.planned |= record.body.planner_term().is_some();
+        self.saw_planner |= record.body.planner_term().is_some();
         let in_effect = self.has_authority(&record);
         let verdict = if in_effect {
             self.apply(raw.offset, &record)
@@ -110,10 +110,10 @@
             log::warn!(from = self.next_offset, to = first; "log_gap");
             self.next_offset = first;
             self.gaps += 1;
-            self.planned = false;
+            self.saw_planner = false;
             self.kept.clear();
             self.history.gap(first);
-            self.membership.gap();
+            self.membership.mark_incomplete();
             self.jobs = JobTable::default();
         }
     }
@@ -125,17 +125,17 @@
     /// would ever be planner there. A process that has known a planner or a configuration was
     /// frozen for longer than the log keeps records, and must not take what it knew for current.
     pub fn reached_head(&mut self) {
-        let is_blank = self.membership.term() == 0 && self.history.current().offset == 0;
-        if !self.membership.is_whole() && !self.planned && is_blank {
+        let knows_nothing = self.membership.term() == 0 && self.history.current().offset == 0;
+        if !self.membership.is_complete() && !self.saw_planner && knows_nothing {
             log::info!(offset = self.next_offset; "new_deployment");
-            self.membership.begin();
+            self.membership.mark_complete();
             self.history.begin();
         }
     }
 
     /// Returns whether nothing is missing that the log may have said.
-    pub fn is_whole(&self) -> bool {
-        self.membership.is_whole() && self.history.is_whole()
+    pub fn is_complete(&self) -> bool {
+        self.membership.is_complete() && self.history.is_whole()
     }
 
     /// Counts the gaps after which the tables began anew.
@@ -143,8 +143,8 @@
         self.gaps
     }
 
-    /// Returns kept records from `from` on, `most` at the most; none where they are not all kept.
-    pub fn kept_from(&self, from: u64, most: usize) -> Vec<LogRecord> {
+    /// Returns kept records from `from` on, at most `limit`; none where they are not all kept.
+    pub fn kept_from(&self, from: u64, limit: usize) -> Vec<LogRecord> {
         let Some(first) = self.kept.front().map(|r| r.offset) else {
             return Vec::new();
         };
@@ -152,7 +152,7 @@
             return Vec::new();
         };
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
-        self.kept.iter().skip(skip).take(most).cloned().collect()
+        self.kept.iter().skip(skip).take(limit).cloned().collect()
     }
 
     /// Returns whether the author may say what the record says.
@@ -172,9 +172,9 @@
         }
         match record.body.planner_term() {
             // Until it knows the planner, a process can't tell which job records are in effect.
-            None => membership.is_whole() || !is_about_job(&record.body),
+            None => membership.is_complete() || !is_about_job(&record.body),
             Some(term) if matches!(record.body, RecordBody::Carried(Carried::Job { .. })) => {
-                membership.is_whole() && term >= membership.term()
+                membership.is_complete() && term >= membership.term()
             }
             Some(term) if matches!(record.body, RecordBody::Carried(_)) => {
                 term >= membership.term()
@@ -185,7 +185,7 @@
 
     fn keep(&mut self, raw: &LogRecord) {
         self.kept.push_back(raw.clone());
-        if self.kept.len() > KEPT_RECORDS {
+        if self.kept.len() > MAX_KEPT_RECORDS {
             self.kept.pop_front();
         }
     }
@@ -195,7 +195,7 @@
             return false;
         }
         self.id_order.push_back(id.clone());
-        if self.id_order.len() > REMEMBERED_IDS
+        if self.id_order.len() > MAX_REMEMBERED_IDS
             && let Some(old) = self.id_order.pop_front()
         {
             self.ids.remove(&old);
--- a/dragonflyrun/src/process/log_reader.rs
+++ b/dragonflyrun/src/process/log_reader.rs
@@ -13,21 +13,21 @@
 };
 
 /// Records of one read, at the most.
-const PAGE_RECORDS: usize = 512;
+const MAX_PAGE_RECORDS: usize = 512;
 
 /// How long a read waits at the log for the next record.
-const LONG_POLL: Duration = Duration::from_millis(400);
+const LONG_POLL_TIME: Duration = Duration::from_millis(400);
 
 /// Pause after a failed read, and between looks at what peers have told.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Age of the last view of the head, had from entries, above which an agent reads for itself.
 ///
 /// Agents are many; as long as an entry tells them of the log they leave the log alone.
-const ENTRY_VIEW_AGE: Duration = Duration::from_millis(1_000);
+const MAX_ENTRY_VIEW_AGE: Duration = Duration::from_millis(1_000);
 
 /// Records sent to a peer in one message, at the most.
-const RELAYED_RECORDS: usize = 256;
+const MAX_RELAYED_RECORDS: usize = 256;
 
 /// Folds records and tells the role, the appender and the peers of each.
 pub(crate) struct LogReader<'a> {
@@ -44,11 +44,11 @@
     pub(crate) fn run(&self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Relaxed) {
             if self.is_served_by_entries() {
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_DELAY);
                 continue;
             }
             if !self.read_once() {
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -57,7 +57,7 @@
     pub(crate) fn on_records(&self, from: &Name, records: &[LogRecord]) {
         let next_offset = lock(&self.cx.ledger).next_offset();
         if records.first().is_some_and(|r| r.offset > next_offset) {
-            self.ask(from, next_offset);
+            self.request_missing(from, next_offset);
             return;
         }
         self.fold(records);
@@ -65,7 +65,7 @@
 
     /// Sends the records from `from_offset` on to a peer that lacks them.
     pub(crate) fn on_missing(&self, peer: &Name, from_offset: u64) {
-        let records = lock(&self.cx.ledger).kept_from(from_offset, RELAYED_RECORDS);
+        let records = lock(&self.cx.ledger).kept_from(from_offset, MAX_RELAYED_RECORDS);
         if !records.is_empty() {
             // A peer whose link is full or gone asks again with its next heartbeat.
             let _ = self.cx.links.send(peer, Message::Records(records));
@@ -79,7 +79,7 @@
     pub(crate) fn on_view(&self, from: &Name, view: &LogView, alive_at: Option<Timestamp>) {
         let next_offset = lock(&self.cx.ledger).next_offset();
         if view.next_offset > next_offset {
-            self.ask(from, next_offset);
+            self.request_missing(from, next_offset);
             return;
         }
         let Some((age_ms, alive_at)) = view.age_ms.zip(alive_at) else {
@@ -88,16 +88,16 @@
         if view.next_offset == next_offset
             && let Some(seen_ms) = alive_at.as_millis().checked_sub(age_ms)
         {
-            lock(&self.cx.freshness).head_seen(Timestamp::from_millis(seen_ms));
+            lock(&self.cx.freshness).on_head_seen(Timestamp::from_millis(seen_ms));
         }
     }
 
     fn is_served_by_entries(&self) -> bool {
         let age = lock(&self.cx.freshness).age(self.cx.now());
-        self.cx.identity.role == Role::Agent && age.is_some_and(|age| age < ENTRY_VIEW_AGE)
+        self.cx.identity.role == Role::Agent && age.is_some_and(|age| age < MAX_ENTRY_VIEW_AGE)
     }
 
-    fn ask(&self, peer: &Name, from: u64) {
+    fn request_missing(&self, peer: &Name, from: u64) {
         // Lost questions are asked again at the next heartbeat.
         let _ = self.cx.links.send(peer, Message::Missing { from });
     }
@@ -105,9 +105,9 @@
     fn read_once(&self) -> bool {
         let from = lock(&self.cx.ledger).next_offset();
         // The head was current at some time after the request left, so its age counts from here.
-        let asked = self.cx.now();
-        let page = self.cx.log.read(from, PAGE_RECORDS, LONG_POLL);
-        lock(&self.cx.freshness).reached(page.is_ok());
+        let called_at = self.cx.now();
+        let page = self.cx.log.read(from, MAX_PAGE_RECORDS, LONG_POLL_TIME);
+        lock(&self.cx.freshness).set_reachable(page.is_ok());
         let page = match page {
             Ok(page) => page,
             Err(error) => {
@@ -126,10 +126,10 @@
             at_head
         };
         if at_head {
-            lock(&self.cx.freshness).head_seen(asked);
+            lock(&self.cx.freshness).on_head_seen(called_at);
         }
         if !page.records.is_empty() && self.cx.identity.role == Role::Entry {
-            self.pass_on(&page.records);
+            self.relay(&page.records);
         }
         true
     }
@@ -141,12 +141,12 @@
         for raw in records {
             let folded = lock(&self.cx.ledger).fold(raw, &self.cx.settings.secret);
             if let Some(folded) = folded {
-                self.tell(&folded);
+                self.notify(&folded);
             }
         }
     }
 
-    fn tell(&self, folded: &Folded) {
+    fn notify(&self, folded: &Folded) {
         if let Some(verdict) = &folded.verdict {
             log::info!(
                 offset = folded.offset,
@@ -162,9 +162,9 @@
         self.node.on_folded(folded);
     }
 
-    fn pass_on(&self, records: &[LogRecord]) {
+    fn relay(&self, records: &[LogRecord]) {
         for Linked { peer, .. } in self.cx.links.linked() {
-            for chunk in records.chunks(RELAYED_RECORDS) {
+            for chunk in records.chunks(MAX_RELAYED_RECORDS) {
                 let _ = self.cx.links.send(&peer, Message::Records(chunk.to_vec()));
             }
         }
--- a/dragonflyrun/src/process/log_writer.rs
+++ b/dragonflyrun/src/process/log_writer.rs
@@ -16,12 +16,12 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
 /// Lines that wait to be written, at the most: some seconds of a busy entry, in about 1 MB.
-const MOST_WAITING: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// A writer whose writes return at once.
 pub struct LogWriter {
     lines: Sender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl LogWriter {
@@ -31,13 +31,13 @@
     ///
     /// Where the system gives no thread.
     pub fn new(sink: impl Write + Send + 'static) -> io::Result<Self> {
-        let (lines, waiting) = bounded(MOST_WAITING);
-        let left_out = Arc::<AtomicU64>::default();
-        let counted = left_out.clone();
+        let (lines, queue) = bounded(MAX_QUEUED_LINES);
+        let dropped = Arc::<AtomicU64>::default();
+        let drop_count = dropped.clone();
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(sink, &waiting, &counted))?;
-        Ok(Self { lines, left_out })
+            .spawn(move || write_lines(sink, &queue, &drop_count))?;
+        Ok(Self { lines, dropped })
     }
 }
 
@@ -45,7 +45,7 @@
     /// Takes one line; the logger gives it whole.
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if let Err(TrySendError::Full(_)) = self.lines.try_send(buf.to_vec()) {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(buf.len())
     }
@@ -55,16 +55,16 @@
     }
 }
 
-fn write_lines(mut sink: impl Write, waiting: &Receiver<Vec<u8>>, left_out: &AtomicU64) {
-    for line in waiting {
+fn write_lines(mut sink: impl Write, queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+    for line in queue {
         // Nobody is left to be told about an error here.
         let _ = sink.write_all(&line);
-        let missing = left_out.swap(0, Ordering::Relaxed);
-        if missing > 0 {
-            let line = format!("level=WARN event=log_lines_left_out count={missing}\n");
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            let line = format!("level=WARN event=log_lines_left_out count={dropped_lines}\n");
             let _ = sink.write_all(line.as_bytes());
         }
-        if waiting.is_empty() {
+        if queue.is_empty() {
             let _ = sink.flush();
         }
     }
--- a/dragonflyrun/src/process/membership.rs
+++ b/dragonflyrun/src/process/membership.rs
@@ -17,7 +17,7 @@
     /// The offset of the last record that changed it.
     updated: u64,
     /// Whether no record is missing that may have changed it.
-    whole: bool,
+    complete: bool,
 }
 
 impl Default for Membership {
@@ -30,7 +30,7 @@
             ring_offset: 0,
             ring_changes: 0,
             updated: 0,
-            whole: true,
+            complete: true,
         }
     }
 }
@@ -42,11 +42,11 @@
             // Two entries may claim the same term; the first on the log has it in every process.
             // The first term of all is good also for a process that lacks what was before.
             RecordBody::Term { entry, term }
-                if *term == self.term + 1 && (self.whole || *term == 1) =>
+                if *term == self.term + 1 && (self.complete || *term == 1) =>
             {
                 self.term = *term;
                 self.planner = Some(entry.clone());
-                self.whole = true;
+                self.complete = true;
             }
             RecordBody::EntryJoined { entry, address } => {
                 self.entries.insert(entry.clone(), address.clone());
@@ -69,14 +69,14 @@
     /// Takes over a carried state that is not older than this one. A process that has missed
     /// nothing holds the same state already.
     fn adopt(&mut self, offset: u64, carried: &CarriedMembership) {
-        if self.whole && carried.updated < self.updated || carried.term < self.term {
+        if self.complete && carried.updated < self.updated || carried.term < self.term {
             return;
         }
-        if !self.whole {
+        if !self.complete {
             // Changes among the records that were missed are counted as one more.
             self.ring_changes += 1;
         }
-        self.whole = true;
+        self.complete = true;
         self.updated = carried.updated;
         self.term = carried.term;
         self.planner = Some(carried.planner.clone());
@@ -89,18 +89,18 @@
     }
 
     /// Takes note that records are missing.
-    pub fn gap(&mut self) {
-        self.whole = false;
+    pub fn mark_incomplete(&mut self) {
+        self.complete = false;
     }
 
     /// Takes note that nothing is missing after all, since there was nothing before.
-    pub fn begin(&mut self) {
-        self.whole = true;
+    pub fn mark_complete(&mut self) {
+        self.complete = true;
     }
 
     /// Returns whether no record is missing that may have changed it.
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
     fn set_ring(&mut self, offset: u64, members: &[Name]) {
@@ -145,7 +145,7 @@
     }
 
     /// Returns the state as the planner repeats it on the log.
-    pub fn carried(&self) -> Option<CarriedMembership> {
+    pub fn state_to_repeat(&self) -> Option<CarriedMembership> {
         let mut entries: Vec<CarriedEntry> = self
             .entries
             .iter()
--- a/dragonflyrun/src/process/mod.rs
+++ b/dragonflyrun/src/process/mod.rs
@@ -46,13 +46,13 @@
 pub use entry_http::requested_service;
 pub use entry_jobs::EntryJobs;
 pub use entry_requests::EntryRequests;
-pub use freshness::{EntryView, FRESH, Freshness};
-pub use gang_table::{GangTable, TickView, carried_body};
+pub use freshness::{EntryView, Freshness, MAX_HEAD_AGE};
+pub use gang_table::{GangTable, TickView, state_to_repeat};
 pub use ledger::{Folded, Ledger};
 pub use log_writer::LogWriter;
 pub use membership::Membership;
 pub use node::Node;
-pub use roster::{PeerState, Roster, SILENCE};
+pub use roster::{MAX_PEER_SILENCE, PeerState, Roster};
 pub use settings::{RoleSettings, Settings, SettingsError};
 pub use signal::wait_for_signal;
 pub use status::{
--- a/dragonflyrun/src/process/node.rs
+++ b/dragonflyrun/src/process/node.rs
@@ -10,10 +10,10 @@
 /// the order in which the peer sent.
 pub trait Node: Send + Sync {
     /// A peer was linked.
-    fn on_up(&self, peer: &Peer);
+    fn on_link_up(&self, peer: &Peer);
 
     /// The link to a peer ended.
-    fn on_down(&self, peer: &Peer);
+    fn on_link_down(&self, peer: &Peer);
 
     /// A peer sent a heartbeat, which the roster has taken.
     fn on_heartbeat(&self, from: &Name);
--- a/dragonflyrun/src/process/on_store/lanes.rs
+++ b/dragonflyrun/src/process/on_store/lanes.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     port::{Partition, Topic},
-    utils::spread,
+    utils::stable_hash,
 };
 
 /// Number of topics that carry orders. Each order wakes all agents whose workers share its
@@ -26,13 +26,13 @@
     /// Returns the lane of a worker.
     pub fn lane_of(&self, worker: &str) -> u32 {
         let lanes = u64::from(ORDER_TOPICS * self.partitions);
-        u32::try_from(spread(worker) % lanes).unwrap_or(0)
+        u32::try_from(stable_hash(worker) % lanes).unwrap_or(0)
     }
 
     /// Returns the partition of a worker's reports.
     pub fn reports_of(&self, worker: &str) -> Partition {
         let number = u64::from(self.report_partitions());
-        Partition::workers(u32::try_from(spread(worker) % number).unwrap_or(0))
+        Partition::workers(u32::try_from(stable_hash(worker) % number).unwrap_or(0))
     }
 
     /// Returns the number of partitions that carry reports: all partitions of the topic.
--- a/dragonflyrun/src/process/roster.rs
+++ b/dragonflyrun/src/process/roster.rs
@@ -8,7 +8,7 @@
 };
 
 /// Silence after which a peer gets no new work.
-pub const SILENCE: Duration = Duration::from_millis(2_000);
+pub const MAX_PEER_SILENCE: Duration = Duration::from_millis(2_000);
 
 /// What is known of one peer.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 
 impl Roster {
     /// Takes note of a new link.
-    pub fn up(&mut self, now: Timestamp, peer: Peer) {
+    pub fn link_up(&mut self, now: Timestamp, peer: Peer) {
         let state = PeerState {
             peer: peer.clone(),
             heard: now,
@@ -57,7 +57,7 @@
     }
 
     /// Takes note of the end of a link. The peer stays known, but gets no work.
-    pub fn down(&mut self, peer: &Peer) {
+    pub fn link_down(&mut self, peer: &Peer) {
         if let Some(state) = self.peers.get_mut(&peer.name)
             && state.peer.incarnation == peer.incarnation
         {
@@ -66,7 +66,7 @@
     }
 
     /// Takes note of a heartbeat.
-    pub fn heard(&mut self, now: Timestamp, from: &Name, heartbeat: Heartbeat) {
+    pub fn on_heartbeat(&mut self, now: Timestamp, from: &Name, heartbeat: Heartbeat) {
         let Some(state) = self.peers.get_mut(from) else {
             return;
         };
@@ -76,16 +76,16 @@
         state.sent_ms = heartbeat.sent_ms;
         state.log = heartbeat.log;
         if let Some(report) = heartbeat.report {
-            state.take(report);
+            state.apply_report(report);
             self.reports += 1;
             state.report_number = self.reports;
         }
     }
 
-    /// Forgets peers that have been silent for `long`.
-    pub fn forget(&mut self, now: Timestamp, long: Duration) {
+    /// Forgets peers that have been silent for `silence`.
+    pub fn remove_silent(&mut self, now: Timestamp, silence: Duration) {
         self.peers
-            .retain(|_, p| p.linked || now.since(p.heard) < long);
+            .retain(|_, p| p.linked || now.since(p.heard) < silence);
     }
 
     /// Returns what is known of `name`.
@@ -129,15 +129,15 @@
 impl PeerState {
     /// Returns whether the peer may get work: a frozen one keeps its link and is only silent.
     pub fn is_live(&self, now: Timestamp) -> bool {
-        self.linked && now.since(self.heard) <= SILENCE && !self.is_leaving()
+        self.linked && now.since(self.heard) <= MAX_PEER_SILENCE && !self.is_leaving()
     }
 
-    fn take(&mut self, report: Report) {
+    fn apply_report(&mut self, report: Report) {
         match (report, &mut self.report) {
             (Report::Backends(backends), Some(Report::Agent(known))) => known.backends = backends,
             // A part without the whole before it says too little; a link carries the whole first.
             (Report::Backends(_), _) => {}
-            (whole, known) => *known = Some(whole),
+            (full, known) => *known = Some(full),
         }
     }
 
--- a/dragonflyrun/src/process/settings.rs
+++ b/dragonflyrun/src/process/settings.rs
@@ -14,14 +14,14 @@
 };
 
 /// Characters of the secret, at the least.
-const SECRET_CHARACTERS: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
 const DEFAULT_CONNECTIONS: u32 = 256;
 const DEFAULT_HTTP_TIMEOUT_MS: u64 = 5_000;
 const DEFAULT_LOG_TIMEOUT_MS: u64 = 2_000;
 const DEFAULT_QUIET_MS: u64 = 1_000;
 const DEFAULT_THREADS: u32 = 4;
-const MOST_THREADS: u32 = 64;
+const MAX_THREADS: u32 = 64;
 
 /// Checked settings.
 #[derive(Clone, Debug)]
@@ -102,7 +102,7 @@
         let http = findings.required_address("/http", cfg.http.as_deref());
         let log = findings.required_address("/log", cfg.log.as_deref());
         let secret = findings.required("/secret", cfg.secret);
-        if secret.as_ref().is_some_and(|s| s.len() < SECRET_CHARACTERS) {
+        if secret.as_ref().is_some_and(|s| s.len() < MIN_SECRET_BYTES) {
             findings.add("/secret", "It is shorter than 16 characters.");
         }
         let entries = cfg.entries.unwrap_or_default();
@@ -133,7 +133,7 @@
             None => None,
         };
         let threads = cfg.threads.unwrap_or(DEFAULT_THREADS);
-        if !(1..=MOST_THREADS).contains(&threads) {
+        if !(1..=MAX_THREADS).contains(&threads) {
             findings.add("/threads", "It is not between 1 and 64.");
         }
         let connections = cfg.connections.unwrap_or(DEFAULT_CONNECTIONS);
@@ -163,8 +163,8 @@
     }
 }
 
-fn millis(set: Option<u64>, default: u64) -> Duration {
-    Duration::from_millis(set.unwrap_or(default))
+fn millis(configured: Option<u64>, default: u64) -> Duration {
+    Duration::from_millis(configured.unwrap_or(default))
 }
 
 #[derive(Default)]
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -11,15 +11,15 @@
 
 use crate::{
     connection::{KeyVerdict, NotRun, Outcome, Peer, RequestId},
-    process::FRESH,
+    process::MAX_HEAD_AGE,
     request::{Refusal, Ring},
     utils::{HashMap, Name, Timestamp},
 };
 use record::{KeyId, KeyState, Record, body_bytes, known, refused};
 
 /// Time after a change of owners for which nothing is granted anew: an earlier owner that has not
-/// read of the change stops being fresh within [`FRESH`].
-const SETTLING: Duration = FRESH.saturating_add(Duration::from_millis(500));
+/// read of the change stops being fresh within [`MAX_HEAD_AGE`].
+const SETTLING: Duration = MAX_HEAD_AGE.saturating_add(Duration::from_millis(500));
 
 /// Time beyond a deadline for which a grant's outcome is waited for.
 const OUTCOME_MARGIN: Duration = Duration::from_millis(500);
@@ -275,7 +275,7 @@
         }
         // Held up in a frozen process or a broken network, it may be older than a change of
         // owners, and its caller may have tried again at the one before.
-        let late = claim.incarnation != self.me.incarnation || now.since(claim.sent) > FRESH;
+        let late = claim.incarnation != self.me.incarnation || now.since(claim.sent) > MAX_HEAD_AGE;
         if late {
             return Err(unsettled);
         }
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxBuildHasher;
 
 use crate::{
-    process::SILENCE,
+    process::MAX_PEER_SILENCE,
     utils::{HashMap, Name, Timestamp}, //
 };
 use offer::Offer;
@@ -123,7 +123,7 @@
     /// Returns whether `agent` was not heard lately.
     pub(crate) fn is_silent(&self, now: Timestamp, agent: &Name) -> bool {
         let heard = self.view(agent).map(|v| v.heard);
-        heard.is_none_or(|heard| now.since(heard) > SILENCE)
+        heard.is_none_or(|heard| now.since(heard) > MAX_PEER_SILENCE)
     }
 
     /// Returns what all usable agents together have for `service`.
@@ -273,7 +273,7 @@
 
 impl Agent {
     fn is_usable(&self, now: Timestamp) -> bool {
-        self.view.usable && now.since(self.view.heard) <= SILENCE
+        self.view.usable && now.since(self.view.heard) <= MAX_PEER_SILENCE
     }
 }
 
--- a/dragonflyrun/src/utils/collections.rs
+++ b/dragonflyrun/src/utils/collections.rs
@@ -10,7 +10,7 @@
 pub type HashSet<K> = rustc_hash::FxHashSet<K>;
 
 /// Returns a hash of `name` that is the same in every process of one release.
-pub fn spread(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     use std::hash::Hasher;
     let mut hasher = rustc_hash::FxHasher::default();
     hasher.write(name.as_bytes());
--- a/dragonflyrun/src/utils/mod.rs
+++ b/dragonflyrun/src/utils/mod.rs
@@ -5,7 +5,7 @@
 mod name;
 mod timestamp;
 
-pub use collections::{HashMap, HashSet, spread};
+pub use collections::{HashMap, HashSet, stable_hash};
 pub use lock::lock;
 pub use name::Name;
 pub use timestamp::Timestamp;
--- a/dragonflyrun/src/workload/term.rs
+++ b/dragonflyrun/src/workload/term.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::{
-    utils::{Name, Timestamp, spread},
+    utils::{Name, Timestamp, stable_hash},
     workload::Term,
 };
 
@@ -182,7 +182,7 @@
     /// other, while the first of only three candidates still claims soon.
     fn stagger_fraction(&self) -> f64 {
         let step =
-            spread(&format!("{}/{}", self.entry, self.term.number)) % u64::from(STAGGER_STEPS);
+            stable_hash(&format!("{}/{}", self.entry, self.term.number)) % u64::from(STAGGER_STEPS);
         step as f64 / f64::from(STAGGER_STEPS)
     }
 }
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -29,7 +29,7 @@
 struct World {
     records: Vec<String>,
     first: u64,
-    whole: Ledger,
+    reference: Ledger,
     ids: u64,
     verdicts: Vec<Option<Verdict>>,
 }
@@ -39,7 +39,7 @@
         let mut world = Self {
             records: Vec::new(),
             first: 0,
-            whole: Ledger::default(),
+            reference: Ledger::default(),
             ids: 0,
             verdicts: Vec::new(),
         };
@@ -62,13 +62,13 @@
         self.records.len() as u64
     }
 
-    /// Puts `record` on the log and folds it in the whole process.
+    /// Puts `record` on the log and folds it in the reference process.
     fn append(&mut self, record: String) -> Option<Verdict> {
         let offset = self.head();
         self.records.push(record);
-        let before = self.whole.history.current().offset;
-        let folded = self.whole.fold(&self.raw(offset), SECRET);
-        assert!(self.whole.history.current().offset >= before);
+        let before = self.reference.history.current().offset;
+        let folded = self.reference.fold(&self.raw(offset), SECRET);
+        assert!(self.reference.history.current().offset >= before);
         let verdict = folded.and_then(|f| f.verdict);
         self.verdicts.push(verdict.clone());
         verdict
@@ -96,27 +96,27 @@
     }
 
     fn version_of(&self, section: &str) -> u64 {
-        let sections = self.whole.history.sections();
+        let sections = self.reference.history.sections();
         sections.get(section).copied().unwrap_or(0)
     }
 
-    fn carried(&self) -> Carried {
-        self.whole.history.carried(1, self.head()).unwrap()
+    fn state_to_repeat(&self) -> Carried {
+        self.reference.history.carried(1, self.head()).unwrap()
     }
 
-    fn carry(&mut self, carried: Carried) {
+    fn repeat(&mut self, state: Carried) {
         let key = AuthorKey::derive(SECRET, &PLANNER.into());
-        self.write(&key, &RecordBody::Carried(carried));
+        self.write(&key, &RecordBody::Carried(state));
     }
 
     /// Returns a process that reads the log from its first kept record on.
-    fn late(&self) -> Ledger {
+    fn late_reader(&self) -> Ledger {
         let mut ledger = Ledger::default();
-        self.catch_up(&mut ledger);
+        self.fold_to_head(&mut ledger);
         ledger
     }
 
-    fn catch_up(&self, ledger: &mut Ledger) {
+    fn fold_to_head(&self, ledger: &mut Ledger) {
         ledger.skip_to(self.first);
         while ledger.next_offset() < self.head() {
             self.fold_one(ledger);
@@ -133,7 +133,7 @@
     }
 
     fn assert_agrees(&self, ledger: &Ledger) {
-        let (ours, theirs) = (&self.whole.history, &ledger.history);
+        let (ours, theirs) = (&self.reference.history, &ledger.history);
         assert!(theirs.is_whole());
         assert_eq!(theirs.current().offset, ours.current().offset);
         assert_eq!(theirs.current().document, ours.current().document);
@@ -151,7 +151,7 @@
 
 /// A deployment whose log has dropped its first records, the edit that made `root` administrator
 /// among them.
-fn dropped_start() -> World {
+fn with_dropped_start() -> World {
     let mut world = World::new();
     let accepted = world.edit("root", "administration", 0, administration(&["root"]));
     assert_eq!(accepted, Some(Verdict::Accepted));
@@ -164,44 +164,44 @@
 /// would obey an administrator that nobody else knows.
 #[test]
 fn late_start() {
-    let mut world = dropped_start();
-    let taken = world.edit("mallory", "administration", 0, administration(&["mallory"]));
-    assert!(matches!(taken, Some(Verdict::Stale { .. })));
-    let mut late = world.late();
-    assert!(!late.history.is_whole());
-    assert_eq!(late.history.current().document, Document::default());
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
+    let mut world = with_dropped_start();
+    let verdict = world.edit("mallory", "administration", 0, administration(&["mallory"]));
+    assert!(matches!(verdict, Some(Verdict::Stale { .. })));
+    let mut late_reader = world.late_reader();
+    assert!(!late_reader.history.is_whole());
+    assert_eq!(late_reader.history.current().document, Document::default());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
 }
 
 /// The planner takes its state, and before it has written it to the log an edit arrives there. A
 /// process that starts from the carried state must not miss the edit that stands before it.
 #[test]
-fn raced_carry() {
-    let mut world = dropped_start();
-    let carried = world.carried();
+fn edit_before_repeat() {
+    let mut world = with_dropped_start();
+    let state = world.state_to_repeat();
     let accepted = world.edit("root", "team", 0, administration(&["alice"]));
     assert_eq!(accepted, Some(Verdict::Accepted));
-    world.carry(carried);
-    world.assert_agrees(&world.late());
+    world.repeat(state);
+    world.assert_agrees(&world.late_reader());
 }
 
 /// The log drops an edit that stands between the planner's taking of its state and the carried
 /// record. A process that starts at the carried record can't know of the edit, so it must wait for
 /// the next carried state and not take an old configuration for the current one.
 #[test]
-fn dropped_race() {
-    let mut world = dropped_start();
-    let carried = world.carried();
+fn dropped_edit_before_repeat() {
+    let mut world = with_dropped_start();
+    let state = world.state_to_repeat();
     world.edit("root", "team", 0, administration(&["alice"]));
     world.first = world.head();
-    world.carry(carried);
-    let mut late = world.late();
-    assert!(!late.history.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
+    world.repeat(state);
+    let mut late_reader = world.late_reader();
+    assert!(!late_reader.history.is_whole());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
 }
 
 /// A process is frozen for longer than the log keeps its records, and a failure domain is taken
@@ -214,15 +214,15 @@
         Some(json!({ "owners": ["root"], "failure_domains": domains }))
     };
     world.edit("root", "administration", 0, domain(true));
-    let mut frozen = world.late();
+    let mut frozen = world.late_reader();
     assert!(frozen.history.current().in_service(&"murau".into()));
     let base = world.version_of("administration");
     world.edit("root", "administration", base, domain(false));
     world.first = world.head();
-    world.catch_up(&mut frozen);
+    world.fold_to_head(&mut frozen);
     assert!(!frozen.history.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut frozen);
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut frozen);
     world.assert_agrees(&frozen);
     assert!(!frozen.history.current().in_service(&"murau".into()));
 }
@@ -230,10 +230,10 @@
 /// The same, but what the log still keeps shows no trace of a planner. The process must not take
 /// what it knew for the current state, and would start tasks in a failure domain that is out.
 #[test]
-fn frozen_alone() {
+fn frozen_without_planner() {
     let mut world = World::new();
     world.edit("root", "administration", 0, administration(&["root"]));
-    let mut frozen = world.late();
+    let mut frozen = world.late_reader();
     let base = world.version_of("administration");
     world.edit(
         "root",
@@ -242,12 +242,12 @@
         administration(&["root", "bob"]),
     );
     world.first = world.head();
-    world.catch_up(&mut frozen);
+    world.fold_to_head(&mut frozen);
     frozen.reached_head();
     assert!(!frozen.history.is_whole());
-    assert!(!frozen.membership.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut frozen);
+    assert!(!frozen.membership.is_complete());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut frozen);
     world.assert_agrees(&frozen);
 }
 
@@ -255,20 +255,20 @@
 /// finds no trace of the deployment and presumes that it is new. It is mistaken, and somebody makes
 /// a "first" edit that all others refuse. It has to come round when the configuration is repeated.
 #[test]
-fn mistaken_start() {
-    let mut world = dropped_start();
-    let mut late = world.late();
-    late.reached_head();
-    assert!(late.history.is_presumed());
+fn wrongly_presumed_new() {
+    let mut world = with_dropped_start();
+    let mut late_reader = world.late_reader();
+    late_reader.reached_head();
+    assert!(late_reader.history.is_presumed());
     world.edit("mallory", "administration", 0, administration(&["mallory"]));
     world.edit("root", "team", 0, administration(&["root"]));
-    world.carry(world.carried());
-    late.fold(&world.raw(late.next_offset()), SECRET);
-    while late.next_offset() < world.head() {
-        late.fold(&world.raw(late.next_offset()), SECRET);
+    world.repeat(world.state_to_repeat());
+    late_reader.fold(&world.raw(late_reader.next_offset()), SECRET);
+    while late_reader.next_offset() < world.head() {
+        late_reader.fold(&world.raw(late_reader.next_offset()), SECRET);
     }
-    world.assert_agrees(&late);
-    assert!(!late.history.is_presumed());
+    world.assert_agrees(&late_reader);
+    assert!(!late_reader.history.is_presumed());
 }
 
 /// A log that was used for something else before has dropped its first records, and all processes
@@ -278,19 +278,19 @@
     let mut world = World::new();
     world.append("something else".to_owned());
     world.first = world.head();
-    let mut late = world.late();
-    late.reached_head();
-    let mut other = world.late();
+    let mut late_reader = world.late_reader();
+    late_reader.reached_head();
+    let mut other = world.late_reader();
     other.reached_head();
-    world.whole = other;
+    world.reference = other;
     let first = world.edit("root", "administration", 0, administration(&["root"]));
     assert_eq!(first, Some(Verdict::Accepted));
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
-    assert!(!world.whole.history.is_presumed());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
+    assert!(!world.reference.history.is_presumed());
 }
 
 /// An answer to an append is lost and the edit is sent a second time with the same id. The first
@@ -310,20 +310,20 @@
     assert!(matches!(refused, Some(Verdict::Invalid { .. })));
     let copy = world.records.last().unwrap().clone();
     world.first = world.head();
-    world.carry(world.carried());
+    world.repeat(world.state_to_repeat());
     let base = world.version_of("north");
     let given_up = world.edit("root", "north", base, named(&[]));
     assert_eq!(given_up, Some(Verdict::Accepted));
     assert_eq!(world.append(copy), None);
     assert_eq!(world.version_of("south"), 0);
-    world.assert_agrees(&world.late());
+    world.assert_agrees(&world.late_reader());
 }
 
 /// An editor holds a key of its own, and uses it to write what only a planner may write: a whole
 /// configuration. No process may take it, however it has come by its state.
 #[test]
-fn forged_carry() {
-    let mut world = dropped_start();
+fn forged_repeat() {
+    let mut world = with_dropped_start();
     let forged = Carried::Configuration(CarriedConfiguration {
         term: u64::MAX,
         as_of: world.head(),
@@ -334,9 +334,9 @@
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
     world.write(&key, &RecordBody::Carried(forged));
-    assert!(!world.late().history.is_whole());
-    world.carry(world.carried());
-    world.assert_agrees(&world.late());
+    assert!(!world.late_reader().history.is_whole());
+    world.repeat(world.state_to_repeat());
+    world.assert_agrees(&world.late_reader());
 }
 
 /// Programs of two releases run side by side, and an editor uses a key that only the newer one
@@ -363,12 +363,15 @@
     let raise = |format| Some(json!({ "owners": ["root"], "format": format }));
     let mistaken = world.edit("root", "administration", base, raise(FORMAT + 7));
     assert!(matches!(mistaken, Some(Verdict::Invalid { .. })));
-    assert!(world.whole.history.is_whole());
+    assert!(world.reference.history.is_whole());
     let raised = world.edit("root", "administration", base, raise(FORMAT + 1));
     assert_eq!(raised, None);
-    assert!(!world.whole.history.is_whole());
-    assert_eq!(world.whole.history.unsupported_format(), Some(FORMAT + 1));
-    assert!(world.whole.history.carried(1, world.head()).is_none());
+    assert!(!world.reference.history.is_whole());
+    assert_eq!(
+        world.reference.history.unsupported_format(),
+        Some(FORMAT + 1)
+    );
+    assert!(world.reference.history.carried(1, world.head()).is_none());
 }
 
 const EDITORS: [&str; 4] = ["root", "alice", "bob", "mallory"];
@@ -399,7 +402,7 @@
 
 /// One thing that happens to the log: an edit from an old or the current version, a second copy, a
 /// state carried late or at once, dropped records, or a stranger's bytes.
-fn step(u: &mut Unstructured<'_>, world: &mut World, taken: &mut Option<Carried>) -> Result<()> {
+fn step(u: &mut Unstructured<'_>, world: &mut World, snapshot: &mut Option<Carried>) -> Result<()> {
     match u.int_in_range(0..=13)? {
         0..=6 => {
             let section = *u.choose(&SECTIONS)?;
@@ -421,10 +424,10 @@
             let copy = u.choose(&world.records)?.clone();
             world.append(copy);
         }
-        9 => *taken = Some(world.carried()),
+        9 => *snapshot = Some(world.state_to_repeat()),
         10 => {
-            let carried = taken.take().unwrap_or_else(|| world.carried());
-            world.carry(carried);
+            let state = snapshot.take().unwrap_or_else(|| world.state_to_repeat());
+            world.repeat(state);
         }
         11 => {
             let first = u.int_in_range(world.first..=world.head())?;
@@ -465,7 +468,7 @@
 /// one that goes back to an old one.
 #[test]
 fn folds_agree() {
-    let (mut accepted, mut joined) = (0, 0);
+    let (mut accepted, mut compared) = (0, 0);
     each_seed(60, 1_024, |u| {
         let mut world = World::new();
         world.edit(
@@ -474,12 +477,12 @@
             0,
             administration(&["root", "bob"]),
         );
-        let mut others: Vec<Ledger> = vec![world.late()];
-        let mut taken = None;
+        let mut others: Vec<Ledger> = vec![world.late_reader()];
+        let mut snapshot = None;
         while !u.is_empty() {
-            step(u, &mut world, &mut taken)?;
+            step(u, &mut world, &mut snapshot)?;
             if u.ratio(1, 6)? {
-                others.push(world.late());
+                others.push(world.late_reader());
             }
             if u.ratio(1, 2)? {
                 let chosen = u.choose_index(others.len())?;
@@ -488,16 +491,16 @@
             for other in others.iter().filter(|o| o.next_offset() == world.head()) {
                 if other.history.is_whole() {
                     world.assert_agrees(other);
-                    joined += 1;
+                    compared += 1;
                 }
             }
         }
-        world.carry(world.carried());
+        world.repeat(world.state_to_repeat());
         for other in &mut others {
-            world.catch_up(other);
+            world.fold_to_head(other);
             world.assert_agrees(other);
         }
-        world.assert_agrees(&world.late());
+        world.assert_agrees(&world.late_reader());
         let verdicts = world.verdicts.iter().flatten();
         accepted += verdicts.filter(|v| **v == Verdict::Accepted).count();
         Ok(())
@@ -505,15 +508,15 @@
     // The property would hold of a log on which nothing is ever accepted.
     assert!(accepted > 600, "only {accepted} edits were accepted");
     assert!(
-        joined > 600,
-        "only {joined} times a process was at the head"
+        compared > 600,
+        "only {compared} times a process was at the head"
     );
 }
 
 /// A configuration of the largest size still fits into one record; if it did not, the planner could
-/// not carry it, and it would be lost with the records that the log drops.
+/// not repeat it, and it would be lost with the records that the log drops.
 #[test]
-fn largest_carry() {
+fn largest_repeat() {
     let mut world = World::new();
     world.edit("root", "administration", 0, administration(&["root"]));
     let long = |kind: &str, i: usize| format!("{kind:-<50}{i:014}");
@@ -534,11 +537,11 @@
         section += 1;
     }
     assert!(section > 4);
-    world.carry(world.carried());
+    world.repeat(world.state_to_repeat());
     let record = world.records.last().unwrap();
     assert!(record.len() < 4 << 20, "{} bytes", record.len());
     world.first = world.head() - 1;
-    world.assert_agrees(&world.late());
+    world.assert_agrees(&world.late_reader());
 }
 
 /// The tables of a version follow its document.
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -23,7 +23,7 @@
         AgentMessage, JobSpec, PARTIAL_BOUND, PlannerAction, Purpose, StartCheck, WorkerCall,
         WorkerOp,
     },
-    process::{TickView, carried_body},
+    process::{TickView, state_to_repeat},
     utils::{Name, Timestamp},
     version::{
         ADMINISTRATION, Adjacency, FailureDomain, Limits, RawSection, Section, Urgency, Workspace,
@@ -405,7 +405,7 @@
                 PlannerAction::Send(notice) => self.notify(i, notice),
                 PlannerAction::Append { body, purpose } => self.queue_append(i, &body, purpose),
                 PlannerAction::Repeat(item) => {
-                    if let Some(body) = carried_body(&self.nodes[i].ledger, &item) {
+                    if let Some(body) = state_to_repeat(&self.nodes[i].ledger, &item) {
                         let body = RecordBody::Carried(body);
                         self.queue_append(i, &body, Purpose::Repeat(item));
                     }
@@ -480,7 +480,7 @@
             for (id, _) in &records {
                 self.nodes[i].pending.insert(id.clone(), true);
                 let now = self.nodes[i].clock(self.now);
-                self.nodes[i].freshness.append_pending(now, true);
+                self.nodes[i].freshness.set_append_pending(now, true);
                 self.after(8_000, Event::GiveUp(i, incarnation, id.clone()));
             }
             // It takes effect at once, late, or never.
@@ -502,7 +502,7 @@
     fn append_failed(&mut self, i: usize, id: &Name) {
         let now = self.nodes[i].clock(self.now);
         let unsure = self.nodes[i].pending.values().any(|lost| *lost);
-        self.nodes[i].freshness.append_pending(now, unsure);
+        self.nodes[i].freshness.set_append_pending(now, unsure);
         if let RoleTable::Entry(table) = &mut self.nodes[i].table {
             table.append_failed(now, id);
         }
@@ -613,7 +613,7 @@
         let mut notices = Vec::new();
         match (message, &mut node.table) {
             (Message::Heartbeat(heartbeat), table) => {
-                node.roster.heard(now, from, *heartbeat);
+                node.roster.on_heartbeat(now, from, *heartbeat);
                 if let (RoleTable::Entry(table), Some(peer)) = (table, node.roster.peer(from))
                     && peer.peer.role == Role::Agent
                 {
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -88,7 +88,7 @@
 
     /// The same decision as `Context::is_fresh`.
     pub fn is_fresh(&self, now: u64) -> bool {
-        if !self.ledger.is_whole() {
+        if !self.ledger.is_complete() {
             return false;
         }
         let others = self.ledger.membership.entries().keys();
@@ -111,14 +111,14 @@
 
     pub fn link_up(&mut self, now: u64, peer: Peer) {
         self.sent.remove(&peer.name);
-        self.roster.up(self.clock(now), peer);
+        self.roster.link_up(self.clock(now), peer);
     }
 
     pub fn link_down(&mut self, now: u64, peer: &Peer) {
-        self.roster.down(peer);
+        self.roster.link_down(peer);
         let at = self.clock(now);
         if let (RoleTable::Entry(table), Role::Agent) = (&mut self.table, peer.role) {
-            table.on_down(at, &peer.name);
+            table.on_link_down(at, &peer.name);
         }
     }
 
@@ -168,7 +168,7 @@
     /// Folds records of the log and follows them, as the shells do.
     pub fn read_log(&mut self, now: u64, records: &[LogRecord], outage: bool) {
         let reached = !outage && !self.log_cut;
-        self.freshness.reached(reached);
+        self.freshness.set_reachable(reached);
         if !reached {
             return;
         }
@@ -178,14 +178,14 @@
                 self.on_folded(now, &folded);
             }
         }
-        self.freshness.head_seen(self.clock(now));
+        self.freshness.on_head_seen(self.clock(now));
     }
 
     fn on_folded(&mut self, now: u64, folded: &Folded) {
         let at = self.clock(now);
         self.pending.remove(&folded.record.id);
         let unsure = self.pending.values().any(|lost| *lost);
-        self.freshness.append_pending(at, unsure);
+        self.freshness.set_append_pending(at, unsure);
         match &mut self.table {
             RoleTable::Entry(table) => table.on_folded(at, folded, &self.ledger),
             RoleTable::Agent(members) if folded.in_effect => {
--- a/dragonflyrun/tests/graceful_stop.rs
+++ b/dragonflyrun/tests/graceful_stop.rs
@@ -12,14 +12,14 @@
 use dragonflyrun::connection::{HttpLimits, HttpRequest, HttpResponse, HttpServer};
 use hyper::StatusCode;
 
-const BODY: usize = 4 << 20;
-const MOST: Duration = Duration::from_secs(30);
+const BODY_BYTES: usize = 4 << 20;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn limits() -> HttpLimits {
     HttpLimits {
         connections: 64,
-        body_bytes: BODY,
-        held_bytes: 64 * BODY,
+        body_bytes: BODY_BYTES,
+        held_bytes: 64 * BODY_BYTES,
         pause: Duration::from_secs(5),
     }
 }
@@ -28,14 +28,14 @@
     TcpStream::connect(server.local_addr()).unwrap()
 }
 
-fn ask(stream: &mut TcpStream) {
+fn send_request(stream: &mut TcpStream) {
     stream
         .write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
         .unwrap();
 }
 
-fn is_whole(answer: &[u8]) -> bool {
-    answer.starts_with(b"HTTP/1.1 200") && answer.len() > BODY
+fn is_complete(answer: &[u8]) -> bool {
+    answer.starts_with(b"HTTP/1.1 200") && answer.len() > BODY_BYTES
 }
 
 fn read_slowly(mut stream: TcpStream) -> Vec<u8> {
@@ -56,38 +56,38 @@
 /// answers; none sees its connection reset.
 #[test]
 fn requests_under_way() {
-    let (begin, begun) = bounded::<()>(64);
-    let go = Arc::new(Barrier::new(9));
-    let gate = go.clone();
+    let (started_tx, started_rx) = bounded::<()>(64);
+    let barrier = Arc::new(Barrier::new(9));
+    let handler_barrier = barrier.clone();
     let handler = move |_: HttpRequest| {
-        begin.send(()).unwrap();
-        gate.wait();
-        HttpResponse::bytes(StatusCode::OK, vec![b'x'; BODY])
+        started_tx.send(()).unwrap();
+        handler_barrier.wait();
+        HttpResponse::bytes(StatusCode::OK, vec![b'x'; BODY_BYTES])
     };
     let address = ([127, 0, 0, 1], 0).into();
     let server = Arc::new(HttpServer::start(address, limits(), Arc::new(handler)).unwrap());
-    let mut silent = connect(&server);
-    let mut asked: Vec<TcpStream> = (0..7).map(|_| connect(&server)).collect();
-    asked.iter_mut().for_each(ask);
-    (0..7).for_each(|_| begun.recv().unwrap());
+    let mut idle = connect(&server);
+    let mut busy: Vec<TcpStream> = (0..7).map(|_| connect(&server)).collect();
+    busy.iter_mut().for_each(send_request);
+    (0..7).for_each(|_| started_rx.recv().unwrap());
 
     let stopping = server.clone();
-    let drained = thread::spawn(move || stopping.drain(MOST));
+    let drained = thread::spawn(move || stopping.drain(DRAIN_TIMEOUT));
     // Once the listener is closed, the stop waits for the connections only.
     while TcpStream::connect(server.local_addr()).is_ok() {
         thread::yield_now();
     }
-    ask(&mut silent);
-    begun.recv().unwrap();
-    go.wait();
+    send_request(&mut idle);
+    started_rx.recv().unwrap();
+    barrier.wait();
 
-    asked.push(silent);
-    let readers: Vec<_> = asked
+    busy.push(idle);
+    let readers: Vec<_> = busy
         .into_iter()
         .map(|stream| thread::spawn(move || read_slowly(stream)))
         .collect();
     for reader in readers {
-        assert!(is_whole(&reader.join().unwrap()));
+        assert!(is_complete(&reader.join().unwrap()));
     }
     assert!(drained.join().unwrap());
     assert_eq!(server.in_flight(), 0);
@@ -96,20 +96,20 @@
 /// A handler never comes back. The stop says so after its bound instead of hanging for ever.
 #[test]
 fn stuck_request() {
-    let (begin, begun) = bounded::<()>(1);
-    let (end, ended) = bounded::<()>(1);
+    let (started_tx, started_rx) = bounded::<()>(1);
+    let (end_tx, end_rx) = bounded::<()>(1);
     let handler = move |_: HttpRequest| {
-        begin.send(()).unwrap();
-        let _ = ended.recv();
+        started_tx.send(()).unwrap();
+        let _ = end_rx.recv();
         HttpResponse::bytes(StatusCode::OK, Vec::new())
     };
     let address = ([127, 0, 0, 1], 0).into();
     let server = HttpServer::start(address, limits(), Arc::new(handler)).unwrap();
     let mut stream = connect(&server);
-    ask(&mut stream);
-    begun.recv().unwrap();
+    send_request(&mut stream);
+    started_rx.recv().unwrap();
     assert!(!server.drain(Duration::from_millis(100)));
     assert_eq!(server.in_flight(), 1);
-    end.send(()).unwrap();
-    assert!(server.drain(MOST));
+    end_tx.send(()).unwrap();
+    assert!(server.drain(DRAIN_TIMEOUT));
 }
--- a/dragonflyrun/tests/impossible_jobs.rs
+++ b/dragonflyrun/tests/impossible_jobs.rs
@@ -22,13 +22,13 @@
         let RoleTable::Entry(table) = &entry.table else {
             panic!("{} is not an entry", entry.name);
         };
-        assert_eq!(table.possible(&sleeping(2, 1, 1_000)), Ok(()));
+        assert_eq!(table.check_possible(&sleeping(2, 1, 1_000)), Ok(()));
         assert_eq!(
-            table.possible(&too_wide),
+            table.check_possible(&too_wide),
             Err(ImpossibleReason::GangTooLarge)
         );
         assert_eq!(
-            table.possible(&too_large),
+            table.check_possible(&too_large),
             Err(ImpossibleReason::TaskTooLarge)
         );
     }
--- a/dragonflyrun/tests/log_bounds.rs
+++ b/dragonflyrun/tests/log_bounds.rs
@@ -26,13 +26,14 @@
     }
 
     fn wait_for(&self, text: &str) -> String {
-        let seen = |state: &mut (bool, Vec<u8>)| !String::from_utf8_lossy(&state.1).contains(text);
+        let not_written =
+            |state: &mut (bool, Vec<u8>)| !String::from_utf8_lossy(&state.1).contains(text);
         let state = self.0.0.lock().expect("no panic");
-        let patience = Duration::from_secs(60);
+        let timeout = Duration::from_secs(60);
         let (state, _) = self
             .0
             .1
-            .wait_timeout_while(state, patience, seen)
+            .wait_timeout_while(state, timeout, not_written)
             .expect("no panic");
         String::from_utf8_lossy(&state.1).into_owned()
     }
@@ -55,7 +56,7 @@
 /// Whoever collects the logs stops reading. A process that waited for it would answer no caller any
 /// more; it goes on instead, and says afterwards how many lines are missing.
 #[test]
-fn reader_stops() {
+fn stalled_log_reader() {
     let pipe = Pipe::default();
     let mut writer = LogWriter::new(pipe.clone()).expect("a thread");
     let lines = 20_000;
@@ -68,15 +69,15 @@
     pipe.open();
     let text = pipe.wait_for("log_lines_left_out");
     let count = text.split("count=").nth(1).and_then(|t| t.lines().next());
-    let left_out: usize = count.and_then(|c| c.parse().ok()).expect("a count");
+    let dropped: usize = count.and_then(|c| c.parse().ok()).expect("a count");
     let text = pipe.wait_for("log_lines_left_out");
     let written = text
         .lines()
         .filter(|l| l.starts_with("event=something"))
         .count();
-    assert!(left_out > 0, "more lines than the queue holds");
+    assert!(dropped > 0, "more lines than the queue holds");
     assert!(
-        written > 0 && written + left_out <= lines,
-        "{written} {left_out}"
+        written > 0 && written + dropped <= lines,
+        "{written} {dropped}"
     );
 }
--- a/dragonflyrun/tests/log_freshness.rs
+++ b/dragonflyrun/tests/log_freshness.rs
@@ -4,7 +4,7 @@
 
 use dragonflyrun::{
     connection::LogView,
-    process::{EntryView, FRESH, Freshness},
+    process::{EntryView, Freshness, MAX_HEAD_AGE},
     utils::Timestamp,
 };
 
@@ -14,7 +14,7 @@
     Timestamp::from_millis(ms)
 }
 
-fn says_down(entry: &str, heard: Timestamp) -> EntryView {
+fn reports_log_down(entry: &str, heard: Timestamp) -> EntryView {
     EntryView {
         entry: entry.into(),
         heard: Some(heard),
@@ -29,10 +29,10 @@
     }
 }
 
-fn seen_long_ago() -> Freshness {
+fn with_old_head() -> Freshness {
     let mut freshness = Freshness::default();
-    freshness.head_seen(at(1_000));
-    freshness.reached(false);
+    freshness.on_head_seen(at(1_000));
+    freshness.set_reachable(false);
     freshness
 }
 
@@ -40,10 +40,10 @@
 fn head_seen() {
     let mut freshness = Freshness::default();
     assert!(!freshness.is_fresh(at(0), 0, &[]));
-    freshness.reached(true);
-    freshness.head_seen(at(1_000));
-    assert!(freshness.is_fresh(at(1_000) + FRESH, NEXT_OFFSET, &[]));
-    let late = at(1_001) + FRESH;
+    freshness.set_reachable(true);
+    freshness.on_head_seen(at(1_000));
+    assert!(freshness.is_fresh(at(1_000) + MAX_HEAD_AGE, NEXT_OFFSET, &[]));
+    let late = at(1_001) + MAX_HEAD_AGE;
     assert!(!freshness.is_fresh(late, NEXT_OFFSET, &[]));
 }
 
@@ -52,62 +52,72 @@
 #[test]
 fn outage_agreed() {
     let now = at(60_000);
-    let entries = [says_down("entry-1", now), says_down("entry-2", now)];
-    assert!(seen_long_ago().is_fresh(now, NEXT_OFFSET, &entries));
+    let entries = [
+        reports_log_down("entry-1", now),
+        reports_log_down("entry-2", now),
+    ];
+    assert!(with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
 }
 
 /// One entry is cut off from us but not from the log, where operators may be draining a failure
 /// domain through it. From here it is only silent. A process that took the silence for agreement
 /// would start tasks in the drained failure domain.
 #[test]
-fn one_silent() {
+fn silent_entry() {
     let now = at(60_000);
     let long_ago = at(30_000);
-    let entries = [says_down("entry-1", now), says_down("entry-2", long_ago)];
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &entries));
+    let entries = [
+        reports_log_down("entry-1", now),
+        reports_log_down("entry-2", long_ago),
+    ];
+    assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
     let never = EntryView {
         heard: None,
-        ..says_down("entry-2", now)
+        ..reports_log_down("entry-2", now)
     };
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &[says_down("entry-1", now), never]));
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &[]));
+    assert!(!with_old_head().is_fresh(
+        now,
+        NEXT_OFFSET,
+        &[reports_log_down("entry-1", now), never]
+    ));
+    assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[]));
 }
 
 /// An entry stopped with a goodbye before the outage. It holds nobody up.
 #[test]
-fn leaver_ignored() {
+fn stopped_entry_ignored() {
     let now = at(60_000);
-    let mut left = says_down("entry-2", at(2_000));
+    let mut left = reports_log_down("entry-2", at(2_000));
     left.gone = true;
-    let entries = [says_down("entry-1", now), left];
-    assert!(seen_long_ago().is_fresh(now, NEXT_OFFSET, &entries));
+    let entries = [reports_log_down("entry-1", now), left];
+    assert!(with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
 }
 
 /// An entry's append got no answer, or it has read further than we have. What it appended or read
 /// may be a drain that we don't know of.
 #[test]
-fn entry_knows_more() {
+fn entry_ahead() {
     let now = at(60_000);
-    let mut pending = says_down("entry-2", now);
+    let mut pending = reports_log_down("entry-2", now);
     pending.log.append_pending = true;
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &[pending]));
-    let mut ahead = says_down("entry-2", now);
+    assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[pending]));
+    let mut ahead = reports_log_down("entry-2", now);
     ahead.log.next_offset = NEXT_OFFSET + 1;
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &[ahead]));
-    let mut reaching = says_down("entry-2", now);
+    assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[ahead]));
+    let mut reaching = reports_log_down("entry-2", now);
     reaching.log.reachable = true;
-    assert!(!seen_long_ago().is_fresh(now, NEXT_OFFSET, &[reaching]));
+    assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[reaching]));
 }
 
 /// This process's own append got no answer before the log went down. Until the log has been read
 /// well after, the record may stand there unseen.
 #[test]
-fn append_in_doubt() {
+fn uncertain_append() {
     let now = at(60_000);
-    let mut freshness = seen_long_ago();
-    freshness.append_pending(at(2_000), true);
-    let entries = [says_down("entry-1", now)];
+    let mut freshness = with_old_head();
+    freshness.set_append_pending(at(2_000), true);
+    let entries = [reports_log_down("entry-1", now)];
     assert!(!freshness.is_fresh(now, NEXT_OFFSET, &entries));
-    freshness.head_seen(at(2_000) + Duration::from_secs(16));
+    freshness.on_head_seen(at(2_000) + Duration::from_secs(16));
     assert!(freshness.is_fresh(now, NEXT_OFFSET, &entries));
 }
--- a/dragonflyrun/tests/peer_roster.rs
+++ b/dragonflyrun/tests/peer_roster.rs
@@ -15,7 +15,7 @@
         Role, //
     },
     job::GangId,
-    process::{Roster, SILENCE},
+    process::{MAX_PEER_SILENCE, Roster},
     utils::{Name, Timestamp},
 };
 
@@ -74,8 +74,8 @@
 
 fn heard(report: Option<Report>) -> Roster {
     let mut roster = Roster::default();
-    roster.up(at(0), peer(1));
-    roster.heard(at(100), &"worker-1".into(), heartbeat(None, report));
+    roster.link_up(at(0), peer(1));
+    roster.on_heartbeat(at(100), &"worker-1".into(), heartbeat(None, report));
     roster
 }
 
@@ -88,9 +88,9 @@
 #[test]
 fn silent_peer() {
     let roster = heard(Some(whole(false)));
-    assert!(live(&roster, at(100) + SILENCE));
-    assert!(!live(&roster, at(101) + SILENCE));
-    assert_eq!(roster.agents(at(101) + SILENCE).count(), 0);
+    assert!(live(&roster, at(100) + MAX_PEER_SILENCE));
+    assert!(!live(&roster, at(101) + MAX_PEER_SILENCE));
+    assert_eq!(roster.agents(at(101) + MAX_PEER_SILENCE).count(), 0);
 }
 
 #[test]
@@ -103,10 +103,10 @@
 #[test]
 fn successor_stays() {
     let mut roster = heard(Some(whole(false)));
-    roster.up(at(200), peer(2));
-    roster.down(&peer(1));
+    roster.link_up(at(200), peer(2));
+    roster.link_down(&peer(1));
     assert!(live(&roster, at(300)));
-    roster.down(&peer(2));
+    roster.link_down(&peer(2));
     assert!(!live(&roster, at(300)));
 }
 
@@ -116,13 +116,13 @@
 fn buffered_heartbeat() {
     let mut roster = heard(None);
     let name = Name::from("worker-1");
-    roster.heard(at(10_100), &name, heartbeat(Some(50), None));
+    roster.on_heartbeat(at(10_100), &name, heartbeat(Some(50), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(50)));
-    roster.heard(at(10_200), &name, heartbeat(Some(10_150), None));
+    roster.on_heartbeat(at(10_200), &name, heartbeat(Some(10_150), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
     // Heartbeats that were overtaken, or echo a clock that is not ours, prove nothing new.
-    roster.heard(at(10_300), &name, heartbeat(Some(60), None));
-    roster.heard(at(10_300), &name, heartbeat(Some(99_999), None));
+    roster.on_heartbeat(at(10_300), &name, heartbeat(Some(60), None));
+    roster.on_heartbeat(at(10_300), &name, heartbeat(Some(99_999), None));
     assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
 }
 
@@ -131,8 +131,8 @@
     let mut roster = heard(Some(whole(false)));
     let name = Name::from("worker-1");
     let part = Report::Backends(vec![backend(3)]);
-    roster.heard(at(200), &name, heartbeat(None, Some(part.clone())));
-    roster.heard(at(300), &name, heartbeat(None, None));
+    roster.on_heartbeat(at(200), &name, heartbeat(None, Some(part.clone())));
+    roster.on_heartbeat(at(300), &name, heartbeat(None, None));
     let (_, report) = roster.agents(at(300)).next().unwrap();
     assert_eq!(report.backends, [backend(3)]);
     assert_eq!(report.members.len(), 1);
@@ -145,9 +145,9 @@
 fn forgotten_peer() {
     let long = Duration::from_secs(120);
     let mut roster = heard(Some(whole(false)));
-    roster.forget(at(500_000), long);
+    roster.remove_silent(at(500_000), long);
     assert_eq!(roster.all().len(), 1);
-    roster.down(&peer(1));
-    roster.forget(at(500_000), long);
+    roster.link_down(&peer(1));
+    roster.remove_silent(at(500_000), long);
     assert!(roster.all().is_empty());
 }
--- a/dragonflyrun/tests/record_seals.rs
+++ b/dragonflyrun/tests/record_seals.rs
@@ -70,7 +70,7 @@
 /// A newer version of the program writes a kind of record that this one does not know. It is
 /// skipped; were it an error, an upgrade of one process would stop all others.
 #[test]
-fn unknown_kind() {
+fn unreadable_record_skipped() {
     let sealed = key("entry-1").seal(&"id-1".into(), &term("entry-1", 1));
     let ledger = {
         let mut ledger = Ledger::default();
@@ -102,7 +102,7 @@
 /// records stand behind the claim and must have no effect, or two planners would start gangs on
 /// the same workers.
 #[test]
-fn deposed_planner() {
+fn superseded_planner() {
     let started = RecordBody::JobStarted {
         term: 1,
         job: "job-1".into(),
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -16,7 +16,7 @@
         PlannerView, //
         STATE_REPEAT,
     },
-    process::{GangTable, Ledger, TickView, carried_body},
+    process::{GangTable, Ledger, TickView, state_to_repeat},
     utils::{HashSet, Name, Timestamp},
     version::{ADMINISTRATION, Adjacency, RawSection, Section, Urgency, Workspace},
 };
@@ -96,7 +96,7 @@
         for action in self.table.tick(now, &view) {
             let (body, purpose) = match action {
                 PlannerAction::Append { body, purpose } => (*body, purpose),
-                PlannerAction::Repeat(item) => match carried_body(&self.ledger, &item) {
+                PlannerAction::Repeat(item) => match state_to_repeat(&self.ledger, &item) {
                     Some(body) => {
                         let purpose = dragonflyrun::job::Purpose::Repeat(item);
                         (RecordBody::Carried(body), purpose)
@@ -241,10 +241,10 @@
         fold(&mut late, &planner.log, offset);
     }
     late.reached_head();
-    assert!(late.is_whole(), "nothing told who is planner");
+    assert!(late.is_complete(), "nothing told who is planner");
     assert_eq!(
-        late.membership.carried(),
-        planner.ledger.membership.carried()
+        late.membership.state_to_repeat(),
+        planner.ledger.membership.state_to_repeat()
     );
     let (known, expected) = (late.history.current(), planner.ledger.history.current());
     assert_eq!(known.offset, expected.offset);
@@ -270,9 +270,9 @@
 fn new_deployment() {
     let mut ledger = Ledger::default();
     ledger.skip_to(500);
-    assert!(!ledger.is_whole());
+    assert!(!ledger.is_complete());
     ledger.reached_head();
-    assert!(ledger.is_whole());
+    assert!(ledger.is_complete());
 }
 
 /// A process was frozen for longer than the log keeps its records. It holds a job that has ended in
@@ -290,5 +290,5 @@
     assert_eq!(planner.ledger.jobs.all_live().count(), 1);
     planner.ledger.skip_to(10_000);
     assert_eq!(planner.ledger.jobs.all_live().count(), 0);
-    assert!(!planner.ledger.is_whole());
+    assert!(!planner.ledger.is_complete());
 }
--- a/dragonflyrun/tests/settings_check.rs
+++ b/dragonflyrun/tests/settings_check.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn whole_entry() {
+fn valid_entry() {
     let cfg: Config = serde_json::from_str(include_str!("data/entry.json")).unwrap();
     let settings = Settings::check(cfg).unwrap();
     assert_eq!(&*settings.name, "entry-1");
--- a/dragonflyrun/tests/simulation/nodes.rs
+++ b/dragonflyrun/tests/simulation/nodes.rs
@@ -267,11 +267,11 @@
         let now = self.clock(node);
         match &mut self.nodes[node].role {
             NodeRole::Entry { table, roster, .. } if up => {
-                roster.up(now, peer.clone());
+                roster.link_up(now, peer.clone());
                 table.agent_up(now, peer);
             }
             NodeRole::Entry { table, roster, .. } => {
-                roster.down(peer);
+                roster.link_down(peer);
                 table.agent_down(now, peer);
             }
             NodeRole::Agent { table, .. } if up => table.entry_up(peer),
@@ -287,7 +287,7 @@
         let state = &mut self.nodes[node];
         match (&mut state.role, message) {
             (NodeRole::Entry { table, roster, .. }, Message::Heartbeat(heartbeat)) => {
-                roster.heard(now, &sender, *heartbeat);
+                roster.on_heartbeat(now, &sender, *heartbeat);
                 let view = roster
                     .peer(&sender)
                     .and_then(|p| AgentView::of(p, &version));
