--- a/dragonflyrun/src/lib.rs
+++ b/dragonflyrun/src/lib.rs
@@ -1,7 +1,7 @@
-//! The library of dragonflyrun, a scheduler that places multi-accelerator jobs for workspaces who
-//! hold guarantees and routes callers' requests to guarded backend servers.
+//! The library of dragonflyrun, a scheduler that places multi-accelerator jobs for workspaces that
+//! hold guarantees and routes callers' requests to backend servers protected from overload.
 //!
-//! Modules are laid out by what their contents live for; `docs/DESIGN.md` explains the choice.
+//! Modules are grouped by the lifetime of what they contain; `docs/DESIGN.md` explains the choice.
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
--- a/dragonflyrun/src/process/agent.rs
+++ b/dragonflyrun/src/process/agent.rs
@@ -1,4 +1,4 @@
-//! The role of an agent: stands beside a backend server and its worker.
+//! The agent role: runs requests at the backend servers and gang members on the worker of its host.
 
 use std::{
     io,
@@ -28,10 +28,10 @@
     utils::Name,
 };
 
-/// Time that requests under way have to end when the process stops.
+/// How long running requests may take to finish when the process stops.
 const STOP_TIME: Duration = Duration::from_secs(60);
 
-/// An agent's parts.
+/// The components of an agent.
 pub(crate) struct AgentNode {
     cx: Arc<Context>,
     requests: Arc<AgentRequests>,
@@ -53,9 +53,10 @@
         })
     }
 
-    /// Takes in a backend server's announcement.
+    /// Registers the backend server that announces itself.
     ///
-    /// Requests go to whatever address it names, so a stranger on the network must not make one.
+    /// The agent sends requests to the announced address, so the announcement has to carry a token
+    /// that proves knowledge of the deployment's secret.
     fn announce(&self, req: &HttpRequest) -> HttpResponse {
         let announcement = match serde_json::from_slice::<BackendAnnouncement>(&req.body) {
             Ok(announcement) => announcement,
@@ -65,7 +66,10 @@
         if !is_backends_token(&self.cx.settings.secret, &announcement.name, token) {
             log::warn!(backend:% = announcement.name; "announcement_refused");
             self.cx.counters.event("announcement_refused");
-            return HttpResponse::text(StatusCode::FORBIDDEN, "the token does not fit the name\n");
+            return HttpResponse::text(
+                StatusCode::FORBIDDEN,
+                "the token does not match the name\n",
+            );
         }
         self.requests.announce(announcement);
         HttpResponse::text(StatusCode::OK, "announced\n")
--- a/dragonflyrun/src/process/agent_jobs.rs
+++ b/dragonflyrun/src/process/agent_jobs.rs
@@ -1,4 +1,4 @@
-//! Gang members at an agent: carries out what [`Members`] asks of the worker.
+//! Gang members of an agent: executes the worker calls that [`Members`] decides on.
 
 use std::{
     io,
@@ -17,24 +17,24 @@
     utils::{Name, Timestamp},
 };
 
-/// How long the worker has for an answer.
+/// Timeout of one call to the worker.
 const WORKER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Threads that call the worker.
+/// Number of threads that call the worker.
 const WORKER_CALL_THREADS: usize = 4;
 
-/// How long a stopping agent waits for its members to save their checkpoints.
+/// How long a stopping agent waits for its members to write their checkpoints and stop.
 const STOP_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The gang members of one agent.
 ///
-/// A stop of the agent stops its members with a checkpoint. Handing them over to its successor
-/// was weighed: the tasks would go on under the worker's lease if the successor came within
-/// [`WORKER_TTL`](crate::job::WORKER_TTL), and would lose all since their last checkpoint if it
-/// did not. A host that is replaced does not come back in that time, so the stop is the rule; an
-/// agent that is killed and comes back in time does adopt what its predecessor has left.
+/// An agent that stops also stops its members, each with a checkpoint. The alternative is to leave
+/// the tasks to a successor: they would continue under the worker's lease if it started within
+/// [`WORKER_TTL`](crate::job::WORKER_TTL), but would lose everything since their last checkpoint if
+/// it did not. A host that is being replaced is not back within that time, so members are always
+/// stopped. An agent that was killed and restarts in time does adopt the leases of its predecessor.
 pub struct AgentJobs {
     shared: Arc<Shared>,
     calls: Sender<WorkerCall>,
@@ -47,11 +47,11 @@
 }
 
 impl AgentJobs {
-    /// Starts the threads that call the worker at `worker`, where there is one.
+    /// Starts the threads that call the worker at `worker`, if there is one.
     ///
     /// # Errors
     ///
-    /// Where the system gives no thread.
+    /// Returns an error if a thread can't be spawned.
     pub fn new(cx: Arc<Context>, worker: Option<SocketAddr>) -> io::Result<Self> {
         let members = Members::new(cx.now());
         let shared = Arc::new(Shared {
@@ -69,14 +69,14 @@
         Ok(Self { shared, calls })
     }
 
-    /// Follows an order or a renewal from an entry.
+    /// Handles an order or a renewal from an entry.
     pub fn on_message(&self, _from: &Name, message: GangMessage) {
         let now = self.shared.cx.now();
         lock(&self.shared.members).on_message(now, message);
         self.tick();
     }
 
-    /// Follows a record that was folded.
+    /// Applies a folded record.
     pub fn on_folded(&self, folded: &Folded) {
         if folded.in_effect {
             let now = self.shared.cx.now();
@@ -84,37 +84,37 @@
         }
     }
 
-    /// Does what is due; to be called every 100 ms.
+    /// Queues the worker calls that are due. Called every 100 ms.
     pub fn tick(&self) {
         if self.shared.worker.is_none() {
             return;
         }
         let now = self.shared.cx.now();
         for call in lock(&self.shared.members).calls(now) {
-            // The receivers live in threads that end with this sender only.
+            // The receivers only go away together with this sender.
             let _ = self.calls.send(call);
         }
     }
 
-    /// Returns what the heartbeat says of the members.
+    /// Returns the member reports for the heartbeat.
     pub fn members(&self) -> Vec<MemberReport> {
         lock(&self.shared.members).reports()
     }
 
-    /// Returns the accelerators of the worker; zero while it does not answer.
+    /// Returns the number of accelerators of the worker, or zero while it does not answer.
     pub fn worker_accelerators(&self) -> u32 {
         let now = self.shared.cx.now();
         lock(&self.shared.members).accelerators(now)
     }
 
-    /// Begins to stop all members with a checkpoint, and takes no order from now on.
+    /// Starts to stop all members with a checkpoint, and accepts no further orders.
     pub fn drain(&self) {
         let now = self.shared.cx.now();
         lock(&self.shared.members).drain(now);
     }
 
-    /// Stops all members with a checkpoint. Returns when all have stopped, or after a bounded time;
-    /// what still runs then stops with its worker lease.
+    /// Stops all members with a checkpoint. Returns when all have stopped or after a timeout of 5
+    /// seconds; the worker stops the members that still run when their lease expires.
     pub fn stop(&self) {
         self.drain();
         let start = Instant::now();
@@ -149,7 +149,7 @@
                 }
             }
             WorkerCall::Remove { lease } => {
-                // A lease that stays is found by the next look and removed then.
+                // A lease that remains is listed again and removed then.
                 if let Err(error) = worker.remove(&lease) {
                     log::debug!(lease:% = lease, error:% = error; "lease_not_removed");
                 }
@@ -186,11 +186,12 @@
         Some(answer)
     }
 
-    /// Checks for the last time, right before the call, that the start is still wanted.
+    /// Checks once more, directly before the call, that the start is still allowed.
     ///
-    /// Between this and the call the process may be frozen. The worker lease was last renewed
-    /// before, so it has lapsed when the process goes on after more than
-    /// [`WORKER_TTL`](crate::job::WORKER_TTL), and the worker refuses.
+    /// The process may be frozen between this check and the call. The worker lease was last renewed
+    /// before the check, so if the process resumes after more than
+    /// [`WORKER_TTL`](crate::job::WORKER_TTL), the lease has expired and the worker refuses the
+    /// start.
     fn may_start(&self, number: u64) -> bool {
         let Some(gang) = lock(&self.members).gang(number).cloned() else {
             return false;
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what an agent decides about requests and about the keys that it owns.
+//! Executes the decisions of an agent on requests and on the keys that it owns.
 
 use std::{
     net::SocketAddr,
@@ -35,22 +35,22 @@
     utils::{Name, Timestamp},
 };
 
-/// How often a stop looks whether all requests have ended.
+/// How often a stopping agent checks whether all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time for which an owner is told what became of a key.
+/// How long the agent keeps trying to report a key's outcome to the key's owner.
 const SETTLEMENT_TTL: Duration = Duration::from_secs(30);
 
-/// Settlements that wait for an entry to carry them, at the most.
+/// Maximum number of settlements that wait for an entry that can relay them.
 const MAX_SETTLEMENTS: usize = 64;
 
-/// For how long a key is remembered whose service has left the document.
+/// How long a key is remembered if its service is no longer in the document.
 const DEFAULT_KEY_WINDOW: Duration = Duration::from_secs(600);
 
-/// Milliseconds after which a request may be tried elsewhere.
+/// Milliseconds after which a refused request may be retried at another agent.
 const OTHER_AGENT_RETRY_AFTER_MS: u64 = 500;
 
-/// Requests at one agent, and the keys that it owns.
+/// The requests of one agent and the keys that it owns.
 pub struct AgentRequests {
     cx: Arc<Context>,
     failure_domain: Name,
@@ -61,7 +61,7 @@
 struct Inner {
     table: AgentTable,
     owner: KeyOwner,
-    /// What could not be told to a key's owner yet.
+    /// Settlements that could not be sent to the owners of their keys yet.
     pending_settlements: Vec<PendingSettlement>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl AgentRequests {
-    /// Returns the requests of the agent that `cx` belongs to: none yet.
+    /// Returns an empty table for the agent that `cx` belongs to.
     pub fn new(cx: Arc<Context>) -> Arc<Self> {
         let failure_domain = match &cx.settings.role {
             RoleSettings::Agent { failure_domain, .. } => failure_domain.clone(),
@@ -90,22 +90,22 @@
         })
     }
 
-    /// Takes in a backend server's announcement.
+    /// Registers the backend server that announces itself.
     pub fn announce(&self, announced: BackendAnnouncement) {
         lock(&self.inner).table.announce(self.cx.now(), announced);
     }
 
-    /// Returns what the heartbeat says of the backend servers.
+    /// Returns the backend reports for the heartbeat.
     pub fn backends(&self) -> Vec<BackendReport> {
         lock(&self.inner).table.reports(self.cx.now())
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         lock(&self.inner).table.running()
     }
 
-    /// Takes in a message from the entry `from`.
+    /// Handles a message from the entry `from`.
     pub fn on_message(self: &Arc<Self>, from: &Name, message: RequestMessage) {
         match message {
             RequestMessage::Run {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes in a message about a key from the entry `from`.
+    /// Handles a message about a key from the entry `from`.
     pub fn on_key_message(self: &Arc<Self>, from: &Name, message: KeyMessage) {
         match message {
             KeyMessage::Claim {
@@ -169,26 +169,26 @@
         }
     }
 
-    /// Takes note of a new link to an entry.
+    /// Handles a new link to an entry.
     pub fn on_peer_up(self: &Arc<Self>, peer: &Peer) {
         if peer.role == Role::Entry {
             self.decide(|_, inner| inner.table.entry_up(peer));
         }
     }
 
-    /// Takes note of the end of a link to an entry.
+    /// Handles the end of a link to an entry.
     pub fn on_peer_down(self: &Arc<Self>, peer: &Peer) {
         if peer.role == Role::Entry {
             self.decide(|_, inner| inner.table.entry_down(peer));
         }
     }
 
-    /// Takes note that records of the log were folded; the owners of keys may have changed.
+    /// Handles folded records, which may have changed the owners of keys.
     pub fn on_folded(&self) {
         self.update_ring();
     }
 
-    /// Does what time alone brings about; to be called every 100 ms.
+    /// Applies timeouts and retries. Called every 100 ms.
     pub fn tick(self: &Arc<Self>) {
         self.update_ring();
         let pending_settlements = self.decide(|now, inner| {
@@ -202,13 +202,13 @@
         }
     }
 
-    /// Refuses new requests from now on; the next heartbeat has to say so.
+    /// Refuses new requests from now on; the next heartbeat has to report this.
     pub fn leave(&self) {
         lock(&self.inner).table.leave(self.cx.now());
     }
 
-    /// Refuses new requests and waits up to `timeout` until all others have ended and their answers
-    /// have arrived; returns whether they have.
+    /// Refuses new requests and waits, for at most `timeout`, until all running ones have ended and
+    /// their answers have been received. Returns whether they have.
     pub fn stop(&self, timeout: Duration) -> bool {
         self.leave();
         let end = Instant::now() + timeout;
@@ -221,7 +221,7 @@
         true
     }
 
-    /// Decides under the lock and carries out what was decided after it.
+    /// Runs `decision` under the lock and performs the resulting actions after releasing it.
     fn decide<T>(self: &Arc<Self>, decision: impl FnOnce(Timestamp, &mut Inner) -> T) -> T {
         let (result, actions, verdicts) = {
             let mut inner = lock(&self.inner);
@@ -267,7 +267,8 @@
     }
 
     fn run(self: &Arc<Self>, order: RunOrder, address: SocketAddr) {
-        // This thread may have been frozen since the decision; the caller has long been answered.
+        // The thread may have been frozen since the decision, in which case the caller already has
+        // an answer.
         let may_start = lock(&self.inner).table.may_start(self.cx.now(), &order.id);
         let outcome = if may_start {
             let max_body_bytes = self.cx.version().limits.body_bytes;
@@ -293,13 +294,13 @@
             id: action.id,
             verdict: action.verdict,
         });
-        // An entry that does not hear of its grant answers at its deadline that it did not run.
+        // If the grant is lost, the entry answers at the request's deadline that it did not run.
         if let Err(error) = self.cx.links.send(&action.to, message) {
             log::debug!(peer:% = action.to, error:% = error; "verdict_lost");
         }
     }
 
-    /// Takes in a settlement as the owner of the key.
+    /// Applies a settlement as the owner of the key.
     fn settle(self: &Arc<Self>, message: KeyMessage) {
         let KeyMessage::Settle {
             service,
@@ -322,8 +323,8 @@
         self.decide(|now, inner| inner.owner.settle(now, settled, fresh));
     }
 
-    /// Tells a key's owner what became of the key: this agent itself, or through an entry, since
-    /// agents have no links to each other.
+    /// Sends a settlement to the owner of its key. If the owner is another agent, an entry relays
+    /// it, since agents have no links to each other.
     fn send_settlement(self: &Arc<Self>, settlement: PendingSettlement) {
         let KeyMessage::Settle { service, key, .. } = &settlement.message else {
             return;
--- a/dragonflyrun/src/process/appender.rs
+++ b/dragonflyrun/src/process/appender.rs
@@ -1,5 +1,5 @@
-//! Appends this process's records to the log, several at a time, each with certainty about its
-//! fate as far as there can be any.
+//! Appends the records of this process to the log in batches, and determines for each whether it
+//! reached the log wherever that can be known.
 
 use std::{
     sync::{
@@ -18,34 +18,35 @@
     utils::{HashMap, HashSet, Name},
 };
 
-/// Records in one append, at the most.
+/// Maximum number of records in one append.
 const MAX_BATCH_RECORDS: usize = 64;
 
-/// How long a record whose answer was lost is looked for and appended again.
+/// How long a record whose append got no answer is looked for on the log and appended again.
 const UNCERTAIN_RETRY_PERIOD: Duration = Duration::from_secs(8);
 
-/// Pause before a record whose answer was lost is appended again, so that the reader can find it.
+/// Delay before a record whose append got no answer is appended again, so that the reader can find
+/// it on the log first.
 const UNCERTAIN_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How often the appender looks whether the process stops.
+/// How often the appender checks whether the process is stopping.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 quick_error! {
     /// Why a record is not known to be on the log.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum AppendError {
-        /// It is not on the log, and will not be.
+        /// The record is not on the log and never will be.
         Refused(reason: String) {
             display("not appended: {reason}")
         }
-        /// It may be on the log; whoever asks again with the same id does no harm.
+        /// The record may be on the log; appending it again with the same id is harmless.
         Uncertain {
             display("it is not known whether the record is on the log")
         }
     }
 }
 
-/// The queue of records that this process appends.
+/// The queue of records that this process appends to the log.
 pub struct Appender {
     key: AuthorKey,
     tx: Sender<QueuedRecord>,
@@ -74,18 +75,18 @@
         }
     }
 
-    /// Queues `body` and returns the id that its record will have.
+    /// Queues `body` and returns the id of its record.
     pub fn append(&self, body: RecordBody) -> Name {
         let id = self.new_id();
         self.queue(&id, &body);
         id
     }
 
-    /// Queues `body` and waits until its record was folded, for `timeout` at the most.
+    /// Queues `body` and waits, for at most `timeout`, until its record has been folded.
     ///
     /// # Errors
     ///
-    /// [`AppendError::Uncertain`] also where the time is up.
+    /// Returns [`AppendError::Uncertain`] also on a timeout.
     pub fn append_and_wait(
         &self,
         body: RecordBody,
@@ -100,23 +101,24 @@
         result.unwrap_or(Err(AppendError::Uncertain))
     }
 
-    /// Takes note that a record was folded, and wakes whoever waits for it.
+    /// Marks a record as folded and wakes the caller that waits for it.
     pub fn on_folded(&self, folded: &Folded) {
         let id = &folded.record.id;
         lock(&self.not_folded).remove(id);
         if let Some(tx) = lock(&self.waiters).remove(id) {
-            // Whoever waited may have given up in the meantime.
+            // The caller may have timed out in the meantime.
             let _ = tx.try_send(Ok(folded.clone()));
         }
     }
 
-    /// Ends [`Appender::run`] once the queue is empty.
+    /// Makes [`Appender::run`] return once the queue is empty.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Appends what is queued until [`Appender::stop`]; `on_uncertain` is called whenever it becomes or
-    /// ceases to be possible that an append took effect unseen, `on_failed` for each record given up.
+    /// Appends the queued records until [`Appender::stop`]. Calls `on_uncertain` with `true` when
+    /// an append may have taken effect without an answer and with `false` when that is resolved,
+    /// and `on_failed` for each record that is given up.
     pub fn run(
         &self,
         log: &LogClient,
@@ -130,8 +132,8 @@
                 }
                 continue;
             };
-            // While one append is under way the queue fills, so the next one takes more: under
-            // load the number of appends stays far below the number of records.
+            // The queue fills while an append is in progress, so the next batch is larger: under
+            // load there are far fewer appends than records.
             let rest = self.rx.try_iter().take(MAX_BATCH_RECORDS - 1);
             let batch: Vec<QueuedRecord> = std::iter::once(first).chain(rest).collect();
             self.append_batch(log, batch, &on_uncertain, &on_failed);
@@ -152,7 +154,7 @@
             lock(&self.not_folded).extend(batch.iter().map(|p| p.id.clone()));
             match log.append(&data) {
                 Ok(_) => break,
-                // An earlier try whose answer was lost may still have taken effect.
+                // An earlier attempt that got no answer may still have taken effect.
                 Err(LogError::Refused(reason)) if !uncertain => {
                     let error = AppendError::Refused(reason);
                     self.fail_batch(&batch, &error, on_failed);
@@ -164,8 +166,8 @@
                     on_uncertain(true);
                 }
             }
-            // The reader may find the records on the log; those are done. Appending the others
-            // again is harmless, since every reader drops a second copy of an id.
+            // Records that the reader has found on the log are done. Appending the others again is
+            // harmless, since every reader drops a second copy of an id.
             std::thread::sleep(UNCERTAIN_RETRY_DELAY);
             self.drop_folded(&mut batch);
             if start.elapsed() > UNCERTAIN_RETRY_PERIOD {
@@ -209,7 +211,7 @@
             id: id.clone(),
             data: self.key.seal(id, body),
         };
-        // The receiver lives as long as the sender, in the same struct.
+        // The receiver is in the same struct, so it lives as long as the sender.
         let _ = self.tx.send(record);
     }
 }
--- a/dragonflyrun/src/process/cli.rs
+++ b/dragonflyrun/src/process/cli.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line, merged over its settings file.
+//! The daemon's command line, whose options override the settings file.
 
 use std::{
     fmt::Display,
@@ -13,53 +13,54 @@
     version::Finding,
 };
 
-/// Bytes of the settings file, at the most.
+/// Maximum size of the settings file, in bytes.
 const MAX_SETTINGS_BYTES: u64 = 1 << 20;
 
-/// The daemon's options; each overrides the field of the same name in the settings file.
+/// Command-line options of the daemon; each overrides the field of the same name in the settings
+/// file.
 #[derive(Debug, Default, Options)]
 pub struct Cli {
-    /// Prints the options.
-    #[options(help = "print this help")]
+    /// Print the help and exit.
+    #[options(help = "print this help and exit")]
     pub help: bool,
-    /// Prints the version.
-    #[options(no_short, help = "print the version")]
+    /// Print the version and exit.
+    #[options(no_short, help = "print the version and exit")]
     pub version: bool,
     /// The settings file.
-    #[options(help = "settings file in JSON", meta = "FILE")]
+    #[options(help = "path of the settings file (JSON)", meta = "FILE")]
     pub config: Option<PathBuf>,
     /// The name of this process.
     #[options(help = "name of this process", meta = "NAME")]
     pub name: Option<String>,
-    /// The HTTP listener.
+    /// The address of the HTTP listener.
     #[options(no_short, help = "address of the HTTP listener", meta = "IP:PORT")]
     pub http: Option<String>,
-    /// The listener for peer links.
+    /// The address of the listener for peer links.
     #[options(
         no_short,
         help = "address of the listener for peer links",
         meta = "IP:PORT"
     )]
     pub peers: Option<String>,
-    /// The platform's log service.
+    /// The address of the platform's log service.
     #[options(no_short, help = "address of the log service", meta = "IP:PORT")]
     pub log: Option<String>,
-    /// Checks the settings and ends.
-    #[options(no_short, help = "check the settings and end")]
+    /// Check the settings and exit.
+    #[options(no_short, help = "check the settings and exit")]
     pub check: bool,
 }
 
 impl Cli {
-    /// Parses the arguments of the process; ends it after `--help` and on a mistake.
+    /// Parses the arguments of the process. Exits after `--help` and on an invalid argument.
     pub fn parse() -> Self {
         Self::parse_args_default_or_exit()
     }
 
-    /// Returns the checked settings.
+    /// Reads the settings file, applies the options and returns the checked settings.
     ///
     /// # Errors
     ///
-    /// All findings at once, with their places.
+    /// Returns all findings at once, each with its location.
     pub fn settings(self) -> Result<Settings, SettingsError> {
         let file = match &self.config {
             Some(path) => read(path)?,
@@ -80,7 +81,7 @@
     let place = path.display().to_string();
     let length = fs::metadata(path).map_err(|e| finding(&place, &e))?.len();
     if length > MAX_SETTINGS_BYTES {
-        return Err(finding(&place, &"The file is longer than 1 MiB."));
+        return Err(finding(&place, &"The file is larger than 1 MiB."));
     }
     let text = fs::read(path).map_err(|e| finding(&place, &e))?;
     serde_json::from_slice(&text).map_err(|e| finding(&place, &e))
--- a/dragonflyrun/src/process/config.rs
+++ b/dragonflyrun/src/process/config.rs
@@ -1,52 +1,54 @@
-//! The settings file as it is written in JSON: every field is optional and has its default.
+//! The settings file as written in JSON: every field is optional here, and required ones are
+//! checked later.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{connection::Role, utils::Name};
 
-/// The daemon's settings; `docs/OPERATIONS.md` shows an example of each role.
+/// The daemon's settings; `docs/OPERATIONS.md` has an example for each role.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// `entry` or `agent`. Required.
     pub role: Option<Role>,
-    /// The name of this process, unique in the deployment; an agent's is also its worker's.
-    /// Required.
+    /// The name of this process, unique in the deployment. An agent's name is also the name of its
+    /// worker. Required.
     pub name: Option<Name>,
-    /// `IP:port` of the HTTP listener: callers and operators at an entry, backend servers at an
-    /// agent. Required.
+    /// `IP:port` of the HTTP listener, which serves callers and operators at an entry and backend
+    /// servers at an agent. Required.
     pub http: Option<String>,
-    /// `IP:port` of an entry's listener for peer links. Required at an entry.
+    /// `IP:port` of an entry's listener for peer links. Required for an entry.
     pub peers: Option<String>,
-    /// `IP:port` under which other processes reach that listener. Default: the bound address.
+    /// `IP:port` at which other processes reach that listener. Default: the bound address.
     pub advertise: Option<String>,
     /// `IP:port` of the platform's log service. Required.
     pub log: Option<String>,
-    /// The secret that all processes of one deployment share, of 16 characters at least. Required.
+    /// The secret shared by all processes of one deployment, at least 16 characters long. Required.
     pub secret: Option<Name>,
-    /// `IP:port` of entries to link to before the log has been read. Default: none.
+    /// `IP:port` of the entries to link to before the log has been read. Default: none.
     pub entries: Option<Vec<String>>,
-    /// The failure domain that an agent stands in. Required at an agent.
+    /// The failure domain of an agent. Required for an agent.
     pub failure_domain: Option<Name>,
-    /// The rack that an agent stands in. Required at an agent.
+    /// The rack of an agent. Required for an agent.
     pub rack: Option<Name>,
-    /// `IP:port` of the worker beside an agent. Default: none, the agent runs no tasks.
+    /// `IP:port` of the worker on the agent's host. Default: none; the agent then runs no tasks.
     pub worker: Option<String>,
-    /// HTTP connections at once, at the most. Default: 256.
+    /// Maximum number of concurrent HTTP connections. Default: 256.
     pub connections: Option<u32>,
-    /// Milliseconds that a sender or a reader of HTTP may pause. Default: 5,000.
+    /// Milliseconds that an HTTP client may pause while it sends a request or reads an answer.
+    /// Default: 5,000.
     pub http_timeout_ms: Option<u64>,
-    /// Milliseconds that the log has for an answer. Default: 2,000.
+    /// Timeout of a call to the log, in milliseconds. Default: 2,000.
     pub log_timeout_ms: Option<u64>,
-    /// Milliseconds for which a stopping process says on its readiness page that it is leaving and
-    /// still takes work, so that the balancer can notice. Default: 1,000.
+    /// Milliseconds for which a stopping process reports on its readiness page that it is leaving,
+    /// but still accepts work, so that the load balancer can react. Default: 1,000.
     pub quiet_ms: Option<u64>,
-    /// Threads of the worker pool. Default: 4.
+    /// Number of threads in the worker pool. Default: 4.
     pub threads: Option<u32>,
 }
 
 impl Config {
-    /// Returns `self` with what `overrides` sets in place of its own.
+    /// Returns `self` with the fields that `overrides` sets replaced.
     pub fn merge(self, overrides: Self) -> Self {
         Self {
             role: overrides.role.or(self.role),
--- a/dragonflyrun/src/process/context.rs
+++ b/dragonflyrun/src/process/context.rs
@@ -1,4 +1,4 @@
-//! What all threads of one process share.
+//! State shared by all threads of one process.
 
 use std::{
     net::SocketAddr,
@@ -12,35 +12,36 @@
     version::Version,
 };
 
-/// What all threads of one process share.
+/// State shared by all threads of one process.
 ///
-/// Lock order: a thread that needs several of the tables takes them in the order fold order, ledger, roster,
-/// freshness, then those of requests, keys, planner and members, and never calls out to a socket
-/// while it holds one. Handing a message to [`Links::send`] does not wait and is allowed.
+/// Lock order: a thread that needs several tables locks them in the order fold order, ledger,
+/// roster, freshness, then those of requests, keys, planner and members. It never does socket I/O
+/// while it holds a lock; [`Links::send`] only queues a message without waiting, so it is allowed.
 pub struct Context {
     /// The checked settings.
     pub settings: Settings,
-    /// Who this process is towards its peers.
+    /// The identity that this process presents to its peers.
     pub identity: Peer,
-    /// The clock that decision tables are given.
+    /// The clock that is read for the decision tables.
     pub clock: Clock,
-    /// Counters for operators.
+    /// Metrics for operators.
     pub counters: Counters,
     /// Links to peers.
     pub links: Links,
-    /// The platform's log.
+    /// The client of the platform's log.
     pub log: LogClient,
     /// Appends this process's records to the log.
     pub appender: Appender,
-    /// Held while records are folded and told to the role, so that it hears of them in order.
+    /// Held while records are folded and passed to the role, so that the role receives them in log
+    /// order.
     pub fold_order: Mutex<()>,
-    /// What is folded from the log.
+    /// The tables folded from the log.
     pub ledger: Mutex<Ledger>,
-    /// The address of this process's own listener for peer links, once it is bound.
+    /// The address of this process's listener for peer links, set once it is bound.
     pub own_address: OnceLock<SocketAddr>,
-    /// The peers that were heard.
+    /// The peers that have linked to this process.
     pub roster: Mutex<Roster>,
-    /// What is known of the log's head.
+    /// What is known about the head of the log.
     pub freshness: Mutex<Freshness>,
 }
 
@@ -50,18 +51,20 @@
         lock(&self.ledger).history.current().clone()
     }
 
-    /// Returns whether the state from the log is good enough to serve by, or why not.
+    /// Checks that the state folded from the log is good enough to serve requests.
     ///
     /// # Errors
     ///
-    /// A short reason in plain words, for the readiness page.
+    /// Returns a short reason in plain words, for the readiness page.
     pub fn readiness(&self) -> Result<(), &'static str> {
         let ledger = lock(&self.ledger);
         if ledger.history.unsupported_format().is_some() {
             return Err("the document is in a format of a later release");
         }
         if !ledger.is_complete() {
-            return Err("records of the log were missed, waiting for the planner to repeat them");
+            return Err(
+                "records of the log are missing; waiting for the planner to repeat its state",
+            );
         }
         if ledger.history.current().offset == 0 {
             return Err("no configuration yet");
@@ -69,7 +72,7 @@
         Ok(())
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -79,7 +82,8 @@
         let now = self.now();
         let (next_offset, names) = {
             let ledger = lock(&self.ledger);
-            // It may have missed that a failure domain was taken out or a planner replaced.
+            // The missing records may have taken a failure domain out of service or replaced the
+            // planner.
             if !ledger.is_complete() {
                 return false;
             }
@@ -101,7 +105,8 @@
 fn entry_view(roster: &Roster, entry: Name) -> EntryView {
     let peer = roster.peer(&entry);
     EntryView {
-        // What waited in a buffer while this process was frozen says nothing about now.
+        // Heartbeats that waited in a buffer while this process was frozen say nothing about the
+        // present, so `heard` is not enough.
         heard: peer.and_then(|p| p.confirmed),
         gone: peer.is_some_and(|p| p.is_leaving() && !p.linked),
         log: peer.map(|p| p.log).unwrap_or_default(),
@@ -109,7 +114,7 @@
     }
 }
 
-/// Returns what the links need to know of a process with these settings.
+/// Returns the link settings of a process with the given settings and identity.
 pub fn link_settings(settings: &Settings, identity: &Peer) -> LinkSettings {
     LinkSettings {
         identity: identity.clone(),
--- a/dragonflyrun/src/process/counters.rs
+++ b/dragonflyrun/src/process/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what the process did and refused, served to operators in the Prometheus format.
+//! Metrics on what the process has done and refused, exported in the Prometheus format.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::{connection::NotRun, process::JobRefusal};
 
-/// All counters of one process; `docs/OPERATIONS.md` says what to do about each.
+/// The metrics of one process; `docs/OPERATIONS.md` describes how to react to each.
 pub struct Counters {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -24,19 +24,19 @@
     levels: Gauge<f64>,
 }
 
-/// Upper bounds of the latency buckets, in milliseconds: from one call on the host to the longest
-/// wait that a caller's objective allows.
+/// Upper bounds of the latency buckets in milliseconds, from a single call on the host to the
+/// longest wait that a caller's objective allows.
 const LATENCY_BUCKETS: [f64; 14] = [
     1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1_000.0, 2_000.0, 5_000.0, 10_000.0,
     30_000.0,
 ];
 
 impl Counters {
-    /// Returns counters at zero.
+    /// Returns metrics with all counters at zero.
     ///
     /// # Errors
     ///
-    /// Where the exporter can't register itself.
+    /// Returns an error if the exporter can't be registered.
     pub fn new() -> Result<Self, Box<dyn std::error::Error + Send + Sync>> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Counts a request that was answered "not run".
+    /// Counts a request that was answered with "not run".
     pub fn refusal(&self, reason: NotRun) {
         self.refusals
             .add(1, &[KeyValue::new("reason", format!("{reason:?}"))]);
@@ -72,7 +72,7 @@
             .add(1, &[KeyValue::new("reason", reason.name())]);
     }
 
-    /// Counts a request that was sent elsewhere after an agent refused it.
+    /// Counts a request that was sent to another agent after one refused it.
     pub fn retry(&self, reason: NotRun) {
         self.retries
             .add(1, &[KeyValue::new("reason", format!("{reason:?}"))]);
@@ -83,24 +83,23 @@
         self.answers.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts an event that is worth an operator's look, such as a job refused or a gang broken.
+    /// Counts an event that operators should know of, such as a refused job or a broken gang.
     pub fn event(&self, name: &'static str) {
         self.events.add(1, &[KeyValue::new("event", name)]);
     }
 
-    /// Takes note of how long something took: `hand_in`, `append`, `wait`, `start`, `state_read` or
-    /// `renewal`.
+    /// Records a duration: `hand_in`, `append`, `wait`, `start`, `state_read` or `renewal`.
     pub fn latency(&self, of: &'static str, took: Duration) {
         let ms = took.as_secs_f64() * 1_000.0;
         self.latencies.record(ms, &[KeyValue::new("of", of)]);
     }
 
-    /// Takes note of how much of something there is now, or how old it is in milliseconds.
+    /// Records the current value of a quantity: an amount, or an age in milliseconds.
     pub fn level(&self, of: &'static str, value: f64) {
         self.levels.record(value, &[KeyValue::new("of", of)]);
     }
 
-    /// Returns all counters in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a process, keeps its threads, and stops it without cutting anything off.
+//! Starts the process, owns its threads, and stops it without interrupting requests.
 
 use std::{
     io,
@@ -33,40 +33,41 @@
     utils::HashSet,
 };
 
-/// Events that wait for one thread of the pool, at the most.
+/// Maximum number of events queued for one thread of the pool.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Time between two ticks of the role.
+/// Interval between two ticks of the role.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a thread of the pool looks whether the process stops.
+/// How often a thread of the pool checks whether the process is stopping.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which a silent peer whose link has ended is forgotten.
+/// How long a peer whose link has ended stays in the roster after its last heartbeat.
 const REMOVE_PEER_AFTER: Duration = Duration::from_secs(120);
 
-/// Bytes of one body, at the most. The document's limit may be lower.
+/// Maximum size of one body, in bytes. The limit in the document may be lower.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Bytes of all bodies that the HTTP listener holds at once, at the most.
+/// Maximum total size of all bodies that the HTTP listener holds at once, in bytes.
 const MAX_TOTAL_BODY_BYTES: usize = 96 << 20;
 
-/// Time for which a stopping process waits for its callers to read their answers.
+/// How long a stopping process waits for its callers to read their answers.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which a leaving process stays, so that its last heartbeats and answers arrive.
+/// How long a process keeps running after draining, so that its last heartbeats and answers are
+/// sent.
 const FINAL_SEND_TIME: Duration = Duration::from_millis(300);
 
 quick_error! {
-    /// Why a process did not start.
+    /// Why the process did not start.
     #[derive(Debug)]
     pub enum StartError {
-        /// A listener's address can't be bound.
+        /// The address of a listener can't be bound.
         Bind(place: &'static str, address: SocketAddr, source: io::Error) {
-            display("{place}: can't listen at {address}: {source}")
+            display("{place}: can't listen on {address}: {source}")
             source(source)
         }
-        /// The system gave no thread or the metrics could not be set up.
+        /// A thread could not be spawned or the metrics could not be set up.
         System(reason: String) {
             display("the process could not be set up: {reason}")
         }
@@ -88,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`StartError`]; nothing of the process is left running then.
+    /// Returns a [`StartError`], after which nothing of the process is left running.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
         let (lanes, queues): (Vec<_>, Vec<_>) = (0..settings.threads)
             .map(|_| bounded(MAX_QUEUED_EVENTS))
@@ -125,18 +126,18 @@
         self.peers
     }
 
-    /// Returns what the threads of the process share.
+    /// Returns the state that the threads of the process share.
     pub fn context(&self) -> &Arc<Context> {
         &self.cx
     }
 
-    /// Stops the process: it says that it is leaving, takes no new work, finishes what is under
-    /// way, and returns when the last answer has been read.
+    /// Stops the process: reports that it is leaving, refuses new work, finishes running work, and
+    /// returns when the last answer has been read.
     pub fn stop(self) {
         log::info!(name:% = self.cx.identity.name; "stopping");
         self.node.leave();
-        // The balancer and the entries go on sending work here until they have noticed; it is
-        // served, and only what comes after that is refused.
+        // The load balancer and the entries continue to send work until they notice that the
+        // process is leaving. That work is still served; only later requests are refused.
         thread::sleep(self.cx.settings.quiet);
         self.node.drain();
         if !self.http.drain(READ_TIMEOUT) {
@@ -146,7 +147,7 @@
         self.stopping.store(true, Ordering::Relaxed);
         self.cx.appender.stop();
         for handle in self.threads {
-            // A thread that panicked has already logged it; the others are still waited for.
+            // A panic has already been logged; the other threads still have to be joined.
             let _ = handle.join();
         }
         log::info!(name:% = self.cx.identity.name; "stopped");
@@ -180,7 +181,7 @@
     }
 }
 
-/// What the threads of the pool work on.
+/// The state that the threads of the pool use.
 struct ThreadContext {
     cx: Arc<Context>,
     node: Arc<dyn Node>,
@@ -316,8 +317,8 @@
     }
 }
 
-/// Returns the entries to dial. An agent dials all. Of two entries the one with the smaller address
-/// dials the other, so that there is one link between them.
+/// Returns the entries to dial. An agent dials all of them. Of two entries, the one with the
+/// smaller address dials the other, so that there is only one link between them.
 fn entries_to_dial(cx: &Context) -> Vec<SocketAddr> {
     let known: Vec<SocketAddr> = {
         let ledger = lock(&cx.ledger);
--- a/dragonflyrun/src/process/entry.rs
+++ b/dragonflyrun/src/process/entry.rs
@@ -1,4 +1,4 @@
-//! The role of an entry: takes callers' requests and jobs, and may be planner.
+//! The entry role: accepts callers' requests and jobs, and may become planner.
 
 use std::{
     sync::{
@@ -16,10 +16,10 @@
     utils::Name,
 };
 
-/// Time that requests under way have to be answered when the process stops.
+/// How long running requests may take to be answered when the process stops.
 const STOP_TIME: Duration = Duration::from_secs(60);
 
-/// An entry's parts.
+/// The components of an entry.
 pub(crate) struct EntryNode {
     pub(crate) cx: Arc<Context>,
     pub(crate) requests: EntryRequests,
--- a/dragonflyrun/src/process/entry_http.rs
+++ b/dragonflyrun/src/process/entry_http.rs
@@ -1,4 +1,4 @@
-//! How callers' requests and their outcomes look in HTTP.
+//! The HTTP form of callers' requests and of their outcomes.
 
 use hyper::{StatusCode, header::HeaderName};
 use serde::Serialize;
@@ -10,22 +10,22 @@
     version::Urgency,
 };
 
-/// Characters of a key, at the most.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// Milliseconds after which a malformed request may be sent again, mended.
+/// Milliseconds after which a malformed request may be sent again once it is corrected.
 const MALFORMED_RETRY_AFTER_MS: u64 = 10_000;
 
 const OUTCOME_HEADER: HeaderName = HeaderName::from_static("dragonfly-outcome");
 
-/// Returns the service that a path of the form `/v1/services/{service}/requests` names.
+/// Returns the service named by a path of the form `/v1/services/{service}/requests`.
 pub fn requested_service(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/services/")?
         .strip_suffix("/requests")
         .filter(|service| !service.is_empty() && !service.contains('/'))
 }
 
-/// Reads a caller's request from its headers.
+/// Builds a caller's request from the path, headers and body.
 pub(super) fn caller_request(service: &str, req: HttpRequest) -> Result<CallerRequest, Refusal> {
     let malformed = Refusal::new(NotRun::Malformed, MALFORMED_RETRY_AFTER_MS);
     let key = optional_header(&req, "idempotency-key", |text| {
@@ -38,8 +38,9 @@
     let deadline_ms = optional_header(&req, "dragonfly-deadline-ms", |text| text.parse().ok());
     let urgency = optional_header(&req, "dragonfly-urgency", urgency);
     let (key, attempt) = (key.ok_or(malformed)?, attempt.ok_or(malformed)?);
-    // Taken for a first attempt, a repeat by a caller who does not count could be granted by an
-    // owner that does not know of the first, and a forest owner would be paid twice.
+    // A repeat from a caller that does not count attempts would look like a first attempt. A key
+    // owner that does not know of the real first attempt could grant it, and a forest owner would
+    // be paid twice.
     if key.is_some() && attempt.is_none() {
         return Err(malformed);
     }
@@ -53,7 +54,7 @@
     })
 }
 
-/// Reads a header that need not be there; none where it is there and can't be read.
+/// Reads an optional header: `Some(None)` if it is absent, `None` if its value is invalid.
 fn optional_header<T>(
     req: &HttpRequest,
     name: &str,
@@ -74,7 +75,7 @@
     }
 }
 
-/// What a caller reads in an answer other than "done".
+/// The body of every answer other than "done".
 #[derive(Serialize)]
 struct FailureBody {
     outcome: &'static str,
@@ -82,12 +83,12 @@
     reason: Option<NotRun>,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
-    /// The number to send with the next attempt. It stays where this one is certain not to have
-    /// run; `docs/DESIGN.md`, attempt numbers, tells why.
+    /// The number to send with the next attempt. It stays the same if this attempt is certain not
+    /// to have run; see attempt numbers in `docs/DESIGN.md`.
     next_attempt: u32,
 }
 
-/// Returns the answer that tells a caller of the `outcome` of its attempt.
+/// Returns the answer that reports the `outcome` of an attempt to its caller.
 pub(super) fn response(outcome: Outcome, attempt: u32) -> HttpResponse {
     match outcome {
         Outcome::Done { status, body, .. } => {
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs at an entry: takes them in, renews gangs, and plans while the entry holds the term.
+//! Jobs at an entry: accepts them, renews gangs, and plans while the entry holds the term.
 
 use std::{
     sync::{
@@ -29,19 +29,20 @@
     utils::Name,
 };
 
-/// How long a submitter waits for its job to be on the log.
+/// How long a submitter waits for its job to reach the log.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after which a job that was refused is worth another attempt.
+/// Milliseconds after which a refused job may be submitted again: while the log is unavailable,
+/// while the state of the entry is not fresh, and at the limit of live jobs.
 const LOG_RETRY_AFTER_MS: u64 = 2_000;
 const FRESHNESS_RETRY_AFTER_MS: u64 = 1_000;
 const LIMIT_RETRY_AFTER_MS: u64 = 5_000;
 
-/// Characters of a job's name, at the most; it is part of the names of leases.
+/// Maximum length of a job's name in bytes; the name is part of lease names.
 const MAX_JOB_NAME_BYTES: usize = 128;
 
-/// Bytes of a job's program and workspace together, at the most: its record has to fit on the log
-/// many times over.
+/// Maximum size of a job's program and workspace together, in bytes: the log has to hold the job's
+/// record many times over.
 const MAX_JOB_TEXT_BYTES: usize = 64 << 10;
 
 /// The jobs of one entry.
@@ -53,7 +54,7 @@
 }
 
 impl EntryJobs {
-    /// Returns the jobs of an entry that has just started.
+    /// Returns the state of an entry that has just started.
     pub fn new(cx: Arc<Context>) -> Self {
         let table = GangTable::new(cx.now(), cx.identity.name.clone(), cx.version());
         Self {
@@ -64,14 +65,15 @@
         }
     }
 
-    /// Takes a message about gangs; agents tell all they have to in their heartbeats.
+    /// Handles a message about gangs. Agents report everything in their heartbeats, so it is
+    /// ignored.
     pub fn on_message(&self, from: &Name, message: GangMessage) {
         log::debug!(from:% = from, message:? = message; "gang_message_ignored");
     }
 
-    /// Takes note of a heartbeat that the roster has taken, and answers it with renewals.
+    /// Applies a heartbeat that the roster has processed, and answers it with renewals.
     pub fn on_heartbeat(&self, from: &Name) {
-        // The others count on it that an entry that has left on the log renews nothing.
+        // Other processes rely on an entry renewing nothing once its departure is on the log.
         if self.leaving.load(Ordering::Relaxed) {
             return;
         }
@@ -87,26 +89,26 @@
         }
     }
 
-    /// Takes note that the link to a peer ended.
+    /// Handles the end of a link to a peer.
     pub fn on_peer_down(&self, peer: &Peer) {
         if peer.role == Role::Agent {
             lock(&self.table).on_link_down(self.cx.now(), &peer.name);
         }
     }
 
-    /// Follows a record that was folded.
+    /// Applies a folded record.
     pub fn on_folded(&self, folded: &Folded) {
         let ledger = lock(&self.cx.ledger);
         lock(&self.table).on_folded(self.cx.now(), folded, &ledger);
     }
 
-    /// Takes note that a record of this process is not known to be on the log.
+    /// Handles a record of this process that is not known to be on the log.
     pub fn on_append_failed(&self, id: &Name, error: &AppendError) {
         log::debug!(id:% = id, error:% = error; "record_given_up");
         lock(&self.table).append_failed(self.cx.now(), id);
     }
 
-    /// Does what is due; to be called every 100 ms.
+    /// Performs the actions that are due. Called every 100 ms.
     pub fn tick(&self) {
         if self.leaving.load(Ordering::Relaxed) {
             return;
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Takes a job in. `id` lets the submitter ask again without doubling the job.
+    /// Accepts a job. With an `id`, the submitter can repeat the call without creating a second
+    /// job.
     pub fn submit(&self, id: Option<Name>, spec: JobSpec) -> JobAnswer {
         let job = id.unwrap_or_else(|| self.new_id());
         if let Some(answer) = self.refuse(&job, &spec) {
@@ -145,14 +148,14 @@
             spec: spec.clone(),
         };
         let answer = self.append(job.clone(), body);
-        // Somebody else may have taken the name in the meantime.
+        // Another submitter may have used the name in the meantime.
         match lock(&self.cx.ledger).jobs.live(&job) {
             Some(live) if live.spec != spec => name_taken(),
             _ => answer,
         }
     }
 
-    /// Asks for the end of a job.
+    /// Cancels a job.
     pub fn cancel(&self, job: &JobId) -> JobAnswer {
         let known = {
             let ledger = lock(&self.cx.ledger);
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Returns what is known of a job.
+    /// Returns the status of a job, if it is known.
     pub fn job(&self, job: &JobId) -> Option<JobStatus> {
         let ledger = lock(&self.cx.ledger);
         if let Some(live) = ledger.jobs.live(job) {
@@ -196,14 +199,15 @@
         }
     }
 
-    /// Takes no job from now on, renews no gang and plans no more. Gangs go on under the other
-    /// entries and the next planner. To be called before the entry says on the log that it leaves.
+    /// Stops accepting jobs, renewing gangs and planning. Running gangs continue under the other
+    /// entries and the next planner. Has to be called before the entry's departure is written to
+    /// the log.
     pub fn stop(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Carries out an action while the table is locked, so that a record can't be folded before
-    /// the planner knows its id. None of this waits.
+    /// Performs an action while the table is locked, so that no record can be folded before the
+    /// planner knows its id. Nothing here blocks.
     fn perform(
         &self,
         table: &mut GangTable,
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Repeats a state as the ledger has it now.
+    /// Appends the current state of `item` again.
     fn repeat(&self, item: Item) {
         let body = {
             let ledger = lock(&self.cx.ledger);
@@ -233,17 +237,17 @@
         }
     }
 
-    /// Returns the answer to a job that is not to be put on the log.
+    /// Returns the refusal of a job that must not be written to the log, if any.
     fn refuse(&self, job: &JobId, spec: &JobSpec) -> Option<JobAnswer> {
         if self.leaving.load(Ordering::Relaxed) {
             return Some(not_run(JobRefusal::Leaving, Some(FRESHNESS_RETRY_AFTER_MS)));
         }
         if !is_job_name(job) {
-            let rule = "a job's name has up to 128 letters, digits, '.', '_' and '-'";
+            let rule = "a job's name must consist of 1 to 128 letters, digits, '.', '_' or '-'";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
         if spec.program.len() + spec.workspace.len() > MAX_JOB_TEXT_BYTES {
-            let rule = "a job's program and workspace have up to 65,536 bytes";
+            let rule = "a job's program and workspace must not exceed 65,536 bytes together";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
         if !self.cx.is_fresh() {
@@ -292,8 +296,9 @@
     }
 
     fn send(&self, to: &Name, message: GangMessage) {
-        // What is lost here is sent again: orders until they are followed, renewals with the next
-        // heartbeat, and a gang that is not told that it is broken stops at the end of its lease.
+        // Lost messages are replaced: orders are repeated until they are followed and renewals are
+        // sent with the next heartbeat. A gang that does not receive the message that it is broken
+        // stops when its lease expires.
         if let Err(error) = self.cx.links.send(to, Message::Gang(message)) {
             log::debug!(to:% = to, error:% = error; "gang_message_not_sent");
         }
@@ -325,7 +330,7 @@
 }
 
 fn name_taken() -> JobAnswer {
-    let rule = "the name is that of another job";
+    let rule = "the name belongs to another job";
     not_run(JobRefusal::Malformed(rule.to_owned()), None)
 }
 
--- a/dragonflyrun/src/process/entry_presence.rs
+++ b/dragonflyrun/src/process/entry_presence.rs
@@ -1,5 +1,5 @@
-//! Keeps the list of entries on the log true: this entry joins and leaves, and the planner removes
-//! those that are gone without a word.
+//! Maintains the list of entries on the log: this entry joins and leaves, and the planner removes
+//! entries that disappeared without leaving.
 
 use std::{
     sync::{Arc, Mutex},
@@ -12,14 +12,14 @@
     utils::{HashMap, Name, Timestamp},
 };
 
-/// Pause before a record that has not been folded is appended again.
+/// Delay before an append that has not been folded is repeated.
 const APPEND_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Silence after which the planner removes an entry from the list. One that was only cut off joins
-/// again when it reads of its removal.
+/// Silence after which the planner removes an entry from the list. An entry that was only cut off
+/// joins again when it reads of its removal.
 const REMOVE_ENTRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Keeps the list of entries on the log true.
+/// Maintains the list of entries on the log.
 pub(crate) struct EntryPresence {
     cx: Arc<Context>,
     table: Mutex<Table>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Appends what is missing on the log, now and then.
+    /// Appends the records that bring the list up to date, at a limited rate.
     pub(crate) fn tick(&self, leaving: bool) {
         if leaving || !self.cx.is_fresh() {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Tells on the log that this entry stops.
+    /// Writes to the log that this entry leaves.
     pub(crate) fn leave(&self) {
         self.cx.appender.append(RecordBody::EntryLeft {
             entry: self.cx.identity.name.clone(),
--- a/dragonflyrun/src/process/entry_requests.rs
+++ b/dragonflyrun/src/process/entry_requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what an entry decides about callers' requests.
+//! Executes the decisions of an entry on callers' requests.
 
 use std::{
     sync::{
@@ -40,13 +40,13 @@
     version::Version,
 };
 
-/// How often a stop looks whether all requests have their answers.
+/// How often a stopping entry checks whether all requests have been answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The number of a caller's first attempt.
 const FIRST_ATTEMPT: u32 = 1;
 
-/// Callers' requests at one entry.
+/// The requests of callers at one entry.
 pub struct EntryRequests {
     cx: Arc<Context>,
     ring_offset: AtomicU64,
@@ -58,7 +58,7 @@
     waiting: HashMap<u64, Sender<Outcome>>,
 }
 
-/// What the table needs to know of the log, read before it is locked.
+/// The state from the log that the table needs, read before the table is locked.
 struct LogState {
     version: Arc<Version>,
     ring: Option<NewRing>,
@@ -70,7 +70,7 @@
 }
 
 impl EntryRequests {
-    /// Returns the requests of the entry that `cx` belongs to: none yet.
+    /// Returns an empty table for the entry that `cx` belongs to.
     pub fn new(cx: Arc<Context>) -> Self {
         let table = EntryTable::new(entry_id(&cx.identity), rand::random());
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes in a request and waits for its final answer, up to its deadline.
+    /// Submits a request and waits for its final answer until its deadline.
     pub fn submit(&self, req: CallerRequest) -> Outcome {
         let log = self.log_state();
         let (tx, rx) = bounded(1);
@@ -122,7 +122,7 @@
         rx.try_recv().unwrap_or(Outcome::Unknown)
     }
 
-    /// Takes in a message from the agent `from`.
+    /// Handles a message from the agent `from`.
     pub fn on_message(&self, from: &Name, message: RequestMessage) {
         if let RequestMessage::Answer { id, outcome, free } = message {
             let mut inner = lock(&self.inner);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes in a message about a key from the agent `from`.
+    /// Handles a message about a key from the agent `from`.
     pub fn on_key_message(&self, from: &Name, message: KeyMessage) {
         let mut inner = lock(&self.inner);
         match message {
@@ -146,7 +146,7 @@
         self.perform(&mut inner);
     }
 
-    /// Takes note of a new link to an agent, after the roster has.
+    /// Handles a new link to an agent. Called after the roster has been updated.
     pub fn on_peer_up(&self, peer: &Peer) {
         if peer.role == Role::Agent {
             let mut inner = lock(&self.inner);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes note of the end of a link to an agent, after the roster has.
+    /// Handles the end of a link to an agent. Called after the roster has been updated.
     pub fn on_peer_down(&self, peer: &Peer) {
         if peer.role == Role::Agent {
             let mut inner = lock(&self.inner);
@@ -165,7 +165,7 @@
         self.update_agents();
     }
 
-    /// Takes note of what the roster knows of one agent; to be called at its heartbeats.
+    /// Updates the table with the roster's state of one agent. Called at its heartbeats.
     pub fn on_report(&self, agent: &Name) {
         let version = self.cx.version();
         let view = {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Takes note of what the roster knows of all agents.
+    /// Updates the table with the roster's state of all agents and entries.
     pub fn update_agents(&self) {
         let version = self.cx.version();
         let now = self.cx.now();
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Does what time alone brings about; to be called every 100 ms.
+    /// Applies timeouts and starts queued requests. Called every 100 ms.
     pub fn tick(&self) {
         self.update_agents();
         let log = self.log_state();
@@ -212,8 +212,8 @@
         self.perform(&mut inner);
     }
 
-    /// Refuses new requests and waits up to `timeout` until all others are answered; returns whether
-    /// they are.
+    /// Refuses new requests and waits, for at most `timeout`, until all others have been answered.
+    /// Returns whether they have.
     pub fn stop(&self, timeout: Duration) -> bool {
         lock(&self.inner).table.leave();
         let end = Instant::now() + timeout;
@@ -226,7 +226,7 @@
         true
     }
 
-    /// Returns what waits and runs, by service.
+    /// Returns the queued and running requests by service.
     pub fn stats(&self) -> Vec<ServiceStats> {
         lock(&self.inner).table.stats()
     }
@@ -259,7 +259,7 @@
         let counters = &self.cx.counters;
         match action {
             EntryAction::Send { to, message } => {
-                // The message is needed again only where it was not handed over.
+                // The table needs the message again only if it could not be sent.
                 if let Err(error) = self.cx.links.send(&to, message.clone()) {
                     log::debug!(peer:% = to, error:% = error; "not_sent");
                     inner.table.unsent(self.cx.now(), &to, &message);
@@ -280,7 +280,7 @@
                     Outcome::Unknown => counters.answer("unknown"),
                 }
                 if let Some(tx) = inner.waiting.remove(&number) {
-                    // The channel has room for the one answer.
+                    // The channel has room for its single answer.
                     let _ = tx.try_send(outcome);
                 }
             }
--- a/dragonflyrun/src/process/entry_routes.rs
+++ b/dragonflyrun/src/process/entry_routes.rs
@@ -1,4 +1,4 @@
-//! The paths that an entry serves to callers and operators.
+//! The HTTP paths that an entry serves to callers and operators.
 
 use hyper::{Method, StatusCode};
 
@@ -12,10 +12,10 @@
     utils::Name,
 };
 
-/// Header under which a submitter names its job, so that a repeat is not a second job.
+/// Header in which a submitter names its job, so that a repeated call does not create a second job.
 const JOB_ID_HEADER: &str = "idempotency-key";
 
-/// Answers a call to one of the paths under `/v1`.
+/// Answers a request for one of the paths under `/v1`.
 pub(crate) fn answer(entry: &EntryNode, req: HttpRequest) -> HttpResponse {
     if let Some(service) = requested_service(&req.path).map(str::to_owned)
         && req.method == Method::POST
@@ -40,7 +40,7 @@
     }
 }
 
-/// Runs `act` if the caller holds the key of the editor that it names.
+/// Runs `act` if the caller presents the token of the editor that it names.
 fn as_editor(
     entry: &EntryNode,
     req: &HttpRequest,
--- a/dragonflyrun/src/process/entry_status.rs
+++ b/dragonflyrun/src/process/entry_status.rs
@@ -1,4 +1,4 @@
-//! The system as one entry sees it, for `GET /v1/status`.
+//! The state of the system as one entry sees it, for `GET /v1/status`.
 
 use crate::{
     connection::{BackendReport, Report},
@@ -10,7 +10,7 @@
     version::Version,
 };
 
-/// Returns what the entry says of the system.
+/// Returns the entry's view of the system.
 pub(crate) fn status(entry: &EntryNode) -> StatusAnswer {
     let cx = &entry.cx;
     let now = cx.now();
--- a/dragonflyrun/src/process/freshness.rs
+++ b/dragonflyrun/src/process/freshness.rs
@@ -1,8 +1,9 @@
-//! Whether this process knows the latest state of the log closely enough to act on it alone.
+//! Whether this process knows the latest state of the log well enough to act on it alone.
 //!
 //! A process that was frozen or cut off may hold an old configuration, an old planner's term or an
-//! old list of key owners without noticing. So it starts no gang and grants no key unless it is
-//! fresh; `docs/DESIGN.md`, freshness, says what that costs in an outage, a partition and a pause.
+//! old list of key owners without noticing. It therefore starts no gang and grants no key unless it
+//! is fresh. The freshness section of `docs/DESIGN.md` describes the cost of this rule during an
+//! outage, a partition and a pause.
 
 use std::time::Duration;
 
@@ -11,14 +12,14 @@
     utils::{Name, Timestamp},
 };
 
-/// Age of the last view of the log's head up to which a process is fresh.
+/// Maximum age of the last read of the log's head at which a process is fresh.
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(2_000);
 
-/// Time after which an append without an answer, made before, can no longer take effect: the log
-/// drops a request that it has not carried out by then. Longer than any append is tried.
+/// Time after which an append without an answer can no longer take effect, because the log drops a
+/// request that it has not executed by then. It is longer than any append is retried.
 const UNCERTAIN_APPEND_PERIOD: Duration = Duration::from_secs(15);
 
-/// What this process knows of the log's head.
+/// What this process knows about the head of the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     head_seen: Option<Timestamp>,
@@ -26,21 +27,23 @@
     append_uncertain_since: Option<Timestamp>,
 }
 
-/// What an entry last said of the log, for the decision whether all agree that it is down.
+/// What an entry last reported about the log, used to decide whether all entries agree that the log
+/// is down.
 #[derive(Clone, Debug)]
 pub struct EntryView {
-    /// The entry.
+    /// The name of the entry.
     pub entry: Name,
-    /// When it was last heard; none if never.
+    /// A time after which it was certainly alive; `None` if it was never heard.
     pub heard: Option<Timestamp>,
-    /// Whether it said goodbye or its port refuses connections, and so takes no more part.
+    /// Whether it has announced that it is leaving and its link has ended, so that it takes no
+    /// further part.
     pub gone: bool,
-    /// What it said.
+    /// Its view of the log.
     pub log: LogView,
 }
 
 impl Freshness {
-    /// Takes note that the log's head was seen at `at`, and all before it is folded.
+    /// Records that the log's head was read at `at` and everything before it is folded.
     pub fn on_head_seen(&mut self, at: Timestamp) {
         self.head_seen = self.head_seen.max(Some(at));
         if self
@@ -51,22 +54,23 @@
         }
     }
 
-    /// Takes note of whether this process's own read of the log succeeded.
+    /// Records whether this process's last read of the log succeeded.
     pub fn set_reachable(&mut self, reachable: bool) {
         self.reachable = reachable;
     }
 
-    /// Takes note of whether an append of this process may have taken effect without an answer.
+    /// Records whether an append of this process may have taken effect without an answer.
     pub fn set_append_pending(&mut self, now: Timestamp, pending: bool) {
         self.append_uncertain_since = pending.then_some(now);
     }
 
-    /// Returns the time since the log's head was last known to be folded; none before the first.
+    /// Returns the time since this process last had everything up to the log's head; `None` before
+    /// the first time.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.head_seen.map(|at| now.since(at))
     }
 
-    /// Returns what a heartbeat says of the log.
+    /// Returns the view of the log that heartbeats report.
     pub fn view(&self, now: Timestamp, next_offset: u64, version: u64) -> LogView {
         let age = self.head_seen.map(|at| now.since(at).as_millis());
         LogView {
@@ -78,13 +82,14 @@
         }
     }
 
-    /// Returns whether the process is fresh at `now`, where `entries` are all entries of the last
-    /// known membership other than itself, and `next_offset` is how far it has folded the log.
+    /// Returns whether the process is fresh at `now`. `entries` are all other entries of the last
+    /// known membership, and `next_offset` is the offset up to which this process has folded the
+    /// log.
     ///
-    /// It is fresh if it has seen the head lately. It is also fresh while every entry was heard
-    /// lately and says that it can't reach the log, has no append in doubt and knows no more than
-    /// we do: then nobody can have changed anything. An entry that is merely silent may be at work
-    /// on the log behind a partition, so silence is not enough.
+    /// A process is fresh if it has read the head recently. It is also fresh while every entry has
+    /// recently reported that it can't reach the log, has no uncertain append and has folded no
+    /// more than this process: then nothing can have changed. Silence of an entry is not enough,
+    /// since that entry may still be using the log on the other side of a partition.
     pub fn is_fresh(&self, now: Timestamp, next_offset: u64, entries: &[EntryView]) -> bool {
         if self
             .head_seen
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -1,7 +1,7 @@
-//! What an entry decides about gangs: which it renews, and what it does as planner.
+//! The decisions of an entry on gangs: which ones it renews, and what it does as planner.
 //!
-//! The table does no I/O and reads no clock, so that the tests run it against failures on a clock
-//! of their own; [`EntryJobs`](crate::process::EntryJobs) carries out what it returns.
+//! The table does no I/O and reads no clock, so that tests can run it through failures on a
+//! simulated clock; [`EntryJobs`](crate::process::EntryJobs) performs the actions that it returns.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,33 +16,34 @@
     version::Version,
 };
 
-/// Time between two ticks that shows that this process was frozen in between. What its peers sent
-/// then still waits to be read, so nobody counts as silent until it was.
+/// Gap between two ticks above which this process counts as having been frozen. Messages that its
+/// peers sent meanwhile are still unread, so no peer counts as silent until they have been
+/// processed.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// What was last taken from an agent's state in the roster.
+/// The last state of an agent that was read from the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct AgentSnapshot {
     incarnation: u64,
     report_number: u64,
     /// Whether its worker may get work.
     usable: bool,
-    /// Its worker and its members, of which a report may say the same once more.
+    /// Its worker and members, kept to recognize a report that repeats them.
     worker: WorkerInfo,
     members: Vec<MemberReport>,
 }
 
-/// What the log and the roster say at one moment.
+/// The state of the log and the roster at one moment.
 #[derive(Clone, Debug)]
 pub struct TickView {
-    /// What the planner needs.
+    /// The input of the planner.
     pub planner: PlannerView,
     /// The agents that have been silent for so long that their members count as lost.
     pub silent: Vec<Name>,
 }
 
 impl TickView {
-    /// Reads what the entry called `me` knows; `fresh` says whether that is the latest state.
+    /// Reads the state known to the entry `me`; `fresh` tells whether it is the latest state.
     pub fn read(now: Timestamp, me: &Name, fresh: bool, ledger: &Ledger, roster: &Roster) -> Self {
         let membership = &ledger.membership;
         let next_offset = ledger.next_offset();
@@ -97,14 +98,14 @@
     silence_grace_until: Timestamp,
     /// When this entry last knew the latest state of the log.
     fresh_at: Option<Timestamp>,
-    /// Entries that the planner has removed, and until when they may go on renewing gangs. One
-    /// that is only cut off from everybody but the agents does not know that it was removed.
+    /// Entries that the planner has removed, with the time until which they may still renew gangs.
+    /// An entry that is cut off from everything but the agents does not know that it was removed.
     removed: HashMap<Name, Timestamp>,
     gaps: u64,
 }
 
 impl GangTable {
-    /// Returns the table of the entry called `me` as its process starts.
+    /// Returns the table of the entry `me` at the start of its process.
     pub fn new(now: Timestamp, me: Name, version: Arc<Version>) -> Self {
         Self {
             renewals: Renewals::default(),
@@ -118,21 +119,21 @@
         }
     }
 
-    /// Returns the term that this process holds as planner; none where it is not planner.
+    /// Returns the term that this process holds as planner; `None` if it is not the planner.
     pub fn term(&self) -> Option<u64> {
         self.planner.term()
     }
 
-    /// Checks that a job can be had from the workers known.
+    /// Checks that the known workers could run a job.
     ///
     /// # Errors
     ///
-    /// Why it can never be had.
+    /// Returns the reason if they never can.
     pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         self.planner.check_possible(spec)
     }
 
-    /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
+    /// Applies a heartbeat of `peer` and returns the messages to send to it and to other agents.
     pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<AgentMessage> {
         let agent = &peer.peer.name;
         let mut messages = self.apply_report(now, agent, peer);
@@ -149,10 +150,10 @@
         messages
     }
 
-    /// Takes note that the link to an agent ended.
+    /// Handles the end of the link to an agent.
     ///
-    /// It gets no new work from then on. What it runs goes on: the link may come back, and an agent
-    /// whose process was replaced may go on with its members.
+    /// The agent gets no new work from then on. Its members keep running: the link may come back,
+    /// and a replacement of the agent's process may continue with them.
     pub fn on_link_down(&mut self, now: Timestamp, agent: &Name) {
         if let Some(snapshot) = self.agents.get_mut(agent) {
             snapshot.usable = false;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Follows a record that was folded last into `ledger`.
+    /// Applies the record that was last folded into `ledger`.
     pub fn on_folded(&mut self, now: Timestamp, folded: &Folded, ledger: &Ledger) {
         if ledger.gaps() != self.gaps {
             self.reset_after_gap(now, ledger);
@@ -193,24 +194,25 @@
             current: is_current(ledger, body),
         };
         if self.planner.on_record(now, record) {
-            // Each agent's next heartbeat counts as a change and so reaches the new planner.
+            // Makes each agent's next heartbeat count as a change, so that it reaches the new
+            // planner.
             self.agents
                 .values_mut()
                 .for_each(|agent| agent.report_number = 0);
         }
     }
 
-    /// Takes note of the id of a record that was queued for `purpose`.
+    /// Records the id of a record that was queued for `purpose`.
     pub fn appended(&mut self, id: Name, purpose: Purpose) {
         self.planner.appended(id, purpose);
     }
 
-    /// Takes note that a record of this process is not known to be on the log.
+    /// Handles a record of this process that is not known to be on the log.
     pub fn append_failed(&mut self, now: Timestamp, id: &Name) {
         self.planner.append_failed(now, id);
     }
 
-    /// Returns what is to be done now; to be called every 100 ms.
+    /// Returns the actions that are due now. Called every 100 ms.
     pub fn tick(&mut self, now: Timestamp, view: &TickView) -> Vec<PlannerAction> {
         if now.since(self.last_tick) > FREEZE_THRESHOLD {
             self.silence_grace_until = now + MAX_PEER_SILENCE;
@@ -250,7 +252,7 @@
             RecordBody::EntryJoined { entry, .. } => {
                 self.removed.remove(entry);
             }
-            // One that leaves by itself renews nothing from then on.
+            // An entry that leaves by itself renews nothing afterwards.
             RecordBody::EntryLeft { entry } if record.author != *entry => {
                 self.removed
                     .insert(entry.clone(), now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
@@ -259,10 +261,10 @@
         }
     }
 
-    /// Forgets everything after a gap of the log: what was missed may be the end of a job, of this
-    /// process's term, or the removal of an entry. The agents' next heartbeats and the carried
-    /// states fill the table. It renews nothing before it knows the log's head again, since a
-    /// fence may be among what was missed.
+    /// Resets the table after a gap in the log: the missing records may include the end of a job,
+    /// the end of this process's term or the removal of an entry. The next heartbeats of the agents
+    /// and the repeated states fill the table again. Until this process knows the log's head again
+    /// it renews nothing, since a fence may be among the missing records.
     fn reset_after_gap(&mut self, now: Timestamp, ledger: &Ledger) {
         let me = self.planner.me().clone();
         *self = Self::new(now, me.clone(), ledger.history.current().clone());
@@ -312,7 +314,8 @@
         } else {
             self.planner.worker_down(now, agent);
         }
-        // Before it knows its worker, an agent reports none of those that its predecessor left.
+        // Until an agent knows its worker, it does not report the members that its predecessor
+        // left.
         let knows_worker = report.accelerators > 0;
         let mut messages = self
             .planner
@@ -323,8 +326,9 @@
 }
 
 impl AgentSnapshot {
-    /// Returns whether a later report says nothing new about gangs, such as one on the free slots
-    /// of backend servers. What was marked as not taken by the planner is always new.
+    /// Returns whether a later report changes nothing about gangs, such as a report on the free
+    /// slots of backend servers. A report after `report_number` was reset to 0 always counts as a
+    /// change, since the planner has not processed the last one.
     fn has_same_gang_state(&self, later: &Self) -> bool {
         self.report_number != 0
             && self.incarnation == later.incarnation
@@ -334,8 +338,8 @@
     }
 }
 
-/// Returns whether a state that was repeated is still the current one. Where it is not, something
-/// reached the log between the moment at which it was read and that at which it was repeated.
+/// Returns whether a repeated state is still the current one. It is not if another record reached
+/// the log after the state was read and before it was appended.
 fn is_current(ledger: &Ledger, body: &RecordBody) -> bool {
     match body {
         RecordBody::Carried(Carried::Configuration(carried)) => {
@@ -349,7 +353,7 @@
     }
 }
 
-/// Returns a state as it is on the log now, to be repeated in a record; none where it is over.
+/// Returns the current state of `item`, to be repeated on the log; `None` if it has ended.
 pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<Carried> {
     let term = ledger.membership.term();
     match item {
--- a/dragonflyrun/src/process/heartbeats.rs
+++ b/dragonflyrun/src/process/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Sends this process's signs of life to each linked peer.
+//! Sends the heartbeats of this process to each linked peer.
 
 use std::{
     sync::{
@@ -14,32 +14,32 @@
     utils::{HashMap, Name, Timestamp},
 };
 
-/// Time between two heartbeats to the same peer.
+/// Interval between two heartbeats to the same peer.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often the report is looked at for a change that can't wait for the next heartbeat.
+/// How often the report is checked for a change that can't wait for the next heartbeat.
 const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// What was last sent, so that an unchanged report is not sent again.
 #[derive(Default)]
 struct SentReports {
     report: Option<Report>,
-    /// Counts the changes of the report.
+    /// Number of changes of the report so far.
     change: u64,
-    /// The last change of anything but the backend servers.
+    /// The number of the last change to anything but the backend servers.
     full_change: u64,
     delivered: HashMap<Name, Delivered>,
     last: Timestamp,
 }
 
-/// Up to which change a link has delivered the report.
+/// The last change of the report that was sent over a link.
 #[derive(Clone, Copy, Eq, PartialEq)]
 struct Delivered {
     link: u64,
     change: u64,
 }
 
-/// Sends heartbeats.
+/// Sends heartbeats and decides which part of the report each peer needs.
 pub(crate) struct Heartbeats<'a> {
     cx: &'a Context,
     node: &'a dyn Node,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends heartbeats until `stopping`.
+    /// Sends heartbeats until `stopping` is set.
     pub(crate) fn run(&self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Relaxed) {
             self.send_due();
@@ -121,7 +121,7 @@
         self.report = Some(report);
     }
 
-    /// Returns what the link to `peer` has not delivered yet.
+    /// Returns the part of the report that has not been sent over the link to `peer` yet.
     fn undelivered_part(&self, peer: &Name, link: u64) -> Option<Report> {
         let delivered = self.delivered.get(peer).filter(|c| c.link == link);
         match (delivered, &self.report) {
@@ -134,13 +134,14 @@
     }
 }
 
-/// What has changed between two reports.
+/// The difference between two reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Change {
     None,
-    /// Only how many slots are free. Answers to requests tell that too, so it can wait.
+    /// Only the numbers of free slots. Answers to requests carry them too, so this can wait.
     Slots,
-    /// Something that peers have to know at once, such as a member that ended or a leaver.
+    /// Something that peers have to learn at once, such as the end of a member or that the process
+    /// is leaving.
     Urgent,
 }
 
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -1,4 +1,4 @@
-//! The fold of the whole log: each record is opened once and given to each table that it is for.
+//! Folds the log: opens each record once and applies it to the tables that it concerns.
 
 use std::collections::VecDeque;
 
@@ -10,42 +10,44 @@
     version::{History, LoggedEdit, Verdict},
 };
 
-/// Ids of records that are remembered to drop a second copy. A copy comes from a writer that
-/// appended again after a lost answer, which happens within its few seconds of trying.
+/// Number of record ids that are remembered to drop second copies. A second copy comes from a
+/// writer that appended again after a lost answer, which happens within the few seconds for which
+/// it retries.
 const MAX_REMEMBERED_IDS: usize = 65_536;
 
-/// Records kept for peers that can't reach the log.
+/// Number of records kept for peers that can't reach the log.
 const MAX_KEPT_RECORDS: usize = 4_096;
 
-/// All tables that are folded from the log, as of one offset.
+/// All tables folded from the log, as of one offset.
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// The configuration.
     pub history: History,
-    /// Terms, entries and key owners.
+    /// The terms, entries and key owners.
     pub membership: Membership,
     /// The jobs.
     pub jobs: JobTable,
     next_offset: u64,
     gaps: u64,
-    /// Whether a planner's record was seen since the last gap.
+    /// Whether a planner's record has been read since the last gap.
     saw_planner: bool,
     ids: HashSet<Name>,
     id_order: VecDeque<Name>,
     kept: VecDeque<LogRecord>,
 }
 
-/// What folding a record gave, for those who wait for it.
+/// The result of folding a record, for those who wait for it.
 #[derive(Clone, Debug)]
 pub struct Folded {
     /// The offset of the record.
     pub offset: u64,
     /// The record.
     pub record: Record,
-    /// Whether its author had the authority for it. A planner's record that follows its
-    /// successor's claim is folded, so that whoever waits for it sees it, and changes nothing.
+    /// Whether its author was entitled to write it. A planner's record that comes after its
+    /// successor's claim is still folded, so that those who wait for it see it, but it changes
+    /// nothing.
     pub in_effect: bool,
-    /// The verdict, where it is an edit.
+    /// The verdict, if the record is an edit.
     pub verdict: Option<Verdict>,
 }
 
@@ -55,12 +57,13 @@
         self.next_offset
     }
 
-    /// Folds `raw` if it is the next record; returns what it was, or none where it was skipped.
+    /// Folds `raw` if it is the next record. Returns the result, or `None` if the record was
+    /// skipped.
     pub fn fold(&mut self, raw: &LogRecord, secret: &str) -> Option<Folded> {
         self.fold_with(raw, |data| open(data, secret))
     }
 
-    /// Folds `raw` as [`fold`](Self::fold) does, where `open` opens its seal.
+    /// Folds `raw` like [`fold`](Self::fold), with `open` to open its seal.
     pub fn fold_with(
         &mut self,
         raw: &LogRecord,
@@ -78,8 +81,8 @@
                 return None;
             }
         };
-        // The configuration drops copies of edits by a rule of its own, which is alike in a
-        // process that started late and remembers fewer ids.
+        // The configuration drops copies of edits by a rule of its own, which gives the same result
+        // in a process that started later and remembers fewer ids.
         if !matches!(record.body, RecordBody::Edit(_)) && !self.is_new(&record.id) {
             return None;
         }
@@ -100,11 +103,11 @@
         })
     }
 
-    /// Goes on at `first` where the log has dropped the records before it.
+    /// Continues at `first` if the log has dropped the records before it.
     ///
-    /// The planner carries what is live forward before the log drops it, so the tables are whole
-    /// again once the records from `first` on are folded. What was known before may have ended in
-    /// between, so the jobs begin anew, with those that are carried.
+    /// The planner repeats live state before the log drops it, so the tables are complete again
+    /// once the records from `first` on are folded. Jobs that were known before may have ended in
+    /// between, so the job table is cleared and filled again from the repeated jobs.
     pub fn skip_to(&mut self, first: u64) {
         if first > self.next_offset {
             log::warn!(from = self.next_offset, to = first; "log_gap");
@@ -118,12 +121,12 @@
         }
     }
 
-    /// Takes note that all records up to the log's head are folded.
+    /// Tells the ledger that all records up to the log's head are folded.
     ///
-    /// Where a process began in the middle of the log and met nothing that a planner wrote, the
-    /// system is new and the log was used for something else before. Without this rule nobody
-    /// would ever be planner there. A process that has known a planner or a configuration was
-    /// frozen for longer than the log keeps records, and must not take what it knew for current.
+    /// If a process started in the middle of the log and found no planner's record, the deployment
+    /// is new and the log was used for something else before. Without this rule nobody could ever
+    /// become planner there. A process that has known a planner or a configuration was instead
+    /// frozen for longer than the log keeps records, and must not treat its old state as current.
     pub fn reached_head(&mut self) {
         let knows_nothing = self.membership.term() == 0 && self.history.current().offset == 0;
         if !self.membership.is_complete() && !self.saw_planner && knows_nothing {
@@ -133,17 +136,18 @@
         }
     }
 
-    /// Returns whether nothing is missing that the log may have said.
+    /// Returns whether no record is missing that may have changed the tables.
     pub fn is_complete(&self) -> bool {
         self.membership.is_complete() && self.history.is_whole()
     }
 
-    /// Counts the gaps after which the tables began anew.
+    /// Returns the number of gaps after which the tables were reset.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
 
-    /// Returns kept records from `from` on, at most `limit`; none where they are not all kept.
+    /// Returns up to `limit` kept records starting at offset `from`; none if the record at `from`
+    /// is no longer kept.
     pub fn kept_from(&self, from: u64, limit: usize) -> Vec<LogRecord> {
         let Some(first) = self.kept.front().map(|r| r.offset) else {
             return Vec::new();
@@ -155,12 +159,12 @@
         self.kept.iter().skip(skip).take(limit).cloned().collect()
     }
 
-    /// Returns whether the author may say what the record says.
+    /// Returns whether the author is entitled to write the record.
     ///
     /// A planner that was frozen may append after its successor has claimed the next term. Its
-    /// record then stands behind the claim on the log, and every process skips it alike.
+    /// record then comes after the claim on the log, and every process skips it.
     ///
-    /// An editor holds a key as well, and could otherwise write a planner's records with it.
+    /// An editor also holds a key and must not be able to write a planner's records with it.
     fn has_authority(&self, record: &Record) -> bool {
         let is_edit = matches!(record.body, RecordBody::Edit(_));
         if !is_edit && editor_of(&record.author).is_some() {
@@ -171,7 +175,7 @@
             return *entry == record.author;
         }
         match record.body.planner_term() {
-            // Until it knows the planner, a process can't tell which job records are in effect.
+            // Until a process knows the planner, it can't tell which job records are in effect.
             None => membership.is_complete() || !is_about_job(&record.body),
             Some(term) if matches!(record.body, RecordBody::Carried(Carried::Job { .. })) => {
                 membership.is_complete() && term >= membership.term()
--- a/dragonflyrun/src/process/log_reader.rs
+++ b/dragonflyrun/src/process/log_reader.rs
@@ -1,4 +1,5 @@
-//! Folds the log into the tables, from the log service or from peers that reach it.
+//! Reads the log from the log service or from peers that can reach it, and folds it into the
+//! tables.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
@@ -12,24 +13,27 @@
     version::Verdict,
 };
 
-/// Records of one read, at the most.
+/// Maximum number of records in one read.
 const MAX_PAGE_RECORDS: usize = 512;
 
 /// How long a read waits at the log for the next record.
 const LONG_POLL_TIME: Duration = Duration::from_millis(400);
 
-/// Pause after a failed read, and between looks at what peers have told.
+/// Delay after a failed read, and between checks whether the views received from entries are still
+/// recent.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Age of the last view of the head, had from entries, above which an agent reads for itself.
+/// Age of the last view of the head received from entries above which an agent reads the log
+/// itself.
 ///
-/// Agents are many; as long as an entry tells them of the log they leave the log alone.
+/// There are many agents, so they leave the log service alone as long as an entry keeps them up to
+/// date.
 const MAX_ENTRY_VIEW_AGE: Duration = Duration::from_millis(1_000);
 
-/// Records sent to a peer in one message, at the most.
+/// Maximum number of records sent to a peer in one message.
 const MAX_RELAYED_RECORDS: usize = 256;
 
-/// Folds records and tells the role, the appender and the peers of each.
+/// Folds records and passes each to the role, the appender and the peers.
 pub(crate) struct LogReader<'a> {
     cx: &'a Context,
     node: &'a dyn Node,
@@ -40,7 +44,7 @@
         Self { cx, node }
     }
 
-    /// Reads the log until `stopping`.
+    /// Reads the log until `stopping` is set.
     pub(crate) fn run(&self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Relaxed) {
             if self.is_served_by_entries() {
@@ -53,7 +57,7 @@
         }
     }
 
-    /// Folds records that a peer has passed on, and asks it for those that are missing before them.
+    /// Folds records relayed by a peer, and requests any that are missing before them.
     pub(crate) fn on_records(&self, from: &Name, records: &[LogRecord]) {
         let next_offset = lock(&self.cx.ledger).next_offset();
         if records.first().is_some_and(|r| r.offset > next_offset) {
@@ -67,15 +71,16 @@
     pub(crate) fn on_missing(&self, peer: &Name, from_offset: u64) {
         let records = lock(&self.cx.ledger).kept_from(from_offset, MAX_RELAYED_RECORDS);
         if !records.is_empty() {
-            // A peer whose link is full or gone asks again with its next heartbeat.
+            // If the link is full or gone, the peer requests them again after its next heartbeat.
             let _ = self.cx.links.send(peer, Message::Records(records));
         }
     }
 
-    /// Takes note of what a peer says of the log in a heartbeat.
+    /// Applies the view of the log that a peer sent in a heartbeat.
     ///
-    /// `alive_at` is a moment of our clock after which the peer was alive for certain. The peer
-    /// saw the head `age_ms` before it spoke, so at the earliest that much before this moment.
+    /// `alive_at` is a time on this process's clock after which the peer was certainly alive. The
+    /// peer read the head `age_ms` before it sent the heartbeat, so no earlier than that much
+    /// before `alive_at`.
     pub(crate) fn on_view(&self, from: &Name, view: &LogView, alive_at: Option<Timestamp>) {
         let next_offset = lock(&self.cx.ledger).next_offset();
         if view.next_offset > next_offset {
@@ -98,13 +103,14 @@
     }
 
     fn request_missing(&self, peer: &Name, from: u64) {
-        // Lost questions are asked again at the next heartbeat.
+        // A lost request is repeated at the next heartbeat.
         let _ = self.cx.links.send(peer, Message::Missing { from });
     }
 
     fn read_once(&self) -> bool {
         let from = lock(&self.cx.ledger).next_offset();
-        // The head was current at some time after the request left, so its age counts from here.
+        // The head was current at some time after the request was sent, so its age counts from
+        // here.
         let called_at = self.cx.now();
         let page = self.cx.log.read(from, MAX_PAGE_RECORDS, LONG_POLL_TIME);
         lock(&self.cx.freshness).set_reachable(page.is_ok());
@@ -135,8 +141,8 @@
     }
 
     fn fold(&self, records: &[LogRecord]) {
-        // Records come from the log and from several peers at once. Without this lock two threads
-        // could tell the role of two records in the wrong order.
+        // Records arrive from the log and from several peers concurrently. Without this lock two
+        // threads could pass records to the role out of order.
         let _order = lock(&self.cx.fold_order);
         for raw in records {
             let folded = lock(&self.cx.ledger).fold(raw, &self.cx.settings.secret);
--- a/dragonflyrun/src/process/log_writer.rs
+++ b/dragonflyrun/src/process/log_writer.rs
@@ -1,8 +1,8 @@
-//! Writes log lines without ever waiting for whoever reads them.
+//! Writes log lines without blocking on their reader.
 //!
-//! A reader that stops reading would otherwise stop the process: a write to a full pipe blocks. Lines
-//! go into a queue of bounded length, and a thread of its own writes them; a line that finds the
-//! queue full is left out and counted, and the count is logged as soon as there is room again.
+//! A write to a full pipe blocks, so a reader that stops reading would stop the process. Lines
+//! therefore go into a bounded queue that a separate thread writes out. A line that finds the queue
+//! full is dropped and counted, and the count is logged as soon as there is room again.
 
 use std::{
     io::{self, Write},
@@ -15,21 +15,21 @@
 
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
-/// Lines that wait to be written, at the most: some seconds of a busy entry, in about 1 MB.
+/// Maximum number of queued lines: a few seconds of a busy entry, about 1 MB.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// A writer whose writes return at once.
+/// A writer whose writes never block.
 pub struct LogWriter {
     lines: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LogWriter {
-    /// Returns a writer that passes whole lines on to `sink` from a thread of its own.
+    /// Returns a writer that passes whole lines to `sink` on a separate thread.
     ///
     /// # Errors
     ///
-    /// Where the system gives no thread.
+    /// Returns an error if the thread can't be spawned.
     pub fn new(sink: impl Write + Send + 'static) -> io::Result<Self> {
         let (lines, queue) = bounded(MAX_QUEUED_LINES);
         let dropped = Arc::<AtomicU64>::default();
@@ -42,7 +42,7 @@
 }
 
 impl Write for LogWriter {
-    /// Takes one line; the logger gives it whole.
+    /// Queues one line; the logger writes each line with a single call.
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if let Err(TrySendError::Full(_)) = self.lines.try_send(buf.to_vec()) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -57,7 +57,7 @@
 
 fn write_lines(mut sink: impl Write, queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     for line in queue {
-        // Nobody is left to be told about an error here.
+        // There is nowhere left to report an error.
         let _ = sink.write_all(&line);
         let dropped_lines = dropped.swap(0, Ordering::Relaxed);
         if dropped_lines > 0 {
--- a/dragonflyrun/src/process/logging.rs
+++ b/dragonflyrun/src/process/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines of key=value pairs, one an event.
+//! Log lines made of key=value pairs, one line per event.
 
 use std::io::Write;
 
@@ -7,17 +7,17 @@
 
 use crate::process::LogWriter;
 
-/// Starts logging to standard output, bounded and without ever waiting; the environment variable
-/// `DRAGONFLYRUN_LOG` sets the level, `info` where it is absent.
+/// Starts logging to standard output through a bounded queue that never blocks. The environment
+/// variable `DRAGONFLYRUN_LOG` sets the level; the default is `info`.
 pub fn start() {
-    // Without a thread for it, lines are written as they come.
+    // If the thread can't be spawned, lines are written directly.
     let target = LogWriter::new(std::io::stdout())
         .map_or(Target::Stdout, |writer| Target::Pipe(Box::new(writer)));
     start_to(target, "info");
 }
 
-/// Starts logging to standard error, at `level` where the environment variable is absent: for
-/// programs whose output is for people.
+/// Starts logging to standard error, for programs whose output is read by people. The level is
+/// `level` unless the environment variable sets it.
 pub fn start_at(level: &str) {
     start_to(Target::Stderr, level);
 }
@@ -31,7 +31,7 @@
             let (level, event) = (record.level(), record.args());
             write!(f, "time={now} level={level} event={event}")?;
             let mut pairs = Pairs(Vec::new());
-            // Writing pairs into memory can't fail.
+            // Writing to memory can't fail.
             let _ = record.key_values().visit(&mut pairs);
             f.write_all(&pairs.0)?;
             writeln!(f)
@@ -39,7 +39,8 @@
         .init();
 }
 
-/// Collects pairs as ` key=value`; a value with a space, a quote or a line end is quoted.
+/// Formats pairs as ` key=value`. A value that is empty or contains a space, a quote, an equals
+/// sign or a line end is quoted.
 struct Pairs(Vec<u8>);
 
 impl<'kvs> VisitSource<'kvs> for Pairs {
--- a/dragonflyrun/src/process/membership.rs
+++ b/dragonflyrun/src/process/membership.rs
@@ -1,11 +1,11 @@
-//! Who is planner, which entries there are, and which agents own keys, as the log says.
+//! The planner, the entries and the agents that own keys, as folded from the log.
 
 use crate::{
     connection::{Carried, CarriedEntry, CarriedMembership, RecordBody},
     utils::{HashMap, Name},
 };
 
-/// The fold of the records on terms, entries and key owners.
+/// The state folded from the records on terms, entries and key owners.
 #[derive(Clone, Debug)]
 pub struct Membership {
     term: u64,
@@ -14,9 +14,9 @@
     ring: Vec<Name>,
     ring_offset: u64,
     ring_changes: u64,
-    /// The offset of the last record that changed it.
+    /// The offset of the last record that changed this state.
     updated: u64,
-    /// Whether no record is missing that may have changed it.
+    /// Whether no record is missing that may have changed this state.
     complete: bool,
 }
 
@@ -39,8 +39,9 @@
     /// Folds the record at `offset`; records of other kinds change nothing.
     pub fn fold(&mut self, offset: u64, body: &RecordBody) {
         match body {
-            // Two entries may claim the same term; the first on the log has it in every process.
-            // The first term of all is good also for a process that lacks what was before.
+            // Two entries may claim the same term; in every process the first claim on the log
+            // wins. The first term of all is valid also for a process that lacks the records before
+            // it.
             RecordBody::Term { entry, term }
                 if *term == self.term + 1 && (self.complete || *term == 1) =>
             {
@@ -66,14 +67,14 @@
         self.updated = offset;
     }
 
-    /// Takes over a carried state that is not older than this one. A process that has missed
-    /// nothing holds the same state already.
+    /// Adopts a repeated state unless it is older than this one. A process that has missed nothing
+    /// already holds the same state.
     fn adopt(&mut self, offset: u64, carried: &CarriedMembership) {
         if self.complete && carried.updated < self.updated || carried.term < self.term {
             return;
         }
         if !self.complete {
-            // Changes among the records that were missed are counted as one more.
+            // All changes among the missing records count as one.
             self.ring_changes += 1;
         }
         self.complete = true;
@@ -88,17 +89,17 @@
         self.set_ring(offset, &carried.ring);
     }
 
-    /// Takes note that records are missing.
+    /// Marks the state as missing records.
     pub fn mark_incomplete(&mut self) {
         self.complete = false;
     }
 
-    /// Takes note that nothing is missing after all, since there was nothing before.
+    /// Marks the state as complete, for a deployment that has no earlier records.
     pub fn mark_complete(&mut self) {
         self.complete = true;
     }
 
-    /// Returns whether no record is missing that may have changed it.
+    /// Returns whether no record is missing that may have changed this state.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
@@ -123,28 +124,28 @@
         self.planner.as_ref()
     }
 
-    /// Returns the entries with the addresses of their peer listeners.
+    /// Returns the entries with the addresses of their listeners for peer links.
     pub fn entries(&self) -> &HashMap<Name, Name> {
         &self.entries
     }
 
-    /// Returns the agents that own keys, in order of their names.
+    /// Returns the agents that own keys, sorted by name.
     pub fn ring(&self) -> &[Name] {
         &self.ring
     }
 
-    /// Returns the offset of the record that last changed the owners.
+    /// Returns the offset of the record that last changed the key owners.
     pub fn ring_offset(&self) -> u64 {
         self.ring_offset
     }
 
-    /// Counts the changes of the owners that were folded. Whoever looks at it only now and then
-    /// sees by it that it has missed a change.
+    /// Returns how many changes of the key owners have been folded. A caller that checks only from
+    /// time to time can tell from it that it has missed a change.
     pub fn ring_changes(&self) -> u64 {
         self.ring_changes
     }
 
-    /// Returns the state as the planner repeats it on the log.
+    /// Returns the state that the planner repeats on the log; `None` before the first term.
     pub fn state_to_repeat(&self) -> Option<CarriedMembership> {
         let mut entries: Vec<CarriedEntry> = self
             .entries
--- a/dragonflyrun/src/process/mod.rs
+++ b/dragonflyrun/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for one process: settings, the tables shared by its threads, start and stop.
+//! The state and threads of one process: settings, the tables that its threads share, startup and
+//! shutdown.
 
 mod agent;
 mod agent_jobs;
--- a/dragonflyrun/src/process/node.rs
+++ b/dragonflyrun/src/process/node.rs
@@ -1,4 +1,4 @@
-//! What the daemon asks of a role, whichever it is.
+//! The interface between the daemon and its role.
 
 use crate::{
     connection::{HttpRequest, HttpResponse, Message, Peer, Report},
@@ -6,46 +6,47 @@
     utils::Name,
 };
 
-/// One role of the daemon. The daemon calls it from several threads; calls about one peer come in
-/// the order in which the peer sent.
+/// One role of the daemon. The daemon calls it from several threads; calls that concern one peer
+/// come in the order in which the peer sent its messages.
 pub trait Node: Send + Sync {
-    /// A peer was linked.
+    /// Called when a peer is linked.
     fn on_link_up(&self, peer: &Peer);
 
-    /// The link to a peer ended.
+    /// Called when the link to a peer has ended.
     fn on_link_down(&self, peer: &Peer);
 
-    /// A peer sent a heartbeat, which the roster has taken.
+    /// Called for a heartbeat after the roster has processed it.
     fn on_heartbeat(&self, from: &Name);
 
-    /// A peer sent a message other than a heartbeat or records.
+    /// Called for a message other than a heartbeat or records.
     fn on_message(&self, from: &Name, message: Message);
 
-    /// A record of the log was folded.
+    /// Called when a record of the log has been folded.
     fn on_folded(&self, folded: &Folded);
 
-    /// A record of this process is not known to be on the log.
+    /// Called when a record of this process is not known to be on the log.
     fn on_append_failed(&self, id: &Name, error: &AppendError);
 
-    /// Some 100 ms have passed.
+    /// Called every 100 ms.
     fn tick(&self);
 
-    /// Returns what the heartbeat says; the daemon sends it where it has changed.
+    /// Returns the report for the heartbeat; the daemon sends it when it has changed.
     fn report(&self) -> Report;
 
-    /// Returns whether the balancer may send calls here, or why not.
+    /// Checks whether the load balancer may send requests to this process.
     ///
     /// # Errors
     ///
-    /// A short reason in plain words.
+    /// Returns a short reason in plain words.
     fn readiness(&self) -> Result<(), &'static str>;
 
-    /// Answers a call to the HTTP listener.
+    /// Answers a request to the HTTP listener.
     fn on_http(&self, req: HttpRequest) -> HttpResponse;
 
-    /// Says that the process is stopping, on the readiness page and in its report, and goes on.
+    /// Announces on the readiness page and in the report that the process is stopping, and
+    /// continues to work.
     fn leave(&self);
 
-    /// Takes no new work from now on, and returns when all that was under way is done.
+    /// Refuses new work and returns when all running work is done.
     fn drain(&self);
 }
--- a/dragonflyrun/src/process/roster.rs
+++ b/dragonflyrun/src/process/roster.rs
@@ -1,4 +1,4 @@
-//! The peers that a process has heard, with what they last reported.
+//! The peers that a process has linked to, with their last reports.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 /// Silence after which a peer gets no new work.
 pub const MAX_PEER_SILENCE: Duration = Duration::from_millis(2_000);
 
-/// What is known of one peer.
+/// The state of one peer.
 #[derive(Clone, Debug)]
 pub struct PeerState {
-    /// Who it is.
+    /// Its identity.
     pub peer: Peer,
-    /// When it was last heard.
+    /// When its last heartbeat was received, or when it was linked if there was none.
     pub heard: Timestamp,
-    /// A moment of this process's clock after which the peer was alive for certain, by the echo in
-    /// its heartbeats. Unlike `heard` it stays behind where heartbeats waited in a buffer while
-    /// this process was frozen, so leases and freshness are reckoned from it.
+    /// A time on this process's clock after which the peer was certainly alive, taken from the echo
+    /// in its heartbeats. Unlike `heard`, it does not advance for heartbeats that waited in a
+    /// buffer while this process was frozen, so leases and freshness are computed from it.
     pub confirmed: Option<Timestamp>,
-    /// Its clock in its last heartbeat.
+    /// The peer's clock in its last heartbeat, in milliseconds.
     pub sent_ms: u64,
-    /// What it knows of the log.
+    /// Its view of the log.
     pub log: LogView,
-    /// Its last report; none before the first.
+    /// Its last report; `None` before the first.
     pub report: Option<Report>,
-    /// Differs from what it was whenever the report may differ from what it was.
+    /// Changes whenever the report may have changed.
     pub report_number: u64,
     /// Whether it is linked now.
     pub linked: bool,
 }
 
-/// All peers that this process has heard since it started.
+/// The peers that this process has linked to since it started.
 #[derive(Debug, Default)]
 pub struct Roster {
     peers: HashMap<Name, PeerState>,
@@ -41,7 +41,7 @@
 }
 
 impl Roster {
-    /// Takes note of a new link.
+    /// Adds a peer whose link was opened.
     pub fn link_up(&mut self, now: Timestamp, peer: Peer) {
         let state = PeerState {
             peer: peer.clone(),
@@ -56,7 +56,7 @@
         self.peers.insert(peer.name.clone(), state);
     }
 
-    /// Takes note of the end of a link. The peer stays known, but gets no work.
+    /// Marks the link to a peer as ended. The peer stays in the roster, but gets no work.
     pub fn link_down(&mut self, peer: &Peer) {
         if let Some(state) = self.peers.get_mut(&peer.name)
             && state.peer.incarnation == peer.incarnation
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes note of a heartbeat.
+    /// Applies a heartbeat.
     pub fn on_heartbeat(&mut self, now: Timestamp, from: &Name, heartbeat: Heartbeat) {
         let Some(state) = self.peers.get_mut(from) else {
             return;
@@ -82,28 +82,28 @@
         }
     }
 
-    /// Forgets peers that have been silent for `silence`.
+    /// Removes unlinked peers that have been silent for at least `silence`.
     pub fn remove_silent(&mut self, now: Timestamp, silence: Duration) {
         self.peers
             .retain(|_, p| p.linked || now.since(p.heard) < silence);
     }
 
-    /// Returns what is known of `name`.
+    /// Returns the state of the peer `name`.
     pub fn peer(&self, name: &Name) -> Option<&PeerState> {
         self.peers.get(name)
     }
 
-    /// Returns whether `name` may get work now.
+    /// Returns whether the peer `name` may get work now.
     pub fn is_live(&self, now: Timestamp, name: &Name) -> bool {
         self.peers.get(name).is_some_and(|p| p.is_live(now))
     }
 
-    /// Returns all peers of `role`, silent ones among them.
+    /// Returns all peers of `role`, including silent ones.
     pub fn of_role(&self, role: Role) -> impl Iterator<Item = &PeerState> {
         self.peers.values().filter(move |p| p.peer.role == role)
     }
 
-    /// Returns the peers of `role` that may get work now: linked, not silent, not leaving.
+    /// Returns the peers of `role` that may get work now: linked, not silent and not leaving.
     pub fn live(&self, now: Timestamp, role: Role) -> impl Iterator<Item = &PeerState> {
         self.peers
             .values()
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Returns all peers, in order of their names.
+    /// Returns all peers, sorted by name.
     pub fn all(&self) -> Vec<&PeerState> {
         let mut peers: Vec<&PeerState> = self.peers.values().collect();
         peers.sort_by(|a, b| a.peer.name.cmp(&b.peer.name));
@@ -127,7 +127,8 @@
 }
 
 impl PeerState {
-    /// Returns whether the peer may get work: a frozen one keeps its link and is only silent.
+    /// Returns whether the peer may get work. A frozen peer keeps its link and is only recognized
+    /// by its silence.
     pub fn is_live(&self, now: Timestamp) -> bool {
         self.linked && now.since(self.heard) <= MAX_PEER_SILENCE && !self.is_leaving()
     }
@@ -135,13 +136,14 @@
     fn apply_report(&mut self, report: Report) {
         match (report, &mut self.report) {
             (Report::Backends(backends), Some(Report::Agent(known))) => known.backends = backends,
-            // A part without the whole before it says too little; a link carries the whole first.
+            // A partial report is useless without a full one before it; each link starts with a
+            // full one.
             (Report::Backends(_), _) => {}
             (full, known) => *known = Some(full),
         }
     }
 
-    /// Returns whether the peer has said that it is stopping.
+    /// Returns whether the peer has announced that it is stopping.
     pub fn is_leaving(&self) -> bool {
         match &self.report {
             Some(Report::Agent(report)) => report.leaving,
--- a/dragonflyrun/src/process/routes.rs
+++ b/dragonflyrun/src/process/routes.rs
@@ -1,4 +1,4 @@
-//! The pages that every process serves, whatever its role.
+//! The HTTP pages that every process serves, whatever its role.
 
 use hyper::{Method, StatusCode, header::CONTENT_TYPE};
 
@@ -7,10 +7,10 @@
     process::{Context, Node},
 };
 
-/// The Prometheus text format.
+/// The content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers a call to the HTTP listener.
+/// Answers a request to the HTTP listener.
 pub(crate) fn answer(cx: &Context, node: &dyn Node, req: HttpRequest) -> HttpResponse {
     match (&req.method, req.path.as_str()) {
         (&Method::GET, "/health") => HttpResponse::text(StatusCode::OK, "ok\n"),
--- a/dragonflyrun/src/process/run_pool.rs
+++ b/dragonflyrun/src/process/run_pool.rs
@@ -1,4 +1,4 @@
-//! Threads that wait for backend servers.
+//! Threads that wait for the answers of backend servers.
 
 use std::{
     io,
@@ -13,10 +13,12 @@
 
 type Task = Box<dyn FnOnce() + Send>;
 
-/// Threads that run one task each, as many as there have ever been tasks at once.
+/// A pool of threads that run one task each. It grows to the largest number of concurrent tasks so
+/// far.
 ///
-/// What bounds them are the slots that backend servers announce: a request that holds a slot must
-/// not wait for a thread behind another one, or it would start long after it was promised to.
+/// The pool has no limit of its own; the slots that backend servers announce bound it. A request
+/// that holds a slot must not queue for a thread behind another one, or it would start long after
+/// its slot was granted.
 pub(super) struct RunPool {
     tx: Sender<Task>,
     rx: Receiver<Task>,
@@ -35,11 +37,11 @@
         }
     }
 
-    /// Runs `task` at once on a thread of its own.
+    /// Runs `task` at once on a free thread or a new one.
     ///
     /// # Errors
     ///
-    /// Where the system gives no thread; the task will not run.
+    /// Returns an error if a thread can't be spawned; the task does not run then.
     pub(super) fn run(&self, task: impl FnOnce() + Send + 'static) -> io::Result<()> {
         let running = self.tasks.fetch_add(1, Ordering::SeqCst) + 1;
         if running > self.threads.load(Ordering::SeqCst)
@@ -55,7 +57,7 @@
         };
         self.tx
             .send(Box::new(task))
-            .map_err(|_| io::Error::other("no thread is left"))
+            .map_err(|_| io::Error::other("all threads of the pool have ended"))
     }
 
     fn grow(&self) -> io::Result<()> {
--- a/dragonflyrun/src/process/settings.rs
+++ b/dragonflyrun/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings after all checks.
+//! The daemon's settings after validation.
 
 use std::{
     fmt,
@@ -13,7 +13,7 @@
     version::Finding, //
 };
 
-/// Characters of the secret, at the least.
+/// Minimum length of the secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 
 const DEFAULT_CONNECTIONS: u32 = 256;
@@ -23,58 +23,58 @@
 const DEFAULT_THREADS: u32 = 4;
 const MAX_THREADS: u32 = 64;
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this process.
     pub name: Name,
-    /// What only one role has.
+    /// The settings of one role.
     pub role: RoleSettings,
-    /// The HTTP listener.
+    /// The address of the HTTP listener.
     pub http: SocketAddr,
-    /// The platform's log service.
+    /// The address of the platform's log service.
     pub log: SocketAddr,
-    /// The secret that all processes of one deployment share.
+    /// The secret shared by all processes of one deployment.
     pub secret: Name,
-    /// Entries to link to before the log has been read.
+    /// The entries to link to before the log has been read.
     pub entries: Vec<SocketAddr>,
-    /// HTTP connections at once, at the most.
+    /// Maximum number of concurrent HTTP connections.
     pub connections: usize,
-    /// How long a sender or a reader of HTTP may pause.
+    /// How long an HTTP client may pause while it sends a request or reads an answer.
     pub http_timeout: Duration,
-    /// How long the log has for an answer.
+    /// Timeout of a call to the log.
     pub log_timeout: Duration,
-    /// How long a stopping process says so and still takes work.
+    /// How long a stopping process announces that it is leaving while it still accepts work.
     pub quiet: Duration,
-    /// Threads of the worker pool.
+    /// Number of threads in the worker pool.
     pub threads: usize,
 }
 
-/// What only one role has.
+/// The settings of one role.
 #[derive(Clone, Debug)]
 pub enum RoleSettings {
-    /// An entry.
+    /// The settings of an entry.
     Entry {
-        /// The listener for peer links.
+        /// The address of the listener for peer links.
         peers: SocketAddr,
-        /// Under which address others reach it; none for the bound one.
+        /// The address at which other processes reach it; `None` for the bound address.
         advertise: Option<SocketAddr>,
     },
-    /// An agent.
+    /// The settings of an agent.
     Agent {
         /// Its failure domain.
         failure_domain: Name,
         /// Its rack.
         rack: Name,
-        /// The worker beside it.
+        /// The address of the worker on its host, if there is one.
         worker: Option<SocketAddr>,
     },
 }
 
-/// All that is wrong with the settings.
+/// The errors found in the settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
-    /// The findings, each with its place.
+    /// The findings, each with its location.
     pub findings: Vec<Finding>,
 }
 
@@ -91,11 +91,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks `cfg`.
+    /// Validates `cfg`.
     ///
     /// # Errors
     ///
-    /// All findings at once, so that an operator mends them in one go.
+    /// Returns all findings at once, so that an operator can correct them together.
     pub fn check(cfg: Config) -> Result<Self, SettingsError> {
         let mut findings = Findings::default();
         let name = findings.required("/name", cfg.name.filter(|n| !n.is_empty()));
@@ -194,7 +194,7 @@
         let text = text?;
         let address = text.parse().ok();
         if address.is_none() {
-            self.add(place, "It is not an IP number and a port.");
+            self.add(place, "It is not an IP address and a port.");
         }
         address
     }
--- a/dragonflyrun/src/process/signal.rs
+++ b/dragonflyrun/src/process/signal.rs
@@ -4,11 +4,11 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Returns when the process is asked to stop by SIGTERM or SIGINT.
+/// Blocks until the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Where the system lets no handler be set.
+/// Returns an error if a signal handler can't be installed.
 pub fn wait_for_signal() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/dragonflyrun/src/process/status.rs
+++ b/dragonflyrun/src/process/status.rs
@@ -1,8 +1,8 @@
-//! What an entry answers to operators and callers: its view of the system, and of jobs.
+//! An entry's answers to operators and callers: its view of the system and of jobs.
 //!
 //! These are the types of `GET /v1/status` and of the paths under `/v1/jobs`, shared by the entry
-//! that writes them and the command-line tool that reads them. A reader skips fields that it does
-//! not know, so that an older tool can ask a newer entry.
+//! that writes them and the command-line tool that reads them. Readers ignore unknown fields, so
+//! that an older tool can query a newer entry.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,139 +13,140 @@
     version::Urgency, //
 };
 
-/// Header of the paths under `/v1/jobs`: the editor on whose behalf the call is made.
+/// Header of the paths under `/v1/jobs` that names the editor on whose behalf the request is made.
 pub const EDITOR_HEADER: &str = "dragonfly-editor";
 
-/// Header of the paths under `/v1/jobs`: the editor's key in hexadecimal, as
-/// [`AuthorKey::to_hex`](crate::connection::AuthorKey::to_hex) prints it.
+/// Header of the paths under `/v1/jobs` that carries the editor's key in hexadecimal, as printed by
+/// [`AuthorKey::to_hex`](crate::connection::AuthorKey::to_hex).
 pub const TOKEN_HEADER: &str = "dragonfly-token";
 
-/// The answer to `GET /v1/status`: the system as one entry sees it.
+/// The answer to `GET /v1/status`: the state of the system as one entry sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StatusAnswer {
-    /// The name of the entry that answers.
+    /// The name of the answering entry.
     pub name: Name,
     /// Its role.
     pub role: Role,
-    /// The version of the configuration that it has in force.
+    /// The version of the configuration in force at the entry.
     pub version: u64,
-    /// The offset of the next record that it will fold.
+    /// The offset of the next record that the entry will fold.
     pub next_offset: u64,
-    /// Whether it knows the latest state of the log; see [`Freshness`](crate::process::Freshness).
+    /// Whether the entry knows the latest state of the log; see
+    /// [`Freshness`](crate::process::Freshness).
     pub fresh: bool,
-    /// The planner of the current term; none before the first term.
+    /// The planner of the current term; `None` before the first term.
     pub planner: Option<Name>,
     /// The current term.
     pub term: u64,
-    /// The other processes that it has heard, in order of their names.
+    /// The peers of the entry, sorted by name.
     pub peers: Vec<PeerStatus>,
-    /// The failure domains of the document, in order of their names.
+    /// The failure domains of the document, sorted by name.
     #[serde(default)]
     pub failure_domains: Vec<DomainStatus>,
-    /// The services of the document, in order of their names.
+    /// The services of the document, sorted by name.
     pub services: Vec<ServiceStatus>,
-    /// The workspaces of the document, in order of their names.
+    /// The workspaces of the document, sorted by name.
     pub workspaces: Vec<WorkspaceStatus>,
 }
 
-/// Another process, as the entry that answers last heard it.
+/// A peer as the answering entry last heard from it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerStatus {
     /// Its name.
     pub name: Name,
     /// Its role.
     pub role: Role,
-    /// The version of the configuration that it had in force when it was last heard.
+    /// The version of the configuration in force at the peer in its last heartbeat.
     pub version: u64,
-    /// Whether it is linked, was heard lately and is not leaving.
+    /// Whether it is linked, has sent a heartbeat recently and is not leaving.
     pub live: bool,
-    /// Where it stands; none for an entry, and for an agent that has not reported yet.
+    /// Its failure domain; `None` for an entry and for an agent that has not reported yet.
     pub failure_domain: Option<Name>,
-    /// Whether it has said that it is stopping.
+    /// Whether it has announced that it is stopping.
     pub leaving: bool,
 }
 
-/// A failure domain with what the entry that answers hears of its hardware.
+/// A failure domain with the hardware that its agents report to the answering entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DomainStatus {
     /// The failure domain.
     pub failure_domain: Name,
     /// Whether tasks and requests may start in it.
     pub in_service: bool,
-    /// Live agents in it.
+    /// Number of live agents in it.
     pub agents: u32,
-    /// Accelerators of the workers beside them.
+    /// Number of accelerators of the workers of these agents.
     pub accelerators: u32,
 }
 
-/// A service as the entry that answers sees it.
+/// A service as the answering entry sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceStatus {
     /// The service.
     pub service: Name,
-    /// Requests that wait at this entry.
+    /// Number of requests queued at this entry.
     pub queued: u32,
-    /// Free slots of all backend servers that this entry may send to.
+    /// Number of free slots of all backend servers that this entry may send to.
     pub free_slots: u32,
-    /// All slots of those backend servers.
+    /// Number of all slots of these backend servers.
     pub slots: u32,
 }
 
-/// A workspace as the entry that answers sees it.
+/// A workspace as the answering entry sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkspaceStatus {
     /// The workspace.
     pub workspace: Name,
-    /// Accelerators of its running gangs.
+    /// Number of accelerators held by its running gangs.
     pub running_accelerators: u32,
-    /// Its jobs that wait.
+    /// Number of its waiting jobs.
     pub waiting_jobs: u32,
-    /// Accelerators of all its guarantees together.
+    /// Number of accelerators in all its guarantees.
     pub guaranteed_accelerators: u32,
 }
 
 /// The answer to `GET /v1/jobs`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobsAnswer {
-    /// The live jobs in the order of their acceptance.
+    /// The live jobs in the order in which they were accepted.
     pub jobs: Vec<JobStatus>,
 }
 
-/// A job; the answer to `GET /v1/jobs/{job}`.
+/// The state of a job; the answer to `GET /v1/jobs/{job}`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobStatus {
     /// The job.
     pub job: JobId,
-    /// Where it is in its life.
+    /// The state of the job.
     pub state: JobState,
-    /// The last attempt; 0 before the first.
+    /// The number of the last attempt; 0 before the first.
     pub attempt: u32,
-    /// Where that attempt runs; empty while the job waits and after its end.
+    /// The placements of that attempt; empty while the job waits and after its end.
     #[serde(default)]
     pub placements: Vec<Placement>,
-    /// The workspace on whose behalf it runs; none where only the end is still remembered.
+    /// The workspace on whose behalf it runs; `None` if only its end is still remembered.
     #[serde(default)]
     pub workspace: Option<Name>,
-    /// How soon it is needed; none where only the end is still remembered.
+    /// Its urgency; `None` if only its end is still remembered.
     #[serde(default)]
     pub urgency: Option<Urgency>,
 }
 
-/// Where a job is in its life.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// It was accepted and waits for its accelerators.
+    /// It is accepted and waits for accelerators.
     Waiting,
     /// An attempt is placed.
     Running,
-    /// All tasks ended well.
+    /// All its tasks completed successfully.
     Finished,
-    /// It failed as often as it may.
+    /// It failed, and no attempts are left.
     Failed,
     /// It was cancelled.
     Cancelled,
-    /// Its shape can no longer be had.
+    /// No known set of workers can run it any more.
     Impossible,
 }
 
@@ -169,16 +170,16 @@
         /// The job.
         job: JobId,
     },
-    /// It is not on the log and will not be. Sent with 400, 403, 404, 422 or 503.
+    /// It is not on the log and never will be. Sent with status 400, 403, 404, 422 or 503.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: JobRefusal,
-        /// Milliseconds after which another attempt is worth while; none where it never is.
+        /// Milliseconds after which the call may be repeated; `None` if a repeat can't succeed.
         #[serde(default)]
         retry_after_ms: Option<u64>,
     },
-    /// The log's answer was lost, so the job may be accepted. Sent with 502. Submitting the same
-    /// job id again does no harm, since an id is accepted once only.
+    /// The answer of the log was lost, so the job may or may not be accepted. Sent with status 502.
+    /// The job can safely be submitted again with the same id, since an id is accepted only once.
     Unknown {
         /// The job.
         job: JobId,
@@ -186,7 +187,7 @@
 }
 
 impl JobRefusal {
-    /// Returns the reason without its details, for counters.
+    /// Returns the reason without its details, as a metric label.
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Malformed(_) => "malformed",
@@ -206,19 +207,19 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobRefusal {
-    /// The call breaks a rule of the interface; the text says which.
+    /// The request violates a rule of the interface; the text says which.
     Malformed(String),
-    /// The token does not fit the editor.
+    /// The token does not match the editor.
     Forbidden,
     /// The workspace is not in the document.
     UnknownWorkspace,
-    /// The job is not known.
+    /// The job is unknown.
     UnknownJob,
-    /// The job's shape can never be had.
+    /// No set of workers can ever run the job.
     Impossible(ImpossibleReason),
-    /// As many jobs wait or run as may.
+    /// The limit of live jobs is reached.
     TooManyJobs,
-    /// The log does not take records now.
+    /// The log does not accept records at the moment.
     LogUnavailable,
     /// The entry does not know the latest state of the log.
     NotFresh,
--- a/dragonflyrun/src/utils/collections.rs
+++ b/dragonflyrun/src/utils/collections.rs
@@ -1,12 +1,12 @@
 //! Hash maps with a fast hasher.
 //!
-//! The keys are names and numbers that have passed admission, so a hasher that resists chosen
-//! keys is not needed; see `docs/DESIGN.md`.
+//! All keys are names and numbers that have passed admission, so a hasher that resists chosen keys
+//! is not needed; see `docs/DESIGN.md`.
 
-/// The hash map used everywhere in the project.
+/// The hash map type of the whole project.
 pub type HashMap<K, V> = rustc_hash::FxHashMap<K, V>;
 
-/// The hash set used everywhere in the project.
+/// The hash set type of the whole project.
 pub type HashSet<K> = rustc_hash::FxHashSet<K>;
 
 /// Returns a hash of `name` that is the same in every process of one release.
--- a/dragonflyrun/src/utils/mod.rs
+++ b/dragonflyrun/src/utils/mod.rs
@@ -1,4 +1,4 @@
-//! Small free helpers and the types that every module shares.
+//! Small helpers and the types that every module uses.
 
 mod collections;
 mod lock;
--- a/dragonflyrun/src/utils/timestamp.rs
+++ b/dragonflyrun/src/utils/timestamp.rs
@@ -1,4 +1,4 @@
-//! A point in time that decision tables can be given from outside.
+//! Points in time that are passed to the decision tables.
 
 use std::{
     ops::Add,
@@ -9,8 +9,8 @@
 
 /// Milliseconds on the monotonic clock of one process.
 ///
-/// Decision tables take it as an argument, so that tests and benchmarks can run them on a clock
-/// of their own. Two processes never compare their timestamps.
+/// Decision tables take it as an argument, so that tests and benchmarks can run them on a simulated
+/// clock. Timestamps of two processes are never compared.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -28,7 +28,7 @@
         self.0
     }
 
-    /// Returns the time from `earlier` to `self`, or zero where `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
