--- a/dragonflyrun/benches/capacity.rs
+++ b/dragonflyrun/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! Measures the slopes that `docs/CAPACITY.md` reckons with: bytes, time and memory of heartbeats,
-//! records and the tables that grow with workers and jobs.
+//! Measures the rates that `docs/CAPACITY.md` calculates with: bytes, time and memory of
+//! heartbeats, records and the tables that grow with workers and jobs.
 //!
-//! Run with `cargo bench --bench capacity`. Times are the least of several runs, since anything
-//! else on the machine can only add to them; memory is what the process's resident set grew by.
+//! Run with `cargo bench --bench capacity`. Each time is the minimum of several runs, since other
+//! load on the machine can only increase it. Memory is the growth of the process's resident set.
 
 use std::{
     fs,
@@ -39,7 +39,7 @@
 const RUNS: u32 = 5;
 const PAGE_BYTES: u64 = 4_096;
 
-/// Members on one worker at the size of two years on: 160,000 tasks on 5,500 workers.
+/// Members on one worker at the size expected in two years: 160,000 tasks on 5,500 workers.
 const MEMBERS_PER_WORKER: u32 = 29;
 
 fn main() {
@@ -58,7 +58,7 @@
     println!("{what:<44} {size:>10} {time:>14} {bytes:>12}");
 }
 
-/// Returns the time of one call, as the least mean of several runs of `calls` calls.
+/// Returns the time of one call: the lowest mean of several runs of `calls` calls each.
 fn min_mean_time(calls: u32, mut call: impl FnMut(u32)) -> Duration {
     let run = |call: &mut dyn FnMut(u32)| {
         let start = Instant::now();
--- a/dragonflyrun/benches/config_fold.rs
+++ b/dragonflyrun/benches/config_fold.rs
@@ -1,6 +1,7 @@
-//! Measures the fold of edits at the size of two years on: 160 teams' sections, a day's 12,000
-//! edits; first the fold alone, then with the opening of the sealed records, as when a process
-//! starts. Run with `cargo bench -p dragonflyrun --bench config_fold`.
+//! Measures the folding of edits at the size expected in two years: the sections of 160 teams and
+//! the 12,000 edits of one day. First it measures the folding alone, then together with opening the
+//! sealed records, as when a process starts. Run with `cargo bench -p dragonflyrun --bench
+//! config_fold`.
 
 use std::time::Instant;
 
--- a/dragonflyrun/src/job/timing.rs
+++ b/dragonflyrun/src/job/timing.rs
@@ -50,8 +50,8 @@
 /// Upper bound of the time from an edit that takes a failure domain out of service to the last
 /// start of a task in it.
 ///
-/// The agent's view of the log is at most [`MAX_HEAD_AGE`] old when it decides to start, and the worker
-/// lease lapses [`WORKER_TTL`] after its last renewal, which precedes that decision.
+/// The agent's view of the log is at most [`MAX_HEAD_AGE`] old when it decides to start, and the
+/// worker lease lapses [`WORKER_TTL`] after its last renewal, which precedes that decision.
 pub const START_BOUND: Duration = MAX_HEAD_AGE.saturating_add(WORKER_TTL);
 
 /// Time after which a member that no entry renews any more has stopped for certain.
--- a/dragonflyrun/src/lib.rs
+++ b/dragonflyrun/src/lib.rs
@@ -1,5 +1,5 @@
 //! The library of dragonflyrun, a scheduler that places multi-accelerator jobs for workspaces that
-//! hold guarantees and routes callers' requests to backend servers protected from overload.
+//! hold guarantees and routes callers' requests to guarded backend servers.
 //!
 //! Modules are grouped by the lifetime of what they contain; `docs/DESIGN.md` explains the choice.
 
--- a/dragonflyrun/src/process/context.rs
+++ b/dragonflyrun/src/process/context.rs
@@ -106,9 +106,9 @@
     let peer = roster.peer(&entry);
     EntryView {
         // Heartbeats that waited in a buffer while this process was frozen say nothing about the
-        // present, so `heard` is not enough.
-        heard: peer.and_then(|p| p.confirmed),
-        gone: peer.is_some_and(|p| p.is_leaving() && !p.linked),
+        // present, so `heard_at` is not enough.
+        alive_at: peer.and_then(|p| p.alive_at),
+        has_left: peer.is_some_and(|p| p.is_leaving() && !p.linked),
         log: peer.map(|p| p.log).unwrap_or_default(),
         entry,
     }
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -217,12 +217,12 @@
         match message {
             Message::Heartbeat(heartbeat) => {
                 let view = heartbeat.log;
-                let confirmed = {
+                let alive_at = {
                     let mut roster = lock(&self.cx.roster);
                     roster.on_heartbeat(self.cx.now(), from, *heartbeat);
-                    roster.peer(from).and_then(|p| p.confirmed)
+                    roster.peer(from).and_then(|p| p.alive_at)
                 };
-                reader.on_view(from, &view, confirmed);
+                reader.on_view(from, &view, alive_at);
                 self.node.on_heartbeat(from);
             }
             Message::Records(records) => reader.on_records(from, &records),
--- a/dragonflyrun/src/process/freshness.rs
+++ b/dragonflyrun/src/process/freshness.rs
@@ -34,10 +34,10 @@
     /// The name of the entry.
     pub entry: Name,
     /// A time after which it was certainly alive; `None` if it was never heard.
-    pub heard: Option<Timestamp>,
+    pub alive_at: Option<Timestamp>,
     /// Whether it has announced that it is leaving and its link has ended, so that it takes no
     /// further part.
-    pub gone: bool,
+    pub has_left: bool,
     /// Its view of the log.
     pub log: LogView,
 }
@@ -100,15 +100,17 @@
         if self.reachable || self.append_uncertain_since.is_some() || self.head_seen.is_none() {
             return false;
         }
-        let mut others = entries.iter().filter(|e| !e.gone).peekable();
+        let mut others = entries.iter().filter(|e| !e.has_left).peekable();
         others.peek().is_some() && others.all(|e| e.reports_log_down(now, next_offset))
     }
 }
 
 impl EntryView {
     fn reports_log_down(&self, now: Timestamp, next_offset: u64) -> bool {
-        let heard = self.heard.is_some_and(|at| now.since(at) <= MAX_HEAD_AGE);
+        let recent = self
+            .alive_at
+            .is_some_and(|at| now.since(at) <= MAX_HEAD_AGE);
         let down = !self.log.reachable && !self.log.append_pending;
-        heard && down && self.log.next_offset <= next_offset
+        recent && down && self.log.next_offset <= next_offset
     }
 }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -66,7 +66,7 @@
             .fold(next_offset, u64::min);
         let silent = roster
             .of_role(Role::Agent)
-            .filter(|p| now.since(p.heard) > MAX_PEER_SILENCE)
+            .filter(|p| now.since(p.heard_at) > MAX_PEER_SILENCE)
             .map(|p| p.peer.name.clone())
             .collect();
         Self {
@@ -139,7 +139,7 @@
         let mut messages = self.apply_report(now, agent, peer);
         let renewal = self
             .renewals
-            .on_heartbeat(now, agent, peer.confirmed, peer.sent_ms);
+            .on_heartbeat(now, agent, peer.alive_at, peer.sent_ms);
         let may_renew = self
             .fresh_at
             .is_some_and(|at| now.since(at) <= RENEWAL_WITHOUT_LOG);
--- a/dragonflyrun/src/process/roster.rs
+++ b/dragonflyrun/src/process/roster.rs
@@ -16,11 +16,11 @@
     /// Its identity.
     pub peer: Peer,
     /// When its last heartbeat was received, or when it was linked if there was none.
-    pub heard: Timestamp,
+    pub heard_at: Timestamp,
     /// A time on this process's clock after which the peer was certainly alive, taken from the echo
-    /// in its heartbeats. Unlike `heard`, it does not advance for heartbeats that waited in a
+    /// in its heartbeats. Unlike `heard_at`, it does not advance for heartbeats that waited in a
     /// buffer while this process was frozen, so leases and freshness are computed from it.
-    pub confirmed: Option<Timestamp>,
+    pub alive_at: Option<Timestamp>,
     /// The peer's clock in its last heartbeat, in milliseconds.
     pub sent_ms: u64,
     /// Its view of the log.
@@ -45,8 +45,8 @@
     pub fn link_up(&mut self, now: Timestamp, peer: Peer) {
         let state = PeerState {
             peer: peer.clone(),
-            heard: now,
-            confirmed: None,
+            heard_at: now,
+            alive_at: None,
             sent_ms: 0,
             log: LogView::default(),
             report: None,
@@ -70,9 +70,9 @@
         let Some(state) = self.peers.get_mut(from) else {
             return;
         };
-        state.heard = now;
+        state.heard_at = now;
         let echo = heartbeat.echo_ms.map(Timestamp::from_millis);
-        state.confirmed = state.confirmed.max(echo.filter(|at| *at <= now));
+        state.alive_at = state.alive_at.max(echo.filter(|at| *at <= now));
         state.sent_ms = heartbeat.sent_ms;
         state.log = heartbeat.log;
         if let Some(report) = heartbeat.report {
@@ -85,7 +85,7 @@
     /// Removes unlinked peers that have been silent for at least `silence`.
     pub fn remove_silent(&mut self, now: Timestamp, silence: Duration) {
         self.peers
-            .retain(|_, p| p.linked || now.since(p.heard) < silence);
+            .retain(|_, p| p.linked || now.since(p.heard_at) < silence);
     }
 
     /// Returns the state of the peer `name`.
@@ -130,7 +130,7 @@
     /// Returns whether the peer may get work. A frozen peer keeps its link and is only recognized
     /// by its silence.
     pub fn is_live(&self, now: Timestamp) -> bool {
-        self.linked && now.since(self.heard) <= MAX_PEER_SILENCE && !self.is_leaving()
+        self.linked && now.since(self.heard_at) <= MAX_PEER_SILENCE && !self.is_leaving()
     }
 
     fn apply_report(&mut self, report: Report) {
--- a/dragonflyrun/src/request/load/view.rs
+++ b/dragonflyrun/src/request/load/view.rs
@@ -50,7 +50,7 @@
             name: peer.peer.name.clone(),
             incarnation: peer.peer.incarnation,
             sent_ms: peer.sent_ms,
-            heard: peer.heard,
+            heard: peer.heard_at,
             usable: staying && in_service,
             out_of_service: staying && !in_service,
             services: services(report),
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -1,5 +1,5 @@
-//! An accepted configuration is in force everywhere and never reverts, whatever a process has seen
-//! of the log and in which pieces.
+//! An accepted configuration is in force in every process and never reverts, whichever parts of the
+//! log a process has read and in which pieces.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -25,7 +25,8 @@
 const SECRET: &str = "a secret of the deployment";
 const PLANNER: &str = "entry-1";
 
-/// The log, the planner that carries its state forward, and a process that has folded all of it.
+/// The log, the planner that repeats its state on it, and a reference process that has folded all
+/// of it.
 struct World {
     records: Vec<String>,
     first: u64,
@@ -62,7 +63,7 @@
         self.records.len() as u64
     }
 
-    /// Puts `record` on the log and folds it in the reference process.
+    /// Appends `record` to the log and folds it in the reference process.
     fn append(&mut self, record: String) -> Option<Verdict> {
         let offset = self.head();
         self.records.push(record);
@@ -109,7 +110,7 @@
         self.write(&key, &RecordBody::Carried(state));
     }
 
-    /// Returns a process that reads the log from its first kept record on.
+    /// Returns a process that reads the log from the first record that is still kept.
     fn late_reader(&self) -> Ledger {
         let mut ledger = Ledger::default();
         self.fold_to_head(&mut ledger);
@@ -149,8 +150,8 @@
     Some(json!({ "owners": owners }))
 }
 
-/// A deployment whose log has dropped its first records, the edit that made `root` administrator
-/// among them.
+/// A deployment whose log has dropped its first records, including the edit that made `root`
+/// administrator.
 fn with_dropped_start() -> World {
     let mut world = World::new();
     let accepted = world.edit("root", "administration", 0, administration(&["root"]));
@@ -159,9 +160,9 @@
     world
 }
 
-/// A process starts after the log has dropped the first edit. Somebody tries to make the first
-/// edit again. All processes that know the configuration refuse it; if the late one took it, it
-/// would obey an administrator that nobody else knows.
+/// A process starts after the log has dropped the first edit, and someone submits a first edit
+/// again. All processes that know the configuration refuse it. If the late process accepted it, it
+/// would obey an administrator that no other process knows.
 #[test]
 fn late_start() {
     let mut world = with_dropped_start();
@@ -175,8 +176,9 @@
     world.assert_agrees(&late_reader);
 }
 
-/// The planner takes its state, and before it has written it to the log an edit arrives there. A
-/// process that starts from the carried state must not miss the edit that stands before it.
+/// An edit arrives on the log after the planner has read its state and before it has appended it. A
+/// process that starts from the repeated state must not miss the edit that comes before it on the
+/// log.
 #[test]
 fn edit_before_repeat() {
     let mut world = with_dropped_start();
@@ -187,9 +189,9 @@
     world.assert_agrees(&world.late_reader());
 }
 
-/// The log drops an edit that stands between the planner's taking of its state and the carried
-/// record. A process that starts at the carried record can't know of the edit, so it must wait for
-/// the next carried state and not take an old configuration for the current one.
+/// The log drops an edit that arrived between the planner's reading of its state and the repeated
+/// record. A process that starts at the repeated record can't know of the edit, so it must wait for
+/// the next repeat and not take an old configuration for the current one.
 #[test]
 fn dropped_edit_before_repeat() {
     let mut world = with_dropped_start();
@@ -204,8 +206,8 @@
     world.assert_agrees(&late_reader);
 }
 
-/// A process is frozen for longer than the log keeps its records, and a failure domain is taken
-/// out meanwhile. When it goes on, it must know that it has missed something.
+/// A process is frozen for longer than the log keeps records, and meanwhile a failure domain is
+/// taken out of service. When the process resumes, it must recognize that records are missing.
 #[test]
 fn frozen_process() {
     let mut world = World::new();
@@ -227,8 +229,9 @@
     assert!(!frozen.history.current().in_service(&"murau".into()));
 }
 
-/// The same, but what the log still keeps shows no trace of a planner. The process must not take
-/// what it knew for the current state, and would start tasks in a failure domain that is out.
+/// As above, but the records that the log still keeps contain nothing from a planner. The process
+/// must not take its old state for current, or it would start tasks in a failure domain that is out
+/// of service.
 #[test]
 fn frozen_without_planner() {
     let mut world = World::new();
@@ -251,9 +254,10 @@
     world.assert_agrees(&frozen);
 }
 
-/// After a long outage the log has dropped all that a planner wrote. A process that starts then
-/// finds no trace of the deployment and presumes that it is new. It is mistaken, and somebody makes
-/// a "first" edit that all others refuse. It has to come round when the configuration is repeated.
+/// After a long outage the log has dropped everything that a planner wrote. A process that starts
+/// then finds no trace of the deployment and wrongly presumes that it is new, and someone makes a
+/// "first" edit that all other processes refuse. The process has to correct itself when the
+/// configuration is repeated.
 #[test]
 fn wrongly_presumed_new() {
     let mut world = with_dropped_start();
@@ -272,7 +276,7 @@
 }
 
 /// A log that was used for something else before has dropped its first records, and all processes
-/// of a new deployment begin on it. They have to agree from the first edit on.
+/// of a new deployment start on it. They have to agree from the first edit on.
 #[test]
 fn used_log() {
     let mut world = World::new();
@@ -293,10 +297,10 @@
     assert!(!world.reference.history.is_presumed());
 }
 
-/// An answer to an append is lost and the edit is sent a second time with the same id. The first
-/// copy is refused, as its workspace is another team's. Then that team gives the name up, and the
-/// second copy arrives, which would be valid now. Its editor has been told that it was refused. A
-/// process that starts between the two copies must drop the second as well.
+/// An append gets no answer and the edit is sent a second time with the same id. The first copy is
+/// refused because its workspace belongs to another team. That team then gives up the name, and the
+/// second copy arrives, which would now be valid although its editor has been told that it was
+/// refused. A process that starts between the two copies must drop the second one as well.
 #[test]
 fn second_copy() {
     let mut world = World::new();
@@ -319,8 +323,8 @@
     world.assert_agrees(&world.late_reader());
 }
 
-/// An editor holds a key of its own, and uses it to write what only a planner may write: a whole
-/// configuration. No process may take it, however it has come by its state.
+/// An editor uses its own key to write what only a planner may write: a complete configuration. No
+/// process may accept it, however the process obtained its state.
 #[test]
 fn forged_repeat() {
     let mut world = with_dropped_start();
@@ -339,9 +343,9 @@
     world.assert_agrees(&world.late_reader());
 }
 
-/// Programs of two releases run side by side, and an editor uses a key that only the newer one
-/// knows. Had the older one no verdict on it, it would call all later edits of the section stale
-/// and stay behind for ever without notice. Under the format in force both reject it.
+/// Two releases run side by side, and an editor uses a key that only the newer one knows. If the
+/// older release had no verdict on it, it would call all later edits of the section stale and
+/// silently stay behind forever. Under the format in force both releases reject the edit.
 #[test]
 fn newer_key() {
     let mut world = World::new();
@@ -353,8 +357,8 @@
     assert_eq!(plain, Some(Verdict::Accepted));
 }
 
-/// The administrators raise the format, and a program of an older release is still running. It
-/// can't judge what follows, so it has to stop rather than act on the last version it understood.
+/// The administrators raise the format while a process of an older release is running. It can't
+/// judge later edits, so it has to stop instead of acting on the last version that it understood.
 #[test]
 fn newer_format() {
     let mut world = World::new();
@@ -377,7 +381,8 @@
 const EDITORS: [&str; 4] = ["root", "alice", "bob", "mallory"];
 const SECTIONS: [&str; 4] = ["administration", "north", "south", "east"];
 
-/// Contents that are valid, or break a check, alone or beside another section.
+/// Returns a content that is valid, or that breaks a check on its own or together with another
+/// section.
 fn content(u: &mut Unstructured<'_>) -> Result<Option<Value>> {
     let owner = *u.choose(&EDITORS)?;
     let name = *u.choose(&["mill", "yard", "fair"])?;
@@ -400,8 +405,8 @@
     })
 }
 
-/// One thing that happens to the log: an edit from an old or the current version, a second copy, a
-/// state carried late or at once, dropped records, or a stranger's bytes.
+/// Applies one random event to the log: an edit based on an old or the current version, a second
+/// copy, a state repeated late or at once, dropped records, or bytes of a stranger.
 fn step(u: &mut Unstructured<'_>, world: &mut World, snapshot: &mut Option<Carried>) -> Result<()> {
     match u.int_in_range(0..=13)? {
         0..=6 => {
@@ -449,8 +454,8 @@
     Ok(())
 }
 
-/// Hands pieces of the log to `ledger` as peers do: any slice, also one that it has or that leaves
-/// a gap.
+/// Delivers a random slice of the log to `ledger`, as peers do; it may repeat known records or
+/// leave a gap.
 fn deliver(u: &mut Unstructured<'_>, world: &World, ledger: &mut Ledger) -> Result<()> {
     let from = u.int_in_range(world.first..=world.head())?;
     let to = u.int_in_range(from..=world.head())?;
@@ -462,10 +467,10 @@
     Ok(())
 }
 
-/// Operators race, answers are lost and edits sent again, records are dropped, states are carried
-/// late, strangers write to the log, and processes start, freeze and hear of records through peers
-/// in any pieces. A user would notice a fault as two processes that obey two configurations, or
-/// one that goes back to an old one.
+/// Random runs in which operators race, appends get no answer and edits are sent again, records are
+/// dropped, states are repeated late, strangers write to the log, and processes start, freeze and
+/// receive records from peers in arbitrary pieces. A fault would show as two processes with
+/// different configurations or a process that reverts to an old one.
 #[test]
 fn folds_agree() {
     let (mut accepted, mut compared) = (0, 0);
@@ -505,7 +510,7 @@
         accepted += verdicts.filter(|v| **v == Verdict::Accepted).count();
         Ok(())
     });
-    // The property would hold of a log on which nothing is ever accepted.
+    // The test would also pass on a log on which nothing is ever accepted.
     assert!(accepted > 600, "only {accepted} edits were accepted");
     assert!(
         compared > 600,
@@ -513,8 +518,8 @@
     );
 }
 
-/// A configuration of the largest size still fits into one record; if it did not, the planner could
-/// not repeat it, and it would be lost with the records that the log drops.
+/// A configuration of the largest size has to fit into one record. Otherwise the planner could not
+/// repeat it, and it would be lost with the records that the log drops.
 #[test]
 fn largest_repeat() {
     let mut world = World::new();
@@ -544,7 +549,7 @@
     world.assert_agrees(&world.late_reader());
 }
 
-/// The tables of a version follow its document.
+/// The lookup tables of a version match its document.
 #[test]
 fn version_tables() {
     let bytes = include_bytes!("data/section.json");
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -431,7 +431,7 @@
             let is_gone = |name: &&Name| {
                 let peer = node.roster.peer(name);
                 let silent = |at| now.since(at) > Duration::from_millis(ENTRY_GONE);
-                **name != node.name && peer.is_some_and(|p| silent(p.heard))
+                **name != node.name && peer.is_some_and(|p| silent(p.heard_at))
             };
             let Some(entry) = entries.keys().find(is_gone).cloned() else {
                 return;
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -98,8 +98,8 @@
                 let peer = self.roster.peer(name);
                 EntryView {
                     entry: name.clone(),
-                    heard: peer.and_then(|p| p.confirmed),
-                    gone: peer.is_some_and(|p| p.is_leaving() && !p.linked),
+                    alive_at: peer.and_then(|p| p.alive_at),
+                    has_left: peer.is_some_and(|p| p.is_leaving() && !p.linked),
                     log: peer.map(|p| p.log).unwrap_or_default(),
                 }
             })
--- a/dragonflyrun/tests/graceful_stop.rs
+++ b/dragonflyrun/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request.
+//! A planned stop interrupts no request.
 
 use std::{
     io::{Read, Write},
@@ -51,9 +51,9 @@
     }
 }
 
-/// An operator stops a process while requests are running in it, while their answers are being
-/// read slowly, and while a caller has connected and not yet asked. All of them read their whole
-/// answers; none sees its connection reset.
+/// An operator stops a process while requests are running, with callers that read their answers
+/// slowly, and while a caller has connected but not sent its request yet. All callers must receive
+/// their complete answers without a connection reset.
 #[test]
 fn requests_under_way() {
     let (started_tx, started_rx) = bounded::<()>(64);
@@ -73,7 +73,7 @@
 
     let stopping = server.clone();
     let drained = thread::spawn(move || stopping.drain(DRAIN_TIMEOUT));
-    // Once the listener is closed, the stop waits for the connections only.
+    // Once the listener is closed, the stop only waits for the connections.
     while TcpStream::connect(server.local_addr()).is_ok() {
         thread::yield_now();
     }
@@ -93,7 +93,7 @@
     assert_eq!(server.in_flight(), 0);
 }
 
-/// A handler never comes back. The stop says so after its bound instead of hanging for ever.
+/// A handler never returns. The stop reports this after its timeout instead of blocking forever.
 #[test]
 fn stuck_request() {
     let (started_tx, started_rx) = bounded::<()>(1);
--- a/dragonflyrun/tests/log_bounds.rs
+++ b/dragonflyrun/tests/log_bounds.rs
@@ -1,4 +1,4 @@
-//! Log lines that nobody reads must not hold the process up.
+//! Unread log output does not block the process.
 
 use std::{
     io::{self, Write},
@@ -12,10 +12,10 @@
 
 use dragonflyrun::process::LogWriter;
 
-/// Whether the pipe is open, and what it has taken.
+/// Whether the pipe is open, and the bytes written to it.
 type PipeState = (bool, Vec<u8>);
 
-/// A pipe that takes nothing until it is opened.
+/// A pipe whose writes block until it is opened.
 #[derive(Clone, Default)]
 struct Pipe(Arc<(Mutex<PipeState>, Condvar)>);
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// Whoever collects the logs stops reading. A process that waited for it would answer no caller any
-/// more; it goes on instead, and says afterwards how many lines are missing.
+/// The log collector stops reading. A process that waited for it could no longer answer callers;
+/// instead the writer drops lines and later logs how many.
 #[test]
 fn stalled_log_reader() {
     let pipe = Pipe::default();
--- a/dragonflyrun/tests/log_freshness.rs
+++ b/dragonflyrun/tests/log_freshness.rs
@@ -1,4 +1,4 @@
-//! When a process may act on what it knows of the log.
+//! When a process may act on its state of the log.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
     Timestamp::from_millis(ms)
 }
 
-fn reports_log_down(entry: &str, heard: Timestamp) -> EntryView {
+fn reports_log_down(entry: &str, alive_at: Timestamp) -> EntryView {
     EntryView {
         entry: entry.into(),
-        heard: Some(heard),
-        gone: false,
+        alive_at: Some(alive_at),
+        has_left: false,
         log: LogView {
             next_offset: NEXT_OFFSET,
             age_ms: Some(60_000),
@@ -47,8 +47,8 @@
     assert!(!freshness.is_fresh(late, NEXT_OFFSET, &[]));
 }
 
-/// The log is down and every entry says so. Nobody can have changed anything, so work that needs
-/// the latest state goes on: to callers, bookings work during the outage.
+/// The log is down and every entry reports so. Nothing can have changed, so work that needs the
+/// latest state continues and callers can still make bookings during the outage.
 #[test]
 fn outage_agreed() {
     let now = at(60_000);
@@ -59,9 +59,9 @@
     assert!(with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
 }
 
-/// One entry is cut off from us but not from the log, where operators may be draining a failure
-/// domain through it. From here it is only silent. A process that took the silence for agreement
-/// would start tasks in the drained failure domain.
+/// One entry is cut off from this process but not from the log, and operators may be draining a
+/// failure domain through it. Here it only appears silent. A process that took the silence for
+/// agreement would start tasks in the drained failure domain.
 #[test]
 fn silent_entry() {
     let now = at(60_000);
@@ -72,7 +72,7 @@
     ];
     assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
     let never = EntryView {
-        heard: None,
+        alive_at: None,
         ..reports_log_down("entry-2", now)
     };
     assert!(!with_old_head().is_fresh(
@@ -83,18 +83,19 @@
     assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[]));
 }
 
-/// An entry stopped with a goodbye before the outage. It holds nobody up.
+/// An entry announced that it was leaving and stopped before the outage. It does not prevent the
+/// others from being fresh.
 #[test]
 fn stopped_entry_ignored() {
     let now = at(60_000);
     let mut left = reports_log_down("entry-2", at(2_000));
-    left.gone = true;
+    left.has_left = true;
     let entries = [reports_log_down("entry-1", now), left];
     assert!(with_old_head().is_fresh(now, NEXT_OFFSET, &entries));
 }
 
-/// An entry's append got no answer, or it has read further than we have. What it appended or read
-/// may be a drain that we don't know of.
+/// An entry's append got no answer, or the entry has read further than this process. What it
+/// appended or read may be a drain that this process does not know of.
 #[test]
 fn entry_ahead() {
     let now = at(60_000);
@@ -109,8 +110,8 @@
     assert!(!with_old_head().is_fresh(now, NEXT_OFFSET, &[reaching]));
 }
 
-/// This process's own append got no answer before the log went down. Until the log has been read
-/// well after, the record may stand there unseen.
+/// An append of this process got no answer before the log went down. Until the log has been read
+/// long enough afterwards, the record may be on it unread.
 #[test]
 fn uncertain_append() {
     let now = at(60_000);
--- a/dragonflyrun/tests/peer_roster.rs
+++ b/dragonflyrun/tests/peer_roster.rs
@@ -117,13 +117,13 @@
     let mut roster = heard(None);
     let name = Name::from("worker-1");
     roster.on_heartbeat(at(10_100), &name, heartbeat(Some(50), None));
-    assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(50)));
+    assert_eq!(roster.peer(&name).unwrap().alive_at, Some(at(50)));
     roster.on_heartbeat(at(10_200), &name, heartbeat(Some(10_150), None));
-    assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
+    assert_eq!(roster.peer(&name).unwrap().alive_at, Some(at(10_150)));
     // Heartbeats that were overtaken, or echo a clock that is not ours, prove nothing new.
     roster.on_heartbeat(at(10_300), &name, heartbeat(Some(60), None));
     roster.on_heartbeat(at(10_300), &name, heartbeat(Some(99_999), None));
-    assert_eq!(roster.peer(&name).unwrap().confirmed, Some(at(10_150)));
+    assert_eq!(roster.peer(&name).unwrap().alive_at, Some(at(10_150)));
 }
 
 #[test]
--- a/dragonflyrun/tests/record_seals.rs
+++ b/dragonflyrun/tests/record_seals.rs
@@ -1,4 +1,4 @@
-//! Sealed records: who may write what on the log.
+//! Sealed records: which author may write what on the log.
 
 use dragonflyrun::connection::{
     AuthorKey,
@@ -50,8 +50,8 @@
     assert_eq!(record.body, body);
 }
 
-/// Somebody who can write to the log, but does not hold the author's key, changes a record or
-/// writes one of their own. Were it taken, a stranger could drain a failure domain.
+/// Someone who can write to the log but does not hold the author's key changes a record or forges
+/// one. If it were accepted, a stranger could drain a failure domain.
 #[test]
 fn forged_seal() {
     let sealed = key("entry-1").seal(&"id-1".into(), &term("entry-1", 1));
@@ -67,8 +67,8 @@
     assert!(!is_editors_token(SECRET, "anna", ""));
 }
 
-/// A newer version of the program writes a kind of record that this one does not know. It is
-/// skipped; were it an error, an upgrade of one process would stop all others.
+/// The log holds a record that this release can't read, such as one of a kind that a newer release
+/// writes. It is skipped; if it were an error, upgrading one process would stop all others.
 #[test]
 fn unreadable_record_skipped() {
     let sealed = key("entry-1").seal(&"id-1".into(), &term("entry-1", 1));
@@ -98,9 +98,9 @@
     });
 }
 
-/// A planner is frozen, another entry claims the next term, and the first appends on waking. Its
-/// records stand behind the claim and must have no effect, or two planners would start gangs on
-/// the same workers.
+/// A planner is frozen, another entry claims the next term, and the old planner appends when it
+/// resumes. Its records come after the claim and must have no effect, or two planners would start
+/// gangs on the same workers.
 #[test]
 fn superseded_planner() {
     let started = RecordBody::JobStarted {
@@ -125,7 +125,8 @@
     assert_eq!(ledger.jobs.all_live().count(), 0);
 }
 
-/// An append's answer is lost and its writer appends the same record again.
+/// An append gets no answer and its writer appends the same record again. The second copy must have
+/// no effect.
 #[test]
 fn second_copy() {
     let ledger = fold(&[
--- a/dragonflyrun/tests/settings_check.rs
+++ b/dragonflyrun/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: all findings at once.
+//! Validation of the daemon's settings reports all findings at once.
 
 use dragonflyrun::process::{Config, RoleSettings, Settings};
 
