--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -243,7 +243,7 @@
             AgentAction::Start { order, address } => self.start(order, address),
             AgentAction::Send { to, message } => {
                 if let Err(error) = self.cx.links.send(&to, message) {
-                    log::debug!(peer:% = to, error:% = error; "answer_waits");
+                    log::debug!(peer:% = to, error:% = error; "answer_not_sent");
                 }
             }
             AgentAction::Settle(message) => {
@@ -261,7 +261,7 @@
         let this = self.clone();
         let started = self.pool.run(move || this.run(order, address));
         if let Err(error) = started {
-            log::error!(error:% = error; "no_thread");
+            log::error!(error:% = error; "thread_spawn_failed");
             self.finished(&id, not_run(NotRun::Busy));
         }
     }
--- a/dragonflyrun/src/process/entry_requests.rs
+++ b/dragonflyrun/src/process/entry_requests.rs
@@ -267,7 +267,7 @@
             }
             EntryAction::Resend { to, message } => {
                 if let Err(error) = self.cx.links.send(&to, message) {
-                    log::debug!(peer:% = to, error:% = error; "not_sent_again");
+                    log::debug!(peer:% = to, error:% = error; "resend_failed");
                 }
             }
             EntryAction::Answer { number, outcome } => {
--- a/dragonflyrun/src/process/freshness.rs
+++ b/dragonflyrun/src/process/freshness.rs
@@ -16,7 +16,7 @@
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(2_000);
 
 /// Time after which an append without an answer can no longer take effect, because the log drops a
-/// request that it has not executed by then. It is longer than any append is retried.
+/// request that it has not executed by then. Appends are retried for less time than this.
 const UNCERTAIN_APPEND_PERIOD: Duration = Duration::from_secs(15);
 
 /// What this process knows about the head of the log.
