--- a/dragonflyrun/src/process/agent_jobs.rs
+++ b/dragonflyrun/src/process/agent_jobs.rs
@@ -114,7 +114,7 @@
     }
 
     /// Stops all members with a checkpoint. Returns when all have stopped or after a timeout of 5
-    /// seconds; the worker stops the members that still run when their lease expires.
+    /// seconds. The worker stops any member that still runs then once the member's lease expires.
     pub fn stop(&self) {
         self.drain();
         let start = Instant::now();
