--- a/dragonflyrun/benches/config_fold.rs
+++ b/dragonflyrun/benches/config_fold.rs
@@ -1,6 +1,7 @@
-//! Measures the fold of edits at the size of two years on: 160 teams' sections, a day's 12,000
-//! edits; first the fold alone, then with the opening of the sealed records, as when a process
-//! starts. Run with `cargo bench -p dragonflyrun --bench config_fold`.
+//! Measures the folding of edits at the size expected in two years: the sections of 160 teams and
+//! the 12,000 edits of one day. First it measures the folding alone, then together with opening the
+//! sealed records, as when a process starts. Run with `cargo bench -p dragonflyrun --bench
+//! config_fold`.
 
 use std::time::Instant;
 
@@ -23,12 +24,12 @@
 };
 
 const TEAMS: usize = 160;
-const WORKSPACES: u64 = 10;
-const SERVICES: u64 = 6;
+const WORKSPACES_PER_TEAM: u64 = 10;
+const SERVICES_PER_TEAM: u64 = 6;
 const EDITS: u32 = 12_000;
 
 fn section(team: usize, change: u32) -> Section {
-    let workspaces = (0..WORKSPACES)
+    let workspaces = (0..WORKSPACES_PER_TEAM)
         .map(|w| Workspace {
             name: format!("team-{team}-workspace-{w}").into(),
             guarantees: vec![
@@ -42,7 +43,7 @@
             quota_accelerators: Some(200 + change % 100),
         })
         .collect();
-    let services = (0..SERVICES)
+    let services = (0..SERVICES_PER_TEAM)
         .map(|s| Service {
             name: format!("team-{team}-service-{s}").into(),
             urgency: Urgency::Normal,
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what an agent decides about requests and about the keys that it owns.
+//! Executes the decisions of an agent on requests and on the keys that it owns.
 
 use std::{
     net::SocketAddr,
@@ -35,22 +35,22 @@
     utils::{Name, Timestamp},
 };
 
-/// How often a stop looks whether all requests have ended.
-const STOP_PAUSE: Duration = Duration::from_millis(10);
+/// How often a stopping agent checks whether all requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time for which an owner is told what became of a key.
-const SETTLE: Duration = Duration::from_secs(30);
+/// How long the agent keeps trying to report a key's outcome to the key's owner.
+const SETTLEMENT_TTL: Duration = Duration::from_secs(30);
 
-/// Settlements that wait for an entry to carry them, at the most.
-const SETTLEMENTS: usize = 64;
+/// Maximum number of settlements that wait for an entry that can relay them.
+const MAX_SETTLEMENTS: usize = 64;
 
-/// For how long a key is remembered whose service has left the document.
-const DEFAULT_WINDOW: Duration = Duration::from_secs(600);
+/// How long a key is remembered if its service is no longer in the document.
+const DEFAULT_KEY_WINDOW: Duration = Duration::from_secs(600);
 
-/// Milliseconds after which a request may be tried elsewhere.
-const ELSEWHERE_RETRY_MS: u64 = 500;
+/// Milliseconds after which a refused request may be retried at another agent.
+const OTHER_AGENT_RETRY_AFTER_MS: u64 = 500;
 
-/// Requests at one agent, and the keys that it owns.
+/// The requests of one agent and the keys that it owns.
 pub struct AgentRequests {
     cx: Arc<Context>,
     failure_domain: Name,
@@ -61,17 +61,17 @@
 struct Inner {
     table: AgentTable,
     owner: KeyOwner,
-    /// What could not be told to a key's owner yet.
-    unsettled: Vec<Unsettled>,
+    /// Settlements that could not be sent to the owners of their keys yet.
+    pending_settlements: Vec<PendingSettlement>,
 }
 
-struct Unsettled {
+struct PendingSettlement {
     message: KeyMessage,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl AgentRequests {
-    /// Returns the requests of the agent that `cx` belongs to: none yet.
+    /// Returns an empty table for the agent that `cx` belongs to.
     pub fn new(cx: Arc<Context>) -> Arc<Self> {
         let failure_domain = match &cx.settings.role {
             RoleSettings::Agent { failure_domain, .. } => failure_domain.clone(),
@@ -80,7 +80,7 @@
         let inner = Inner {
             table: AgentTable::new(cx.identity.incarnation),
             owner: KeyOwner::new(&cx.identity, cx.now()),
-            unsettled: Vec::new(),
+            pending_settlements: Vec::new(),
         };
         Arc::new(Self {
             cx,
@@ -90,22 +90,22 @@
         })
     }
 
-    /// Takes in a backend server's announcement.
+    /// Registers the backend server that announces itself.
     pub fn announce(&self, announced: BackendAnnouncement) {
         lock(&self.inner).table.announce(self.cx.now(), announced);
     }
 
-    /// Returns what the heartbeat says of the backend servers.
+    /// Returns the backend reports for the heartbeat.
     pub fn backends(&self) -> Vec<BackendReport> {
         lock(&self.inner).table.reports(self.cx.now())
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         lock(&self.inner).table.running()
     }
 
-    /// Takes in a message from the entry `from`.
+    /// Handles a message from the entry `from`.
     pub fn on_message(self: &Arc<Self>, from: &Name, message: RequestMessage) {
         match message {
             RequestMessage::Run {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes in a message about a key from the entry `from`.
+    /// Handles a message about a key from the entry `from`.
     pub fn on_key_message(self: &Arc<Self>, from: &Name, message: KeyMessage) {
         match message {
             KeyMessage::Claim {
@@ -148,9 +148,9 @@
                 sent_ms,
                 deadline_ms,
             } => {
-                self.follow_ring();
+                self.update_ring();
                 let fresh = self.cx.is_fresh();
-                let window = self.window(&service);
+                let window = self.key_window(&service);
                 let claim = KeyClaim {
                     from: from.clone(),
                     id,
@@ -169,59 +169,59 @@
         }
     }
 
-    /// Takes note of a new link to an entry.
+    /// Handles a new link to an entry.
     pub fn on_peer_up(self: &Arc<Self>, peer: &Peer) {
         if peer.role == Role::Entry {
             self.decide(|_, inner| inner.table.entry_up(peer));
         }
     }
 
-    /// Takes note of the end of a link to an entry.
+    /// Handles the end of a link to an entry.
     pub fn on_peer_down(self: &Arc<Self>, peer: &Peer) {
         if peer.role == Role::Entry {
             self.decide(|_, inner| inner.table.entry_down(peer));
         }
     }
 
-    /// Takes note that records of the log were folded; the owners of keys may have changed.
+    /// Handles folded records, which may have changed the owners of keys.
     pub fn on_folded(&self) {
-        self.follow_ring();
+        self.update_ring();
     }
 
-    /// Does what time alone brings about; to be called every 100 ms.
+    /// Applies timeouts and retries. Called every 100 ms.
     pub fn tick(self: &Arc<Self>) {
-        self.follow_ring();
-        let unsettled = self.decide(|now, inner| {
+        self.update_ring();
+        let pending_settlements = self.decide(|now, inner| {
             inner.table.tick(now);
             inner.owner.tick(now);
-            inner.unsettled.retain(|u| u.until > now);
-            std::mem::take(&mut inner.unsettled)
+            inner.pending_settlements.retain(|u| u.expires_at > now);
+            std::mem::take(&mut inner.pending_settlements)
         });
-        for settlement in unsettled {
-            self.tell_owner(settlement);
+        for settlement in pending_settlements {
+            self.send_settlement(settlement);
         }
     }
 
-    /// Refuses new requests from now on; the next heartbeat has to say so.
+    /// Refuses new requests from now on; the next heartbeat has to report this.
     pub fn leave(&self) {
         lock(&self.inner).table.leave(self.cx.now());
     }
 
-    /// Refuses new requests and waits up to `most` until all others have ended and their answers
-    /// have arrived; returns whether they have.
-    pub fn stop(&self, most: Duration) -> bool {
+    /// Refuses new requests and waits, for at most `timeout`, until all running ones have ended and
+    /// their answers have been received. Returns whether they have.
+    pub fn stop(&self, timeout: Duration) -> bool {
         self.leave();
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         while !lock(&self.inner).table.is_idle(self.cx.now()) {
             if Instant::now() >= end {
                 return false;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         true
     }
 
-    /// Decides under the lock and carries out what was decided after it.
+    /// Runs `decision` under the lock and performs the resulting actions after releasing it.
     fn decide<T>(self: &Arc<Self>, decision: impl FnOnce(Timestamp, &mut Inner) -> T) -> T {
         let (result, actions, verdicts) = {
             let mut inner = lock(&self.inner);
@@ -243,12 +243,15 @@
             AgentAction::Start { order, address } => self.start(order, address),
             AgentAction::Send { to, message } => {
                 if let Err(error) = self.cx.links.send(&to, message) {
-                    log::debug!(peer:% = to, error:% = error; "answer_waits");
+                    log::debug!(peer:% = to, error:% = error; "answer_not_sent");
                 }
             }
             AgentAction::Settle(message) => {
-                let until = self.cx.now() + SETTLE;
-                self.tell_owner(Unsettled { message, until });
+                let expires_at = self.cx.now() + SETTLEMENT_TTL;
+                self.send_settlement(PendingSettlement {
+                    message,
+                    expires_at,
+                });
             }
         }
     }
@@ -258,23 +261,24 @@
         let this = self.clone();
         let started = self.pool.run(move || this.run(order, address));
         if let Err(error) = started {
-            log::error!(error:% = error; "no_thread");
+            log::error!(error:% = error; "thread_spawn_failed");
             self.finished(&id, not_run(NotRun::Busy));
         }
     }
 
     fn run(self: &Arc<Self>, order: RunOrder, address: SocketAddr) {
-        // This thread may have been frozen since the decision; the caller has long been answered.
+        // The thread may have been frozen since the decision, in which case the caller already has
+        // an answer.
         let may_start = lock(&self.inner).table.may_start(self.cx.now(), &order.id);
         let outcome = if may_start {
-            let most = self.cx.version().limits.body_bytes;
+            let max_body_bytes = self.cx.version().limits.body_bytes;
             let req = BackendRequest {
                 id: order.id.clone(),
                 service: order.service,
                 key: order.key,
                 body: order.body,
             };
-            run_at_backend(address, req, most)
+            run_at_backend(address, req, max_body_bytes)
         } else {
             not_run(NotRun::Deadline)
         };
@@ -290,13 +294,13 @@
             id: action.id,
             verdict: action.verdict,
         });
-        // An entry that does not hear of its grant answers at its deadline that it did not run.
+        // If the grant is lost, the entry answers at the request's deadline that it did not run.
         if let Err(error) = self.cx.links.send(&action.to, message) {
             log::debug!(peer:% = action.to, error:% = error; "verdict_lost");
         }
     }
 
-    /// Takes in a settlement as the owner of the key.
+    /// Applies a settlement as the owner of the key.
     fn settle(self: &Arc<Self>, message: KeyMessage) {
         let KeyMessage::Settle {
             service,
@@ -308,7 +312,7 @@
             return;
         };
         let fresh = self.cx.is_fresh();
-        let window = self.window(&service);
+        let window = self.key_window(&service);
         let settled = KeyOutcome {
             service,
             key,
@@ -319,18 +323,18 @@
         self.decide(|now, inner| inner.owner.settle(now, settled, fresh));
     }
 
-    /// Tells a key's owner what became of the key: this agent itself, or through an entry, since
-    /// agents have no links to each other.
-    fn tell_owner(self: &Arc<Self>, settlement: Unsettled) {
+    /// Sends a settlement to the owner of its key. If the owner is another agent, an entry relays
+    /// it, since agents have no links to each other.
+    fn send_settlement(self: &Arc<Self>, settlement: PendingSettlement) {
         let KeyMessage::Settle { service, key, .. } = &settlement.message else {
             return;
         };
-        let mine = {
+        let is_own_key = {
             let inner = lock(&self.inner);
             let owner = inner.owner.ring().and_then(|r| r.owner(service, key));
             owner == Some(&self.cx.identity.name)
         };
-        if mine {
+        if is_own_key {
             self.settle(settlement.message);
             return;
         }
@@ -344,12 +348,12 @@
             .iter()
             .any(|entry| self.cx.links.send(entry, message.clone()).is_ok());
         let mut inner = lock(&self.inner);
-        if !sent && inner.unsettled.len() < SETTLEMENTS {
-            inner.unsettled.push(settlement);
+        if !sent && inner.pending_settlements.len() < MAX_SETTLEMENTS {
+            inner.pending_settlements.push(settlement);
         }
     }
 
-    fn follow_ring(&self) {
+    fn update_ring(&self) {
         let ledger = lock(&self.cx.ledger);
         let membership = &ledger.membership;
         let mut inner = lock(&self.inner);
@@ -360,16 +364,18 @@
         }
     }
 
-    fn window(&self, service: &Name) -> Duration {
+    fn key_window(&self, service: &Name) -> Duration {
         let version = self.cx.version();
         let service = version.service(service);
-        service.map_or(DEFAULT_WINDOW, |s| Duration::from_millis(s.key_window_ms))
+        service.map_or(DEFAULT_KEY_WINDOW, |s| {
+            Duration::from_millis(s.key_window_ms)
+        })
     }
 }
 
 const fn not_run(reason: NotRun) -> Outcome {
     Outcome::NotRun {
         reason,
-        retry_after_ms: ELSEWHERE_RETRY_MS,
+        retry_after_ms: OTHER_AGENT_RETRY_AFTER_MS,
     }
 }
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a process, keeps its threads, and stops it without cutting anything off.
+//! Starts the process, owns its threads, and stops it without interrupting requests.
 
 use std::{
     io,
@@ -33,40 +33,41 @@
     utils::HashSet,
 };
 
-/// Events that wait for one thread of the pool, at the most.
-const LANE_EVENTS: usize = 4_096;
+/// Maximum number of events queued for one thread of the pool.
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Time between two ticks of the role.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between two ticks of the role.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a thread of the pool looks whether the process stops.
-const STOP_POLL: Duration = Duration::from_millis(200);
+/// How often a thread of the pool checks whether the process is stopping.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which a silent peer whose link has ended is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// How long a peer whose link has ended stays in the roster after its last heartbeat.
+const REMOVE_PEER_AFTER: Duration = Duration::from_secs(120);
 
-/// Bytes of one body, at the most. The document's limit may be lower.
-const BODY_BYTES: usize = 16 << 20;
+/// Maximum size of one body, in bytes. The limit in the document may be lower.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Bytes of all bodies that the HTTP listener holds at once, at the most.
-const HELD_BYTES: usize = 96 << 20;
+/// Maximum total size of all bodies that the HTTP listener holds at once, in bytes.
+const MAX_TOTAL_BODY_BYTES: usize = 96 << 20;
 
-/// Time for which a stopping process waits for its callers to read their answers.
+/// How long a stopping process waits for its callers to read their answers.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for which a leaving process stays, so that its last heartbeats and answers arrive.
-const LEAVE_LINGER: Duration = Duration::from_millis(300);
+/// How long a process keeps running after draining, so that its last heartbeats and answers are
+/// sent.
+const FINAL_SEND_TIME: Duration = Duration::from_millis(300);
 
 quick_error! {
-    /// Why a process did not start.
+    /// Why the process did not start.
     #[derive(Debug)]
     pub enum StartError {
-        /// A listener's address can't be bound.
+        /// The address of a listener can't be bound.
         Bind(place: &'static str, address: SocketAddr, source: io::Error) {
-            display("{place}: can't listen at {address}: {source}")
+            display("{place}: can't listen on {address}: {source}")
             source(source)
         }
-        /// The system gave no thread or the metrics could not be set up.
+        /// A thread could not be spawned or the metrics could not be set up.
         System(reason: String) {
             display("the process could not be set up: {reason}")
         }
@@ -88,10 +89,11 @@
     ///
     /// # Errors
     ///
-    /// Any [`StartError`]; nothing of the process is left running then.
+    /// Returns a [`StartError`], after which nothing of the process is left running.
     pub fn start(settings: Settings) -> Result<Self, StartError> {
-        let (lanes, queues): (Vec<_>, Vec<_>) =
-            (0..settings.threads).map(|_| bounded(LANE_EVENTS)).unzip();
+        let (lanes, queues): (Vec<_>, Vec<_>) = (0..settings.threads)
+            .map(|_| bounded(MAX_QUEUED_EVENTS))
+            .unzip();
         let cx = Arc::new(context(settings, lanes)?);
         let peers = listen(&cx)?;
         let node = node(&cx)?;
@@ -124,49 +126,49 @@
         self.peers
     }
 
-    /// Returns what the threads of the process share.
+    /// Returns the state that the threads of the process share.
     pub fn context(&self) -> &Arc<Context> {
         &self.cx
     }
 
-    /// Stops the process: it says that it is leaving, takes no new work, finishes what is under
-    /// way, and returns when the last answer has been read.
+    /// Stops the process: reports that it is leaving, refuses new work, finishes running work, and
+    /// returns when the last answer has been read.
     pub fn stop(self) {
         log::info!(name:% = self.cx.identity.name; "stopping");
         self.node.leave();
-        // The balancer and the entries go on sending work here until they have noticed; it is
-        // served, and only what comes after that is refused.
+        // The load balancer and the entries continue to send work until they notice that the
+        // process is leaving. That work is still served; only later requests are refused.
         thread::sleep(self.cx.settings.quiet);
         self.node.drain();
         if !self.http.drain(READ_TIMEOUT) {
             log::warn!(in_flight = self.http.in_flight(); "answers_not_read");
         }
-        thread::sleep(LEAVE_LINGER);
+        thread::sleep(FINAL_SEND_TIME);
         self.stopping.store(true, Ordering::Relaxed);
         self.cx.appender.stop();
         for handle in self.threads {
-            // A thread that panicked has already logged it; the others are still waited for.
+            // A panic has already been logged; the other threads still have to be joined.
             let _ = handle.join();
         }
         log::info!(name:% = self.cx.identity.name; "stopped");
     }
 
     fn spawn_threads(&mut self, queues: Vec<Receiver<LinkEvent>>) -> Result<(), StartError> {
-        let beats = Arc::new(Shared {
+        let thread_context = Arc::new(ThreadContext {
             cx: self.cx.clone(),
             node: self.node.clone(),
         });
         let (cx, node, stopping) = (&self.cx, &self.node, &self.stopping);
         let threads = &mut self.threads;
         for queue in queues {
-            let (shared, stop) = (beats.clone(), stopping.clone());
+            let (shared, stop) = (thread_context.clone(), stopping.clone());
             spawn(threads, "pool", move || shared.handle_events(&queue, &stop))?;
         }
-        let (shared, stop) = (beats.clone(), stopping.clone());
+        let (shared, stop) = (thread_context.clone(), stopping.clone());
         spawn(threads, "heartbeats", move || {
             Heartbeats::new(&shared.cx, &*shared.node).run(&stop);
         })?;
-        let (shared, stop) = (beats, stopping.clone());
+        let (shared, stop) = (thread_context, stopping.clone());
         spawn(threads, "log_reader", move || {
             LogReader::new(&shared.cx, &*shared.node).run(&stop);
         })?;
@@ -179,16 +181,16 @@
     }
 }
 
-/// What the threads of the pool work on.
-struct Shared {
+/// The state that the threads of the pool use.
+struct ThreadContext {
     cx: Arc<Context>,
     node: Arc<dyn Node>,
 }
 
-impl Shared {
+impl ThreadContext {
     fn handle_events(&self, queue: &Receiver<LinkEvent>, stopping: &AtomicBool) {
         loop {
-            match queue.recv_timeout(STOP_POLL) {
+            match queue.recv_timeout(STOP_POLL_INTERVAL) {
                 Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) if !stopping.load(Ordering::Relaxed) => {}
                 Err(_) => return,
@@ -199,12 +201,12 @@
     fn handle(&self, event: LinkEvent) {
         match event {
             LinkEvent::Up { peer } => {
-                lock(&self.cx.roster).up(self.cx.now(), peer.clone());
-                self.node.on_up(&peer);
+                lock(&self.cx.roster).link_up(self.cx.now(), peer.clone());
+                self.node.on_link_up(&peer);
             }
             LinkEvent::Down { peer } => {
-                lock(&self.cx.roster).down(&peer);
-                self.node.on_down(&peer);
+                lock(&self.cx.roster).link_down(&peer);
+                self.node.on_link_down(&peer);
             }
             LinkEvent::Received { from, message } => self.receive(&from, message),
         }
@@ -215,12 +217,12 @@
         match message {
             Message::Heartbeat(heartbeat) => {
                 let view = heartbeat.log;
-                let confirmed = {
+                let alive_at = {
                     let mut roster = lock(&self.cx.roster);
-                    roster.heard(self.cx.now(), from, *heartbeat);
-                    roster.peer(from).and_then(|p| p.confirmed)
+                    roster.on_heartbeat(self.cx.now(), from, *heartbeat);
+                    roster.peer(from).and_then(|p| p.alive_at)
                 };
-                reader.on_view(from, &view, confirmed);
+                reader.on_view(from, &view, alive_at);
                 self.node.on_heartbeat(from);
             }
             Message::Records(records) => reader.on_records(from, &records),
@@ -284,8 +286,8 @@
 fn serve_http(cx: &Arc<Context>, node: &Arc<dyn Node>) -> Result<HttpServer, StartError> {
     let limits = HttpLimits {
         connections: cx.settings.connections,
-        body_bytes: BODY_BYTES,
-        held_bytes: HELD_BYTES,
+        body_bytes: MAX_BODY_BYTES,
+        held_bytes: MAX_TOTAL_BODY_BYTES,
         pause: cx.settings.http_timeout,
     };
     let address = cx.settings.http;
@@ -301,23 +303,23 @@
 fn append(cx: &Context, node: &dyn Node) {
     cx.appender.run(
         &cx.log,
-        |pending| lock(&cx.freshness).append_pending(cx.now(), pending),
+        |pending| lock(&cx.freshness).set_append_pending(cx.now(), pending),
         |id, error| node.on_append_failed(id, error),
     );
 }
 
 fn tick(cx: &Context, node: &dyn Node, stopping: &AtomicBool) {
     while !stopping.load(Ordering::Relaxed) {
-        lock(&cx.roster).forget(cx.now(), FORGET_AFTER);
-        cx.links.dial(&wanted_links(cx));
+        lock(&cx.roster).remove_silent(cx.now(), REMOVE_PEER_AFTER);
+        cx.links.dial(&entries_to_dial(cx));
         node.tick();
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
 }
 
-/// Returns the entries to dial. An agent dials all. Of two entries the one with the smaller address
-/// dials the other, so that there is one link between them.
-fn wanted_links(cx: &Context) -> Vec<SocketAddr> {
+/// Returns the entries to dial. An agent dials all of them. Of two entries, the one with the
+/// smaller address dials the other, so that there is only one link between them.
+fn entries_to_dial(cx: &Context) -> Vec<SocketAddr> {
     let known: Vec<SocketAddr> = {
         let ledger = lock(&cx.ledger);
         let entries = ledger.membership.entries();
--- a/dragonflyrun/src/process/entry_http.rs
+++ b/dragonflyrun/src/process/entry_http.rs
@@ -1,4 +1,4 @@
-//! How callers' requests and their outcomes look in HTTP.
+//! The HTTP form of callers' requests and of their outcomes.
 
 use hyper::{StatusCode, header::HeaderName};
 use serde::Serialize;
@@ -10,36 +10,37 @@
     version::Urgency,
 };
 
-/// Characters of a key, at the most.
-const KEY_BYTES: usize = 200;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 200;
 
-/// Milliseconds after which a malformed request may be sent again, mended.
-const MALFORMED_RETRY_MS: u64 = 10_000;
+/// Milliseconds after which a malformed request may be sent again once it is corrected.
+const MALFORMED_RETRY_AFTER_MS: u64 = 10_000;
 
-const OUTCOME: HeaderName = HeaderName::from_static("dragonfly-outcome");
+const OUTCOME_HEADER: HeaderName = HeaderName::from_static("dragonfly-outcome");
 
-/// Returns the service that a path of the form `/v1/services/{service}/requests` names.
+/// Returns the service named by a path of the form `/v1/services/{service}/requests`.
 pub fn requested_service(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/services/")?
         .strip_suffix("/requests")
         .filter(|service| !service.is_empty() && !service.contains('/'))
 }
 
-/// Reads a caller's request from its headers.
+/// Builds a caller's request from the path, headers and body.
 pub(super) fn caller_request(service: &str, req: HttpRequest) -> Result<CallerRequest, Refusal> {
-    let malformed = Refusal::new(NotRun::Malformed, MALFORMED_RETRY_MS);
-    let key = optional(&req, "idempotency-key", |text| {
-        let fits = !text.is_empty() && text.len() <= KEY_BYTES;
+    let malformed = Refusal::new(NotRun::Malformed, MALFORMED_RETRY_AFTER_MS);
+    let key = optional_header(&req, "idempotency-key", |text| {
+        let fits = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
         fits.then(|| Name::from(text))
     });
-    let attempt = optional(&req, "dragonfly-attempt", |text| {
+    let attempt = optional_header(&req, "dragonfly-attempt", |text| {
         text.parse().ok().filter(|attempt| *attempt > 0)
     });
-    let deadline_ms = optional(&req, "dragonfly-deadline-ms", |text| text.parse().ok());
-    let urgency = optional(&req, "dragonfly-urgency", urgency);
+    let deadline_ms = optional_header(&req, "dragonfly-deadline-ms", |text| text.parse().ok());
+    let urgency = optional_header(&req, "dragonfly-urgency", urgency);
     let (key, attempt) = (key.ok_or(malformed)?, attempt.ok_or(malformed)?);
-    // Taken for a first attempt, a repeat by a caller who does not count could be granted by an
-    // owner that does not know of the first, and a forest owner would be paid twice.
+    // A repeat from a caller that does not count attempts would look like a first attempt. A key
+    // owner that does not know of the real first attempt could grant it, and a forest owner would
+    // be paid twice.
     if key.is_some() && attempt.is_none() {
         return Err(malformed);
     }
@@ -53,8 +54,8 @@
     })
 }
 
-/// Reads a header that need not be there; none where it is there and can't be read.
-fn optional<T>(
+/// Reads an optional header: `Some(None)` if it is absent, `None` if its value is invalid.
+fn optional_header<T>(
     req: &HttpRequest,
     name: &str,
     read: impl Fn(&str) -> Option<T>,
@@ -74,48 +75,49 @@
     }
 }
 
-/// What a caller reads in an answer other than "done".
+/// The body of every answer other than "done".
 #[derive(Serialize)]
-struct NotDone {
+struct FailureBody {
     outcome: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     reason: Option<NotRun>,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
-    /// The number to send with the next attempt. It stays where this one is certain not to have
-    /// run; `docs/DESIGN.md`, attempt numbers, tells why.
+    /// The number to send with the next attempt. It stays the same if this attempt is certain not
+    /// to have run; see attempt numbers in `docs/DESIGN.md`.
     next_attempt: u32,
 }
 
-/// Returns the answer that tells a caller of the `outcome` of its attempt.
+/// Returns the answer that reports the `outcome` of an attempt to its caller.
 pub(super) fn response(outcome: Outcome, attempt: u32) -> HttpResponse {
     match outcome {
         Outcome::Done { status, body, .. } => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-            HttpResponse::bytes(status, body).with_header(OUTCOME, "done")
+            HttpResponse::bytes(status, body).with_header(OUTCOME_HEADER, "done")
         }
         Outcome::NotRun {
             reason,
             retry_after_ms,
         } => {
-            let answer = NotDone {
+            let answer = FailureBody {
                 outcome: "not_run",
                 reason: Some(reason),
                 retry_after_ms: Some(retry_after_ms),
                 next_attempt: attempt,
             };
             HttpResponse::json(not_run_status(reason), &answer)
-                .with_header(OUTCOME, "not-run")
+                .with_header(OUTCOME_HEADER, "not-run")
                 .with_retry_after(retry_after_ms)
         }
         Outcome::Unknown => {
-            let answer = NotDone {
+            let answer = FailureBody {
                 outcome: "unknown",
                 reason: None,
                 retry_after_ms: None,
                 next_attempt: attempt.saturating_add(1),
             };
-            HttpResponse::json(StatusCode::BAD_GATEWAY, &answer).with_header(OUTCOME, "unknown")
+            HttpResponse::json(StatusCode::BAD_GATEWAY, &answer)
+                .with_header(OUTCOME_HEADER, "unknown")
         }
     }
 }
--- a/dragonflyrun/src/process/entry_requests.rs
+++ b/dragonflyrun/src/process/entry_requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what an entry decides about callers' requests.
+//! Executes the decisions of an entry on callers' requests.
 
 use std::{
     sync::{
@@ -40,13 +40,13 @@
     version::Version,
 };
 
-/// How often a stop looks whether all requests have their answers.
-const STOP_PAUSE: Duration = Duration::from_millis(10);
+/// How often a stopping entry checks whether all requests have been answered.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The number of a caller's first attempt.
 const FIRST_ATTEMPT: u32 = 1;
 
-/// Callers' requests at one entry.
+/// The requests of callers at one entry.
 pub struct EntryRequests {
     cx: Arc<Context>,
     ring_offset: AtomicU64,
@@ -58,7 +58,7 @@
     waiting: HashMap<u64, Sender<Outcome>>,
 }
 
-/// What the table needs to know of the log, read before it is locked.
+/// The state from the log that the table needs, read before the table is locked.
 struct LogState {
     version: Arc<Version>,
     ring: Option<NewRing>,
@@ -70,7 +70,7 @@
 }
 
 impl EntryRequests {
-    /// Returns the requests of the entry that `cx` belongs to: none yet.
+    /// Returns an empty table for the entry that `cx` belongs to.
     pub fn new(cx: Arc<Context>) -> Self {
         let table = EntryTable::new(entry_id(&cx.identity), rand::random());
         Self {
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Takes in a request and waits for its final answer, up to its deadline.
+    /// Submits a request and waits for its final answer until its deadline.
     pub fn submit(&self, req: CallerRequest) -> Outcome {
         let log = self.log_state();
         let (tx, rx) = bounded(1);
-        let (number, left) = {
+        let (number, remaining) = {
             let mut inner = lock(&self.inner);
-            inner.follow(log);
+            inner.apply_log_state(log);
             let now = self.cx.now();
             let number = inner.table.submit(now, req);
             inner.waiting.insert(number, tx);
@@ -112,7 +112,7 @@
             self.perform(&mut inner);
             (number, deadline.map_or(Duration::ZERO, |at| at.since(now)))
         };
-        if let Ok(outcome) = rx.recv_timeout(left) {
+        if let Ok(outcome) = rx.recv_timeout(remaining) {
             return outcome;
         }
         let mut inner = lock(&self.inner);
@@ -122,7 +122,7 @@
         rx.try_recv().unwrap_or(Outcome::Unknown)
     }
 
-    /// Takes in a message from the agent `from`.
+    /// Handles a message from the agent `from`.
     pub fn on_message(&self, from: &Name, message: RequestMessage) {
         if let RequestMessage::Answer { id, outcome, free } = message {
             let mut inner = lock(&self.inner);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes in a message about a key from the agent `from`.
+    /// Handles a message about a key from the agent `from`.
     pub fn on_key_message(&self, from: &Name, message: KeyMessage) {
         let mut inner = lock(&self.inner);
         match message {
@@ -146,7 +146,7 @@
         self.perform(&mut inner);
     }
 
-    /// Takes note of a new link to an agent, after the roster has.
+    /// Handles a new link to an agent. Called after the roster has been updated.
     pub fn on_peer_up(&self, peer: &Peer) {
         if peer.role == Role::Agent {
             let mut inner = lock(&self.inner);
@@ -155,17 +155,17 @@
         }
     }
 
-    /// Takes note of the end of a link to an agent, after the roster has.
+    /// Handles the end of a link to an agent. Called after the roster has been updated.
     pub fn on_peer_down(&self, peer: &Peer) {
         if peer.role == Role::Agent {
             let mut inner = lock(&self.inner);
             inner.table.agent_down(self.cx.now(), peer);
             self.perform(&mut inner);
         }
-        self.on_peer_change();
+        self.update_agents();
     }
 
-    /// Takes note of what the roster knows of one agent; to be called at its heartbeats.
+    /// Updates the table with the roster's state of one agent. Called at its heartbeats.
     pub fn on_report(&self, agent: &Name) {
         let version = self.cx.version();
         let view = {
@@ -177,54 +177,56 @@
         }
     }
 
-    /// Takes note of what the roster knows of all agents.
-    pub fn on_peer_change(&self) {
+    /// Updates the table with the roster's state of all agents and entries.
+    pub fn update_agents(&self) {
         let version = self.cx.version();
         let now = self.cx.now();
         let own = &self.cx.identity.name;
-        let (views, names, before, others) = {
+        let (views, names, preceding, others) = {
             let roster = lock(&self.cx.roster);
             let peers = roster.all();
             let views = peers.iter().filter_map(|p| AgentView::of(p, &version));
             let views: Vec<AgentView> = views.collect();
             let names: HashSet<Name> = peers.iter().map(|p| p.peer.name.clone()).collect();
             let entries = || roster.live(now, Role::Entry).map(|p| &p.peer.name);
-            let before = entries().filter(|name| *name < own).count();
-            (views, names, before, entries().count())
+            let preceding = entries().filter(|name| *name < own).count();
+            (views, names, preceding, entries().count())
         };
         let mut inner = lock(&self.inner);
-        inner.table.set_entries(narrow(others + 1), narrow(before));
+        inner
+            .table
+            .set_entries(saturating_u32(others + 1), saturating_u32(preceding));
         inner.table.retain_agents(|name| names.contains(name));
         for view in views {
             inner.table.update_agent(view);
         }
     }
 
-    /// Does what time alone brings about; to be called every 100 ms.
+    /// Applies timeouts and starts queued requests. Called every 100 ms.
     pub fn tick(&self) {
-        self.on_peer_change();
+        self.update_agents();
         let log = self.log_state();
         let mut inner = lock(&self.inner);
-        inner.follow(log);
+        inner.apply_log_state(log);
         inner.table.tick(self.cx.now());
         self.perform(&mut inner);
     }
 
-    /// Refuses new requests and waits up to `most` until all others are answered; returns whether
-    /// they are.
-    pub fn stop(&self, most: Duration) -> bool {
+    /// Refuses new requests and waits, for at most `timeout`, until all others have been answered.
+    /// Returns whether they have.
+    pub fn stop(&self, timeout: Duration) -> bool {
         lock(&self.inner).table.leave();
-        let end = Instant::now() + most;
+        let end = Instant::now() + timeout;
         while !lock(&self.inner).table.is_idle() {
             if Instant::now() >= end {
                 return false;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         true
     }
 
-    /// Returns what waits and runs, by service.
+    /// Returns the queued and running requests by service.
     pub fn stats(&self) -> Vec<ServiceStats> {
         lock(&self.inner).table.stats()
     }
@@ -257,7 +259,7 @@
         let counters = &self.cx.counters;
         match action {
             EntryAction::Send { to, message } => {
-                // The message is needed again only where it was not handed over.
+                // The table needs the message again only if it could not be sent.
                 if let Err(error) = self.cx.links.send(&to, message.clone()) {
                     log::debug!(peer:% = to, error:% = error; "not_sent");
                     inner.table.send_failed(self.cx.now(), &to, &message);
@@ -265,7 +267,7 @@
             }
             EntryAction::Resend { to, message } => {
                 if let Err(error) = self.cx.links.send(&to, message) {
-                    log::debug!(peer:% = to, error:% = error; "not_sent_again");
+                    log::debug!(peer:% = to, error:% = error; "resend_failed");
                 }
             }
             EntryAction::Answer { number, outcome } => {
@@ -278,7 +280,7 @@
                     Outcome::Unknown => counters.answer("unknown"),
                 }
                 if let Some(tx) = inner.waiting.remove(&number) {
-                    // The channel has room for the one answer.
+                    // The channel has room for its single answer.
                     let _ = tx.try_send(outcome);
                 }
             }
@@ -289,7 +291,7 @@
 }
 
 impl Inner {
-    fn follow(&mut self, log: LogState) {
+    fn apply_log_state(&mut self, log: LogState) {
         self.table.set_version(log.version);
         if let Some(new) = log.ring {
             self.table.set_ring(new.offset, &new.ring);
@@ -297,6 +299,6 @@
     }
 }
 
-fn narrow(count: usize) -> u32 {
+fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -1,7 +1,7 @@
-//! What an entry decides about gangs: which it renews, and what it does as planner.
+//! The decisions of an entry on gangs: which ones it renews, and what it does as planner.
 //!
-//! The table does no I/O and reads no clock, so that the tests run it against failures on a clock
-//! of their own; [`EntryJobs`](crate::process::EntryJobs) carries out what it returns.
+//! The table does no I/O and reads no clock, so that tests can run it through failures on a
+//! simulated clock; [`EntryJobs`](crate::process::EntryJobs) performs the actions that it returns.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,38 +11,39 @@
         AgentMessage, ElectionView, ImpossibleReason, Item, JobId, JobRecord, JobSpec, Planner,
         PlannerAction, PlannerView, Purpose, RENEWAL_WITHOUT_LOG, Renewals, WorkerInfo,
     },
-    process::{FRESH, Folded, Ledger, PeerState, Roster, SILENCE},
+    process::{Folded, Ledger, MAX_HEAD_AGE, MAX_PEER_SILENCE, PeerState, Roster},
     utils::{HashMap, Name, Timestamp},
     version::Version,
 };
 
-/// Time between two ticks that shows that this process was frozen in between. What its peers sent
-/// then still waits to be read, so nobody counts as silent until it was.
-const FROZEN: Duration = Duration::from_millis(1_000);
+/// Gap between two ticks above which this process counts as having been frozen. Messages that its
+/// peers sent meanwhile are still unread, so no peer counts as silent until they have been
+/// processed.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// What was last taken from an agent's state in the roster.
+/// The last state of an agent that was read from the roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct Taken {
+struct AgentSnapshot {
     incarnation: u64,
     report_number: u64,
     /// Whether its worker may get work.
-    up: bool,
-    /// Its worker and its members, of which a report may say the same once more.
+    usable: bool,
+    /// Its worker and members, kept to recognize a report that repeats them.
     worker: WorkerInfo,
     members: Vec<MemberReport>,
 }
 
-/// What the log and the roster say at one moment.
+/// The state of the log and the roster at one moment.
 #[derive(Clone, Debug)]
 pub struct TickView {
-    /// What the planner needs.
+    /// The input of the planner.
     pub planner: PlannerView,
     /// The agents that have been silent for so long that their members count as lost.
     pub silent: Vec<Name>,
 }
 
 impl TickView {
-    /// Reads what the entry called `me` knows; `fresh` says whether that is the latest state.
+    /// Reads the state known to the entry `me`; `fresh` tells whether it is the latest state.
     pub fn read(now: Timestamp, me: &Name, fresh: bool, ledger: &Ledger, roster: &Roster) -> Self {
         let membership = &ledger.membership;
         let next_offset = ledger.next_offset();
@@ -51,7 +52,7 @@
             .as_ref()
             .and_then(|p| roster.peer(p))
             .is_some_and(|p| p.is_live(now));
-        let smaller = roster
+        let preceding = roster
             .live(now, Role::Entry)
             .filter(|p| p.peer.name < *me)
             .count();
@@ -65,7 +66,7 @@
             .fold(next_offset, u64::min);
         let silent = roster
             .of_role(Role::Agent)
-            .filter(|p| now.since(p.heard) > SILENCE)
+            .filter(|p| now.since(p.heard_at) > MAX_PEER_SILENCE)
             .map(|p| p.peer.name.clone())
             .collect();
         Self {
@@ -75,7 +76,7 @@
                     planner_alive,
                     planner,
                     fresh,
-                    rank: u32::try_from(smaller).unwrap_or(u32::MAX),
+                    rank: u32::try_from(preceding).unwrap_or(u32::MAX),
                 },
                 next_offset,
                 folded_by_all,
@@ -91,54 +92,54 @@
 pub struct GangTable {
     renewals: Renewals,
     planner: Planner,
-    agents: HashMap<Name, Taken>,
+    agents: HashMap<Name, AgentSnapshot>,
     last_tick: Timestamp,
     /// Until when no agent counts as silent.
-    grace: Timestamp,
+    silence_grace_until: Timestamp,
     /// When this entry last knew the latest state of the log.
     fresh_at: Option<Timestamp>,
-    /// Entries that the planner has removed, and until when they may go on renewing gangs. One
-    /// that is only cut off from everybody but the agents does not know that it was removed.
+    /// Entries that the planner has removed, with the time until which they may still renew gangs.
+    /// An entry that is cut off from everything but the agents does not know that it was removed.
     removed: HashMap<Name, Timestamp>,
     gaps: u64,
 }
 
 impl GangTable {
-    /// Returns the table of the entry called `me` as its process starts.
+    /// Returns the table of the entry `me` at the start of its process.
     pub fn new(now: Timestamp, me: Name, version: Arc<Version>) -> Self {
         Self {
             renewals: Renewals::default(),
             planner: Planner::new(me, version),
             agents: HashMap::default(),
             last_tick: now,
-            grace: now + SILENCE,
+            silence_grace_until: now + MAX_PEER_SILENCE,
             fresh_at: None,
             removed: HashMap::default(),
             gaps: 0,
         }
     }
 
-    /// Returns the term that this process holds as planner; none where it is not planner.
+    /// Returns the term that this process holds as planner; `None` if it is not the planner.
     pub fn term(&self) -> Option<u64> {
         self.planner.term()
     }
 
-    /// Checks that a job can be had from the workers known.
+    /// Checks that the known workers could run a job.
     ///
     /// # Errors
     ///
-    /// Why it can never be had.
-    pub fn possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
+    /// Returns the reason if they never can.
+    pub fn check_possible(&self, spec: &JobSpec) -> Result<(), ImpossibleReason> {
         self.planner.check_possible(spec)
     }
 
-    /// Takes note of a heartbeat of `peer`, and returns what it and others are to be told.
+    /// Applies a heartbeat of `peer` and returns the messages to send to it and to other agents.
     pub fn on_heartbeat(&mut self, now: Timestamp, peer: &PeerState) -> Vec<AgentMessage> {
         let agent = &peer.peer.name;
-        let mut messages = self.take_report(now, agent, peer);
+        let mut messages = self.apply_report(now, agent, peer);
         let renewal = self
             .renewals
-            .on_heartbeat(now, agent, peer.confirmed, peer.sent_ms);
+            .on_heartbeat(now, agent, peer.alive_at, peer.sent_ms);
         let may_renew = self
             .fresh_at
             .is_some_and(|at| now.since(at) <= RENEWAL_WITHOUT_LOG);
@@ -149,22 +150,22 @@
         messages
     }
 
-    /// Takes note that the link to an agent ended.
+    /// Handles the end of the link to an agent.
     ///
-    /// It gets no new work from then on. What it runs goes on: the link may come back, and an agent
-    /// whose process was replaced may go on with its members.
-    pub fn on_down(&mut self, now: Timestamp, agent: &Name) {
-        if let Some(taken) = self.agents.get_mut(agent) {
-            taken.up = false;
+    /// The agent gets no new work from then on. Its members keep running: the link may come back,
+    /// and a replacement of the agent's process may continue with them.
+    pub fn on_link_down(&mut self, now: Timestamp, agent: &Name) {
+        if let Some(snapshot) = self.agents.get_mut(agent) {
+            snapshot.usable = false;
             self.planner.agent_live(agent, false);
             self.planner.worker_down(now, agent);
         }
     }
 
-    /// Follows a record that was folded last into `ledger`.
+    /// Applies the record that was last folded into `ledger`.
     pub fn on_folded(&mut self, now: Timestamp, folded: &Folded, ledger: &Ledger) {
         if ledger.gaps() != self.gaps {
-            self.begin_anew(now, ledger);
+            self.reset_after_gap(now, ledger);
         }
         if !folded.in_effect {
             return;
@@ -182,7 +183,7 @@
                 }
             }
         }
-        self.follow_entries(now, &folded.record);
+        self.track_removed_entries(now, &folded.record);
         self.planner.configure(ledger.history.current());
         let record = JobRecord {
             offset: folded.offset,
@@ -193,35 +194,36 @@
             current: is_current(ledger, body),
         };
         if self.planner.on_record(now, record) {
-            // Each agent's next heartbeat counts as a change and so reaches the new planner.
+            // Makes each agent's next heartbeat count as a change, so that it reaches the new
+            // planner.
             self.agents
                 .values_mut()
                 .for_each(|agent| agent.report_number = 0);
         }
     }
 
-    /// Takes note of the id of a record that was queued for `purpose`.
+    /// Records the id of a record that was queued for `purpose`.
     pub fn appended(&mut self, id: Name, purpose: Purpose) {
         self.planner.appended(id, purpose);
     }
 
-    /// Takes note that a record of this process is not known to be on the log.
+    /// Handles a record of this process that is not known to be on the log.
     pub fn append_failed(&mut self, now: Timestamp, id: &Name) {
         self.planner.append_failed(now, id);
     }
 
-    /// Returns what is to be done now; to be called every 100 ms.
+    /// Returns the actions that are due now. Called every 100 ms.
     pub fn tick(&mut self, now: Timestamp, view: &TickView) -> Vec<PlannerAction> {
-        if now.since(self.last_tick) > FROZEN {
-            self.grace = now + SILENCE;
+        if now.since(self.last_tick) > FREEZE_THRESHOLD {
+            self.silence_grace_until = now + MAX_PEER_SILENCE;
         }
         self.last_tick = now;
         if view.planner.election.fresh {
             self.fresh_at = Some(now);
         }
         self.renewals.tick(now);
-        if now >= self.grace {
-            self.drop_silent(now, &view.silent);
+        if now >= self.silence_grace_until {
+            self.drop_silent_agents(now, &view.silent);
         }
         self.removed.retain(|_, until| *until > now);
         let mut view = view.planner.clone();
@@ -232,7 +234,7 @@
     }
 
     /// Drops the agents that have been silent for so long that their members count as lost.
-    fn drop_silent(&mut self, now: Timestamp, silent: &[Name]) {
+    fn drop_silent_agents(&mut self, now: Timestamp, silent: &[Name]) {
         for agent in silent {
             if self.agents.remove(agent).is_none() {
                 continue;
@@ -245,50 +247,56 @@
         }
     }
 
-    fn follow_entries(&mut self, now: Timestamp, record: &Record) {
+    fn track_removed_entries(&mut self, now: Timestamp, record: &Record) {
         match &record.body {
             RecordBody::EntryJoined { entry, .. } => {
                 self.removed.remove(entry);
             }
-            // One that leaves by itself renews nothing from then on.
+            // An entry that leaves by itself renews nothing afterwards.
             RecordBody::EntryLeft { entry } if record.author != *entry => {
                 self.removed
-                    .insert(entry.clone(), now + FRESH + RENEWAL_WITHOUT_LOG);
+                    .insert(entry.clone(), now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
             }
             _ => {}
         }
     }
 
-    /// Forgets everything after a gap of the log: what was missed may be the end of a job, of this
-    /// process's term, or the removal of an entry. The agents' next heartbeats and the carried
-    /// states fill the table. It renews nothing before it knows the log's head again, since a
-    /// fence may be among what was missed.
-    fn begin_anew(&mut self, now: Timestamp, ledger: &Ledger) {
+    /// Resets the table after a gap in the log: the missing records may include the end of a job,
+    /// the end of this process's term or the removal of an entry. The next heartbeats of the agents
+    /// and the repeated states fill the table again. Until this process knows the log's head again
+    /// it renews nothing, since a fence may be among the missing records.
+    fn reset_after_gap(&mut self, now: Timestamp, ledger: &Ledger) {
         let me = self.planner.me().clone();
         *self = Self::new(now, me.clone(), ledger.history.current().clone());
-        self.removed.insert(me, now + FRESH + RENEWAL_WITHOUT_LOG);
+        self.removed
+            .insert(me, now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
         self.gaps = ledger.gaps();
     }
 
-    fn take_report(&mut self, now: Timestamp, agent: &Name, peer: &PeerState) -> Vec<AgentMessage> {
+    fn apply_report(
+        &mut self,
+        now: Timestamp,
+        agent: &Name,
+        peer: &PeerState,
+    ) -> Vec<AgentMessage> {
         let Some(Report::Agent(report)) = &peer.report else {
             return Vec::new();
         };
         let live = peer.is_live(now);
         self.planner.agent_live(agent, live);
-        let up = report.accelerators > 0 && live;
+        let usable = report.accelerators > 0 && live;
         let incarnation = peer.peer.incarnation;
-        if let Some(taken) = self.agents.get(agent)
-            && taken.report_number == peer.report_number
-            && taken.incarnation == incarnation
-            && taken.up == up
+        if let Some(snapshot) = self.agents.get(agent)
+            && snapshot.report_number == peer.report_number
+            && snapshot.incarnation == incarnation
+            && snapshot.usable == usable
         {
             return Vec::new();
         }
-        let taken = Taken {
+        let snapshot = AgentSnapshot {
             incarnation,
             report_number: peer.report_number,
-            up,
+            usable,
             worker: WorkerInfo {
                 name: agent.clone(),
                 rack: report.rack.clone(),
@@ -297,57 +305,59 @@
             },
             members: report.members.clone(),
         };
-        let before = self.agents.insert(agent.clone(), taken.clone());
-        if before.is_some_and(|before| before.says_the_same(&taken)) {
+        let before = self.agents.insert(agent.clone(), snapshot.clone());
+        if before.is_some_and(|before| before.has_same_gang_state(&snapshot)) {
             return Vec::new();
         }
-        if up {
-            self.planner.worker_up(now, taken.worker);
+        if usable {
+            self.planner.worker_up(now, snapshot.worker);
         } else {
             self.planner.worker_down(now, agent);
         }
-        // Before it knows its worker, an agent reports none of those that its predecessor left.
+        // Until an agent knows its worker, it does not report the members that its predecessor
+        // left.
         let knows_worker = report.accelerators > 0;
         let mut messages = self
             .planner
-            .report(now, agent, &taken.members, knows_worker);
-        messages.extend(self.renewals.report(agent, incarnation, taken.members));
+            .report(now, agent, &snapshot.members, knows_worker);
+        messages.extend(self.renewals.report(agent, incarnation, snapshot.members));
         messages
     }
 }
 
-impl Taken {
-    /// Returns whether a later report says nothing new about gangs, such as one on the free slots
-    /// of backend servers. What was marked as not taken by the planner is always new.
-    fn says_the_same(&self, later: &Self) -> bool {
+impl AgentSnapshot {
+    /// Returns whether a later report changes nothing about gangs, such as a report on the free
+    /// slots of backend servers. A report after `report_number` was reset to 0 always counts as a
+    /// change, since the planner has not processed the last one.
+    fn has_same_gang_state(&self, later: &Self) -> bool {
         self.report_number != 0
             && self.incarnation == later.incarnation
-            && self.up == later.up
+            && self.usable == later.usable
             && self.worker == later.worker
             && self.members == later.members
     }
 }
 
-/// Returns whether a state that was repeated is still the current one. Where it is not, something
-/// reached the log between the moment at which it was read and that at which it was repeated.
+/// Returns whether a repeated state is still the current one. It is not if another record reached
+/// the log after the state was read and before it was appended.
 fn is_current(ledger: &Ledger, body: &RecordBody) -> bool {
     match body {
         RecordBody::Carried(Carried::Configuration(carried)) => {
             carried.version >= ledger.history.current().offset
         }
         RecordBody::Carried(Carried::Membership(carried)) => {
-            ledger.membership.carried().as_ref() == Some(carried)
+            ledger.membership.state_to_repeat().as_ref() == Some(carried)
         }
         RecordBody::Carried(Carried::Job { job, .. }) => ledger.jobs.live(&job.job) == Some(&**job),
         _ => true,
     }
 }
 
-/// Returns a state as it is on the log now, to be repeated in a record; none where it is over.
-pub fn carried_body(ledger: &Ledger, item: &Item) -> Option<Carried> {
+/// Returns the current state of `item`, to be repeated on the log; `None` if it has ended.
+pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<Carried> {
     let term = ledger.membership.term();
     match item {
-        Item::Membership => ledger.membership.carried().map(Carried::Membership),
+        Item::Membership => ledger.membership.state_to_repeat().map(Carried::Membership),
         Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
         Item::Job(job) => ledger.jobs.live(job).map(|live| Carried::Job {
             term,
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -12,15 +12,15 @@
 
 use crate::{
     connection::{KeyVerdict, NotRun, Outcome, Peer, RequestId},
-    process::FRESH,
+    process::MAX_HEAD_AGE,
     request::{Refusal, Ring},
     utils::{HashMap, Name, Timestamp},
 };
 use record::{KeyId, KeyState, Record, body_bytes, known_verdict, refused_verdict};
 
 /// Time after a change of owners during which no new grant is given: a previous owner that has not
-/// read of the change stops granting within [`FRESH`].
-const OWNER_CHANGE_DELAY: Duration = FRESH.saturating_add(Duration::from_millis(500));
+/// read of the change stops granting within [`MAX_HEAD_AGE`].
+const OWNER_CHANGE_DELAY: Duration = MAX_HEAD_AGE.saturating_add(Duration::from_millis(500));
 
 /// Time after the deadline during which the owner still waits for the outcome of a grant.
 const OUTCOME_MARGIN: Duration = Duration::from_millis(500);
@@ -284,7 +284,7 @@
         // A claim that a frozen process or a broken network delayed may be older than a change of
         // owners, and its caller may have retried at the previous owner.
         let is_stale =
-            claim.incarnation != self.local_peer.incarnation || now.since(claim.sent) > FRESH;
+            claim.incarnation != self.local_peer.incarnation || now.since(claim.sent) > MAX_HEAD_AGE;
         if is_stale {
             return Err(unsettled);
         }
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -1,5 +1,5 @@
-//! An accepted configuration is in force everywhere and never reverts, whatever a process has seen
-//! of the log and in which pieces.
+//! An accepted configuration is in force in every process and never reverts, whichever parts of the
+//! log a process has read and in which pieces.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -25,11 +25,12 @@
 const SECRET: &str = "a secret of the deployment";
 const PLANNER: &str = "entry-1";
 
-/// The log, the planner that carries its state forward, and a process that has folded all of it.
+/// The log, the planner that repeats its state on it, and a reference process that has folded all
+/// of it.
 struct World {
     records: Vec<String>,
     first: u64,
-    whole: Ledger,
+    reference: Ledger,
     ids: u64,
     verdicts: Vec<Option<Verdict>>,
 }
@@ -39,7 +40,7 @@
         let mut world = Self {
             records: Vec::new(),
             first: 0,
-            whole: Ledger::default(),
+            reference: Ledger::default(),
             ids: 0,
             verdicts: Vec::new(),
         };
@@ -62,13 +63,13 @@
         self.records.len() as u64
     }
 
-    /// Puts `record` on the log and folds it in the whole process.
+    /// Appends `record` to the log and folds it in the reference process.
     fn append(&mut self, record: String) -> Option<Verdict> {
         let offset = self.head();
         self.records.push(record);
-        let before = self.whole.history.current().offset;
-        let folded = self.whole.fold(&self.raw(offset), SECRET);
-        assert!(self.whole.history.current().offset >= before);
+        let before = self.reference.history.current().offset;
+        let folded = self.reference.fold(&self.raw(offset), SECRET);
+        assert!(self.reference.history.current().offset >= before);
         let verdict = folded.and_then(|f| f.verdict);
         self.verdicts.push(verdict.clone());
         verdict
@@ -96,27 +97,27 @@
     }
 
     fn version_of(&self, section: &str) -> u64 {
-        let sections = self.whole.history.sections();
+        let sections = self.reference.history.sections();
         sections.get(section).copied().unwrap_or(0)
     }
 
-    fn carried(&self) -> Carried {
-        self.whole.history.carried(1, self.head()).unwrap()
+    fn state_to_repeat(&self) -> Carried {
+        self.reference.history.carried(1, self.head()).unwrap()
     }
 
-    fn carry(&mut self, carried: Carried) {
+    fn repeat(&mut self, state: Carried) {
         let key = AuthorKey::derive(SECRET, &PLANNER.into());
-        self.write(&key, &RecordBody::Carried(carried));
+        self.write(&key, &RecordBody::Carried(state));
     }
 
-    /// Returns a process that reads the log from its first kept record on.
-    fn late(&self) -> Ledger {
+    /// Returns a process that reads the log from the first record that is still kept.
+    fn late_reader(&self) -> Ledger {
         let mut ledger = Ledger::default();
-        self.catch_up(&mut ledger);
+        self.fold_to_head(&mut ledger);
         ledger
     }
 
-    fn catch_up(&self, ledger: &mut Ledger) {
+    fn fold_to_head(&self, ledger: &mut Ledger) {
         ledger.skip_to(self.first);
         while ledger.next_offset() < self.head() {
             self.fold_one(ledger);
@@ -133,7 +134,7 @@
     }
 
     fn assert_agrees(&self, ledger: &Ledger) {
-        let (ours, theirs) = (&self.whole.history, &ledger.history);
+        let (ours, theirs) = (&self.reference.history, &ledger.history);
         assert!(theirs.is_whole());
         assert_eq!(theirs.current().offset, ours.current().offset);
         assert_eq!(theirs.current().document, ours.current().document);
@@ -149,9 +150,9 @@
     Some(json!({ "owners": owners }))
 }
 
-/// A deployment whose log has dropped its first records, the edit that made `root` administrator
-/// among them.
-fn dropped_start() -> World {
+/// A deployment whose log has dropped its first records, including the edit that made `root`
+/// administrator.
+fn with_dropped_start() -> World {
     let mut world = World::new();
     let accepted = world.edit("root", "administration", 0, administration(&["root"]));
     assert_eq!(accepted, Some(Verdict::Accepted));
@@ -159,53 +160,54 @@
     world
 }
 
-/// A process starts after the log has dropped the first edit. Somebody tries to make the first
-/// edit again. All processes that know the configuration refuse it; if the late one took it, it
-/// would obey an administrator that nobody else knows.
+/// A process starts after the log has dropped the first edit, and someone submits a first edit
+/// again. All processes that know the configuration refuse it. If the late process accepted it, it
+/// would obey an administrator that no other process knows.
 #[test]
 fn late_start() {
-    let mut world = dropped_start();
-    let taken = world.edit("mallory", "administration", 0, administration(&["mallory"]));
-    assert!(matches!(taken, Some(Verdict::Stale { .. })));
-    let mut late = world.late();
-    assert!(!late.history.is_whole());
-    assert_eq!(late.history.current().document, Document::default());
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
+    let mut world = with_dropped_start();
+    let verdict = world.edit("mallory", "administration", 0, administration(&["mallory"]));
+    assert!(matches!(verdict, Some(Verdict::Stale { .. })));
+    let mut late_reader = world.late_reader();
+    assert!(!late_reader.history.is_whole());
+    assert_eq!(late_reader.history.current().document, Document::default());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
 }
 
-/// The planner takes its state, and before it has written it to the log an edit arrives there. A
-/// process that starts from the carried state must not miss the edit that stands before it.
+/// An edit arrives on the log after the planner has read its state and before it has appended it. A
+/// process that starts from the repeated state must not miss the edit that comes before it on the
+/// log.
 #[test]
-fn raced_carry() {
-    let mut world = dropped_start();
-    let carried = world.carried();
+fn edit_before_repeat() {
+    let mut world = with_dropped_start();
+    let state = world.state_to_repeat();
     let accepted = world.edit("root", "team", 0, administration(&["alice"]));
     assert_eq!(accepted, Some(Verdict::Accepted));
-    world.carry(carried);
-    world.assert_agrees(&world.late());
+    world.repeat(state);
+    world.assert_agrees(&world.late_reader());
 }
 
-/// The log drops an edit that stands between the planner's taking of its state and the carried
-/// record. A process that starts at the carried record can't know of the edit, so it must wait for
-/// the next carried state and not take an old configuration for the current one.
+/// The log drops an edit that arrived between the planner's reading of its state and the repeated
+/// record. A process that starts at the repeated record can't know of the edit, so it must wait for
+/// the next repeat and not take an old configuration for the current one.
 #[test]
-fn dropped_race() {
-    let mut world = dropped_start();
-    let carried = world.carried();
+fn dropped_edit_before_repeat() {
+    let mut world = with_dropped_start();
+    let state = world.state_to_repeat();
     world.edit("root", "team", 0, administration(&["alice"]));
     world.first = world.head();
-    world.carry(carried);
-    let mut late = world.late();
-    assert!(!late.history.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
+    world.repeat(state);
+    let mut late_reader = world.late_reader();
+    assert!(!late_reader.history.is_whole());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
 }
 
-/// A process is frozen for longer than the log keeps its records, and a failure domain is taken
-/// out meanwhile. When it goes on, it must know that it has missed something.
+/// A process is frozen for longer than the log keeps records, and meanwhile a failure domain is
+/// taken out of service. When the process resumes, it must recognize that records are missing.
 #[test]
 fn frozen_process() {
     let mut world = World::new();
@@ -214,26 +216,27 @@
         Some(json!({ "owners": ["root"], "failure_domains": domains }))
     };
     world.edit("root", "administration", 0, domain(true));
-    let mut frozen = world.late();
+    let mut frozen = world.late_reader();
     assert!(frozen.history.current().in_service(&"murau".into()));
     let base = world.version_of("administration");
     world.edit("root", "administration", base, domain(false));
     world.first = world.head();
-    world.catch_up(&mut frozen);
+    world.fold_to_head(&mut frozen);
     assert!(!frozen.history.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut frozen);
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut frozen);
     world.assert_agrees(&frozen);
     assert!(!frozen.history.current().in_service(&"murau".into()));
 }
 
-/// The same, but what the log still keeps shows no trace of a planner. The process must not take
-/// what it knew for the current state, and would start tasks in a failure domain that is out.
+/// As above, but the records that the log still keeps contain nothing from a planner. The process
+/// must not take its old state for current, or it would start tasks in a failure domain that is out
+/// of service.
 #[test]
-fn frozen_alone() {
+fn frozen_without_planner() {
     let mut world = World::new();
     world.edit("root", "administration", 0, administration(&["root"]));
-    let mut frozen = world.late();
+    let mut frozen = world.late_reader();
     let base = world.version_of("administration");
     world.edit(
         "root",
@@ -242,61 +245,62 @@
         administration(&["root", "bob"]),
     );
     world.first = world.head();
-    world.catch_up(&mut frozen);
+    world.fold_to_head(&mut frozen);
     frozen.reached_head();
     assert!(!frozen.history.is_whole());
-    assert!(!frozen.membership.is_whole());
-    world.carry(world.carried());
-    world.catch_up(&mut frozen);
+    assert!(!frozen.membership.is_complete());
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut frozen);
     world.assert_agrees(&frozen);
 }
 
-/// After a long outage the log has dropped all that a planner wrote. A process that starts then
-/// finds no trace of the deployment and presumes that it is new. It is mistaken, and somebody makes
-/// a "first" edit that all others refuse. It has to come round when the configuration is repeated.
+/// After a long outage the log has dropped everything that a planner wrote. A process that starts
+/// then finds no trace of the deployment and wrongly presumes that it is new, and someone makes a
+/// "first" edit that all other processes refuse. The process has to correct itself when the
+/// configuration is repeated.
 #[test]
-fn mistaken_start() {
-    let mut world = dropped_start();
-    let mut late = world.late();
-    late.reached_head();
-    assert!(late.history.is_presumed());
+fn wrongly_presumed_new() {
+    let mut world = with_dropped_start();
+    let mut late_reader = world.late_reader();
+    late_reader.reached_head();
+    assert!(late_reader.history.is_presumed());
     world.edit("mallory", "administration", 0, administration(&["mallory"]));
     world.edit("root", "team", 0, administration(&["root"]));
-    world.carry(world.carried());
-    late.fold(&world.raw(late.next_offset()), SECRET);
-    while late.next_offset() < world.head() {
-        late.fold(&world.raw(late.next_offset()), SECRET);
+    world.repeat(world.state_to_repeat());
+    late_reader.fold(&world.raw(late_reader.next_offset()), SECRET);
+    while late_reader.next_offset() < world.head() {
+        late_reader.fold(&world.raw(late_reader.next_offset()), SECRET);
     }
-    world.assert_agrees(&late);
-    assert!(!late.history.is_presumed());
+    world.assert_agrees(&late_reader);
+    assert!(!late_reader.history.is_presumed());
 }
 
 /// A log that was used for something else before has dropped its first records, and all processes
-/// of a new deployment begin on it. They have to agree from the first edit on.
+/// of a new deployment start on it. They have to agree from the first edit on.
 #[test]
 fn used_log() {
     let mut world = World::new();
     world.append("something else".to_owned());
     world.first = world.head();
-    let mut late = world.late();
-    late.reached_head();
-    let mut other = world.late();
+    let mut late_reader = world.late_reader();
+    late_reader.reached_head();
+    let mut other = world.late_reader();
     other.reached_head();
-    world.whole = other;
+    world.reference = other;
     let first = world.edit("root", "administration", 0, administration(&["root"]));
     assert_eq!(first, Some(Verdict::Accepted));
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
-    world.carry(world.carried());
-    world.catch_up(&mut late);
-    world.assert_agrees(&late);
-    assert!(!world.whole.history.is_presumed());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
+    world.repeat(world.state_to_repeat());
+    world.fold_to_head(&mut late_reader);
+    world.assert_agrees(&late_reader);
+    assert!(!world.reference.history.is_presumed());
 }
 
-/// An answer to an append is lost and the edit is sent a second time with the same id. The first
-/// copy is refused, as its workspace is another team's. Then that team gives the name up, and the
-/// second copy arrives, which would be valid now. Its editor has been told that it was refused. A
-/// process that starts between the two copies must drop the second as well.
+/// An append gets no answer and the edit is sent a second time with the same id. The first copy is
+/// refused because its workspace belongs to another team. That team then gives up the name, and the
+/// second copy arrives, which would now be valid although its editor has been told that it was
+/// refused. A process that starts between the two copies must drop the second one as well.
 #[test]
 fn second_copy() {
     let mut world = World::new();
@@ -310,20 +314,20 @@
     assert!(matches!(refused, Some(Verdict::Invalid { .. })));
     let copy = world.records.last().unwrap().clone();
     world.first = world.head();
-    world.carry(world.carried());
+    world.repeat(world.state_to_repeat());
     let base = world.version_of("north");
     let given_up = world.edit("root", "north", base, named(&[]));
     assert_eq!(given_up, Some(Verdict::Accepted));
     assert_eq!(world.append(copy), None);
     assert_eq!(world.version_of("south"), 0);
-    world.assert_agrees(&world.late());
+    world.assert_agrees(&world.late_reader());
 }
 
-/// An editor holds a key of its own, and uses it to write what only a planner may write: a whole
-/// configuration. No process may take it, however it has come by its state.
+/// An editor uses its own key to write what only a planner may write: a complete configuration. No
+/// process may accept it, however the process obtained its state.
 #[test]
-fn forged_carry() {
-    let mut world = dropped_start();
+fn forged_repeat() {
+    let mut world = with_dropped_start();
     let forged = Carried::Configuration(CarriedConfiguration {
         term: u64::MAX,
         as_of: world.head(),
@@ -334,14 +338,14 @@
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
     world.write(&key, &RecordBody::Carried(forged));
-    assert!(!world.late().history.is_whole());
-    world.carry(world.carried());
-    world.assert_agrees(&world.late());
+    assert!(!world.late_reader().history.is_whole());
+    world.repeat(world.state_to_repeat());
+    world.assert_agrees(&world.late_reader());
 }
 
-/// Programs of two releases run side by side, and an editor uses a key that only the newer one
-/// knows. Had the older one no verdict on it, it would call all later edits of the section stale
-/// and stay behind for ever without notice. Under the format in force both reject it.
+/// Two releases run side by side, and an editor uses a key that only the newer one knows. If the
+/// older release had no verdict on it, it would call all later edits of the section stale and
+/// silently stay behind forever. Under the format in force both releases reject the edit.
 #[test]
 fn newer_key() {
     let mut world = World::new();
@@ -353,8 +357,8 @@
     assert_eq!(plain, Some(Verdict::Accepted));
 }
 
-/// The administrators raise the format, and a program of an older release is still running. It
-/// can't judge what follows, so it has to stop rather than act on the last version it understood.
+/// The administrators raise the format while a process of an older release is running. It can't
+/// judge later edits, so it has to stop instead of acting on the last version that it understood.
 #[test]
 fn newer_format() {
     let mut world = World::new();
@@ -363,18 +367,22 @@
     let raise = |format| Some(json!({ "owners": ["root"], "format": format }));
     let mistaken = world.edit("root", "administration", base, raise(FORMAT + 7));
     assert!(matches!(mistaken, Some(Verdict::Invalid { .. })));
-    assert!(world.whole.history.is_whole());
+    assert!(world.reference.history.is_whole());
     let raised = world.edit("root", "administration", base, raise(FORMAT + 1));
     assert_eq!(raised, None);
-    assert!(!world.whole.history.is_whole());
-    assert_eq!(world.whole.history.unsupported_format(), Some(FORMAT + 1));
-    assert!(world.whole.history.carried(1, world.head()).is_none());
+    assert!(!world.reference.history.is_whole());
+    assert_eq!(
+        world.reference.history.unsupported_format(),
+        Some(FORMAT + 1)
+    );
+    assert!(world.reference.history.carried(1, world.head()).is_none());
 }
 
 const EDITORS: [&str; 4] = ["root", "alice", "bob", "mallory"];
 const SECTIONS: [&str; 4] = ["administration", "north", "south", "east"];
 
-/// Contents that are valid, or break a check, alone or beside another section.
+/// Returns a content that is valid, or that breaks a check on its own or together with another
+/// section.
 fn content(u: &mut Unstructured<'_>) -> Result<Option<Value>> {
     let owner = *u.choose(&EDITORS)?;
     let name = *u.choose(&["mill", "yard", "fair"])?;
@@ -397,9 +405,9 @@
     })
 }
 
-/// One thing that happens to the log: an edit from an old or the current version, a second copy, a
-/// state carried late or at once, dropped records, or a stranger's bytes.
-fn step(u: &mut Unstructured<'_>, world: &mut World, taken: &mut Option<Carried>) -> Result<()> {
+/// Applies one random event to the log: an edit based on an old or the current version, a second
+/// copy, a state repeated late or at once, dropped records, or bytes of a stranger.
+fn step(u: &mut Unstructured<'_>, world: &mut World, snapshot: &mut Option<Carried>) -> Result<()> {
     match u.int_in_range(0..=13)? {
         0..=6 => {
             let section = *u.choose(&SECTIONS)?;
@@ -421,10 +429,10 @@
             let copy = u.choose(&world.records)?.clone();
             world.append(copy);
         }
-        9 => *taken = Some(world.carried()),
+        9 => *snapshot = Some(world.state_to_repeat()),
         10 => {
-            let carried = taken.take().unwrap_or_else(|| world.carried());
-            world.carry(carried);
+            let state = snapshot.take().unwrap_or_else(|| world.state_to_repeat());
+            world.repeat(state);
         }
         11 => {
             let first = u.int_in_range(world.first..=world.head())?;
@@ -446,8 +454,8 @@
     Ok(())
 }
 
-/// Hands pieces of the log to `ledger` as peers do: any slice, also one that it has or that leaves
-/// a gap.
+/// Delivers a random slice of the log to `ledger`, as peers do; it may repeat known records or
+/// leave a gap.
 fn deliver(u: &mut Unstructured<'_>, world: &World, ledger: &mut Ledger) -> Result<()> {
     let from = u.int_in_range(world.first..=world.head())?;
     let to = u.int_in_range(from..=world.head())?;
@@ -459,13 +467,13 @@
     Ok(())
 }
 
-/// Operators race, answers are lost and edits sent again, records are dropped, states are carried
-/// late, strangers write to the log, and processes start, freeze and hear of records through peers
-/// in any pieces. A user would notice a fault as two processes that obey two configurations, or
-/// one that goes back to an old one.
+/// Random runs in which operators race, appends get no answer and edits are sent again, records are
+/// dropped, states are repeated late, strangers write to the log, and processes start, freeze and
+/// receive records from peers in arbitrary pieces. A fault would show as two processes with
+/// different configurations or a process that reverts to an old one.
 #[test]
 fn folds_agree() {
-    let (mut accepted, mut joined) = (0, 0);
+    let (mut accepted, mut compared) = (0, 0);
     each_seed(60, 1_024, |u| {
         let mut world = World::new();
         world.edit(
@@ -474,12 +482,12 @@
             0,
             administration(&["root", "bob"]),
         );
-        let mut others: Vec<Ledger> = vec![world.late()];
-        let mut taken = None;
+        let mut others: Vec<Ledger> = vec![world.late_reader()];
+        let mut snapshot = None;
         while !u.is_empty() {
-            step(u, &mut world, &mut taken)?;
+            step(u, &mut world, &mut snapshot)?;
             if u.ratio(1, 6)? {
-                others.push(world.late());
+                others.push(world.late_reader());
             }
             if u.ratio(1, 2)? {
                 let chosen = u.choose_index(others.len())?;
@@ -488,32 +496,32 @@
             for other in others.iter().filter(|o| o.next_offset() == world.head()) {
                 if other.history.is_whole() {
                     world.assert_agrees(other);
-                    joined += 1;
+                    compared += 1;
                 }
             }
         }
-        world.carry(world.carried());
+        world.repeat(world.state_to_repeat());
         for other in &mut others {
-            world.catch_up(other);
+            world.fold_to_head(other);
             world.assert_agrees(other);
         }
-        world.assert_agrees(&world.late());
+        world.assert_agrees(&world.late_reader());
         let verdicts = world.verdicts.iter().flatten();
         accepted += verdicts.filter(|v| **v == Verdict::Accepted).count();
         Ok(())
     });
-    // The property would hold of a log on which nothing is ever accepted.
+    // The test would also pass on a log on which nothing is ever accepted.
     assert!(accepted > 600, "only {accepted} edits were accepted");
     assert!(
-        joined > 600,
-        "only {joined} times a process was at the head"
+        compared > 600,
+        "only {compared} times a process was at the head"
     );
 }
 
-/// A configuration of the largest size still fits into one record; if it did not, the planner could
-/// not carry it, and it would be lost with the records that the log drops.
+/// A configuration of the largest size has to fit into one record. Otherwise the planner could not
+/// repeat it, and it would be lost with the records that the log drops.
 #[test]
-fn largest_carry() {
+fn largest_repeat() {
     let mut world = World::new();
     world.edit("root", "administration", 0, administration(&["root"]));
     let long = |kind: &str, i: usize| format!("{kind:-<50}{i:014}");
@@ -534,14 +542,14 @@
         section += 1;
     }
     assert!(section > 4);
-    world.carry(world.carried());
+    world.repeat(world.state_to_repeat());
     let record = world.records.last().unwrap();
     assert!(record.len() < 4 << 20, "{} bytes", record.len());
     world.first = world.head() - 1;
-    world.assert_agrees(&world.late());
+    world.assert_agrees(&world.late_reader());
 }
 
-/// The tables of a version follow its document.
+/// The lookup tables of a version match its document.
 #[test]
 fn version_tables() {
     let bytes = include_bytes!("data/section.json");
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -23,7 +23,7 @@
         AgentMessage, JobSpec, PARTIAL_BOUND, PlannerAction, Purpose, StartCheck, WorkerCall,
         WorkerOp,
     },
-    process::{TickView, carried_body},
+    process::{TickView, state_to_repeat},
     utils::{Name, Timestamp},
     version::{
         ADMINISTRATION, Adjacency, FailureDomain, Limits, RawSection, Section, Urgency, Workspace,
@@ -430,7 +430,7 @@
                 PlannerAction::Send(outgoing) => self.send_to_agent(i, outgoing),
                 PlannerAction::Append { body, purpose } => self.queue_append(i, &body, purpose),
                 PlannerAction::Repeat(item) => {
-                    if let Some(body) = carried_body(&self.nodes[i].ledger, &item) {
+                    if let Some(body) = state_to_repeat(&self.nodes[i].ledger, &item) {
                         let body = RecordBody::Carried(body);
                         self.queue_append(i, &body, Purpose::Repeat(item));
                     }
@@ -456,7 +456,7 @@
             let should_remove = |name: &&Name| {
                 let peer = node.roster.peer(name);
                 let silent = |at| now.since(at) > Duration::from_millis(ENTRY_REMOVAL_SILENCE_MS);
-                **name != node.name && peer.is_some_and(|p| silent(p.heard))
+                **name != node.name && peer.is_some_and(|p| silent(p.heard_at))
             };
             let Some(entry) = entries.keys().find(should_remove).cloned() else {
                 return;
@@ -505,7 +505,7 @@
             for (id, _) in &records {
                 self.nodes[i].pending.insert(id.clone(), true);
                 let now = self.nodes[i].clock(self.now);
-                self.nodes[i].freshness.append_pending(now, true);
+                self.nodes[i].freshness.set_append_pending(now, true);
                 self.after(8_000, Event::AppendTimeout(i, incarnation, id.clone()));
             }
             // The append takes effect at once, late or never.
@@ -527,7 +527,7 @@
     fn append_failed(&mut self, i: usize, id: &Name) {
         let now = self.nodes[i].clock(self.now);
         let uncertain = self.nodes[i].pending.values().any(|lost| *lost);
-        self.nodes[i].freshness.append_pending(now, uncertain);
+        self.nodes[i].freshness.set_append_pending(now, uncertain);
         if let RoleTable::Entry(table) = &mut self.nodes[i].table {
             table.append_failed(now, id);
         }
@@ -641,7 +641,7 @@
         let mut agent_messages = Vec::new();
         match (message, &mut node.table) {
             (Message::Heartbeat(heartbeat), table) => {
-                node.roster.heard(now, from, *heartbeat);
+                node.roster.on_heartbeat(now, from, *heartbeat);
                 if let (RoleTable::Entry(table), Some(peer)) = (table, node.roster.peer(from))
                     && peer.peer.role == Role::Agent
                 {
