--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -283,8 +283,8 @@
         }
         // A claim that a frozen process or a broken network delayed may be older than a change of
         // owners, and its caller may have retried at the previous owner.
-        let is_stale =
-            claim.incarnation != self.local_peer.incarnation || now.since(claim.sent) > MAX_HEAD_AGE;
+        let is_stale = claim.incarnation != self.local_peer.incarnation
+            || now.since(claim.sent) > MAX_HEAD_AGE;
         if is_stale {
             return Err(unsettled);
         }
