--- a/dragonflyrun/src/connection/backend_client.rs
+++ b/dragonflyrun/src/connection/backend_client.rs
@@ -26,13 +26,13 @@
 
 /// How long a backend server may pause. The agent waits far beyond the caller's deadline: as long
 /// as the request may be running, its slot is in use.
-const PAUSE: Duration = Duration::from_secs(600);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Milliseconds after which a backend server that refused may take a request.
-const REFUSED_RETRY_MS: u64 = 500;
+const REFUSED_RETRY_AFTER_MS: u64 = 500;
 
 /// The header by which a backend server says in a 503 that it did not run the request.
-const NOT_RUN: &str = "dragonfly-not-run";
+const NOT_RUN_HEADER: &str = "dragonfly-not-run";
 
 /// What a backend server is told of a request.
 #[derive(Clone, Debug)]
@@ -47,18 +47,17 @@
     pub body: Vec<u8>,
 }
 
-/// Gives `req` to the backend server at `address` and waits for its whole answer, of up to `most`
-/// bytes.
+/// Gives `req` to the backend server at `address` and waits for its whole answer, of up to `max_body_bytes`.
 ///
 /// "Not run" comes back only where the connection was refused, so that nothing was sent, or where
 /// the backend server itself says so.
-pub fn run_at_backend(address: SocketAddr, req: BackendRequest, most: u64) -> Outcome {
-    let Ok(req) = build(address, req) else {
+pub fn run_at_backend(address: SocketAddr, req: BackendRequest, max_body_bytes: u64) -> Outcome {
+    let Ok(req) = build_request(address, req) else {
         return not_run();
     };
-    let client = Client::new().with_global_timeout(PAUSE);
+    let client = Client::new().with_global_timeout(ANSWER_TIMEOUT);
     match client.request(req) {
-        Ok(answer) => read(answer, most),
+        Ok(answer) => read_answer(answer, max_body_bytes),
         Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => not_run(),
         Err(error) => {
             log::warn!(backend:% = address, error:% = error; "backend_answer_lost");
@@ -67,7 +66,7 @@
     }
 }
 
-fn build(
+fn build_request(
     address: SocketAddr,
     req: BackendRequest,
 ) -> Result<Request<Body>, impl std::error::Error> {
@@ -85,28 +84,34 @@
     builder.body(Body::from(req.body))
 }
 
-fn read(answer: Response<Body>, most: u64) -> Outcome {
+fn read_answer(answer: Response<Body>, max_body_bytes: u64) -> Outcome {
     let status = answer.status();
-    let says_so = answer.headers().get(NOT_RUN).is_some_and(|v| v == "true");
-    if status == StatusCode::SERVICE_UNAVAILABLE && says_so {
+    let marked_not_run = answer
+        .headers()
+        .get(NOT_RUN_HEADER)
+        .is_some_and(|v| v == "true");
+    if status == StatusCode::SERVICE_UNAVAILABLE && marked_not_run {
         return not_run();
     }
     // Without a length the end of the connection would end the body, and one that was cut off
     // would look like a whole one. The client takes such a body for empty.
-    if !states_length(status, answer.headers()) {
+    if !has_body_length(status, answer.headers()) {
         log::warn!(status = status.as_u16(); "backend_answer_without_length");
         return Outcome::Unknown;
     }
     let mut body = Vec::new();
-    let read = answer.into_body().take(most + 1).read_to_end(&mut body);
+    let read = answer
+        .into_body()
+        .take(max_body_bytes + 1)
+        .read_to_end(&mut body);
     match read {
-        Ok(_) if body.len() as u64 <= most => Outcome::Done {
+        Ok(_) if body.len() as u64 <= max_body_bytes => Outcome::Done {
             status: status.as_u16(),
             length: body.len() as u64,
             body,
         },
         Ok(_) => {
-            log::warn!(most = most; "backend_answer_too_large");
+            log::warn!(most = max_body_bytes; "backend_answer_too_large");
             Outcome::Unknown
         }
         Err(error) => {
@@ -116,14 +121,14 @@
     }
 }
 
-fn states_length(status: StatusCode, headers: &HeaderMap) -> bool {
-    let bodiless = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
-    bodiless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
+fn has_body_length(status: StatusCode, headers: &HeaderMap) -> bool {
+    let has_no_body = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
+    has_no_body || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
 fn not_run() -> Outcome {
     Outcome::NotRun {
         reason: NotRun::Refused,
-        retry_after_ms: REFUSED_RETRY_MS,
+        retry_after_ms: REFUSED_RETRY_AFTER_MS,
     }
 }
--- a/dragonflyrun/src/connection/codec.rs
+++ b/dragonflyrun/src/connection/codec.rs
@@ -5,7 +5,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Nested values in one message, at the most; a stranger's deeper one would exhaust the stack.
-const DEPTH: usize = 32;
+const MAX_NESTING_DEPTH: usize = 32;
 
 /// Returns `value` as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -23,5 +23,5 @@
 ///
 /// Where `buf` does not start with a value of type `T`.
 pub fn decode<T: DeserializeOwned>(buf: &[u8]) -> Result<T, ciborium::de::Error<io::Error>> {
-    ciborium::de::from_reader_with_recursion_limit(buf, DEPTH)
+    ciborium::de::from_reader_with_recursion_limit(buf, MAX_NESTING_DEPTH)
 }
--- a/dragonflyrun/src/connection/greeting.rs
+++ b/dragonflyrun/src/connection/handshake.rs
@@ -22,14 +22,14 @@
 };
 
 /// Bytes of a greeting, at the most.
-pub(crate) const GREETING_BYTES: usize = 4 << 10;
+pub(crate) const MAX_HANDSHAKE_BYTES: usize = 4 << 10;
 
 /// The version of the messages on a link. Two processes talk where these are equal; additions
 /// that an older process can skip do not change it.
-const PROTOCOL: u32 = 1;
+const PROTOCOL_VERSION: u32 = 1;
 
-const DIALER: &[u8] = b"dialer";
-const LISTENER: &[u8] = b"listener";
+const DIALER_LABEL: &[u8] = b"dialer";
+const LISTENER_LABEL: &[u8] = b"listener";
 
 type Stream = WebSocketStream<TcpStream>;
 
@@ -55,7 +55,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct Greeting {
+struct Hello {
     protocol: u32,
     peer: Peer,
     nonce: [u8; 16],
@@ -68,70 +68,84 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct Welcome {}
+struct Confirmation {}
 
 /// Greets a peer that has dialed us.
 pub(crate) async fn accept(socket: &mut Stream, settings: &LinkSettings) -> Result<Peer, Error> {
-    let theirs: Greeting = receive(socket).await?;
-    check_protocol(theirs.protocol)?;
+    let remote: Hello = receive(socket).await?;
+    check_protocol(remote.protocol)?;
     let nonce = rand::random();
-    let proof = prove(
+    let proof = proof_mac(
         settings,
-        LISTENER,
-        &theirs.nonce,
+        LISTENER_LABEL,
+        &remote.nonce,
         &nonce,
         &settings.identity,
     );
-    let ours = Greeting {
-        protocol: PROTOCOL,
+    let local = Hello {
+        protocol: PROTOCOL_VERSION,
         peer: settings.identity.clone(),
         nonce,
         proof: Some(proof.finalize().into_bytes().into()),
     };
-    send(socket, &ours).await?;
+    send(socket, &local).await?;
     let Proof { proof } = receive(socket).await?;
-    prove(settings, DIALER, &theirs.nonce, &nonce, &theirs.peer)
+    proof_mac(settings, DIALER_LABEL, &remote.nonce, &nonce, &remote.peer)
         .verify_slice(&proof)
-        .map_err(|_| refused("the dialer does not know the secret"))?;
-    Ok(theirs.peer)
+        .map_err(|_| permission_denied("the dialer does not know the secret"))?;
+    Ok(remote.peer)
 }
 
 /// Tells the dialer that its proof was accepted.
-pub(crate) async fn welcome(socket: &mut Stream) -> Result<(), Error> {
-    send(socket, &Welcome {}).await
+pub(crate) async fn confirm(socket: &mut Stream) -> Result<(), Error> {
+    send(socket, &Confirmation {}).await
 }
 
 /// Greets a peer that we have dialed.
 pub(crate) async fn dial(socket: &mut Stream, settings: &LinkSettings) -> Result<Peer, Error> {
     let nonce = rand::random();
-    let ours = Greeting {
-        protocol: PROTOCOL,
+    let local = Hello {
+        protocol: PROTOCOL_VERSION,
         peer: settings.identity.clone(),
         nonce,
         proof: None,
     };
-    send(socket, &ours).await?;
-    let theirs: Greeting = receive(socket).await?;
-    check_protocol(theirs.protocol)?;
-    let proof = theirs.proof.unwrap_or_default();
-    prove(settings, LISTENER, &nonce, &theirs.nonce, &theirs.peer)
-        .verify_slice(&proof)
-        .map_err(|_| refused("the listener does not know the secret"))?;
-    let proof = prove(settings, DIALER, &nonce, &theirs.nonce, &settings.identity);
+    send(socket, &local).await?;
+    let remote: Hello = receive(socket).await?;
+    check_protocol(remote.protocol)?;
+    let proof = remote.proof.unwrap_or_default();
+    proof_mac(
+        settings,
+        LISTENER_LABEL,
+        &nonce,
+        &remote.nonce,
+        &remote.peer,
+    )
+    .verify_slice(&proof)
+    .map_err(|_| permission_denied("the listener does not know the secret"))?;
+    let proof = proof_mac(
+        settings,
+        DIALER_LABEL,
+        &nonce,
+        &remote.nonce,
+        &settings.identity,
+    );
     let proof = proof.finalize().into_bytes().into();
     send(socket, &Proof { proof }).await?;
-    let Welcome {} = receive(socket).await?;
-    Ok(theirs.peer)
+    let Confirmation {} = receive(socket).await?;
+    Ok(remote.peer)
 }
 
-fn check_protocol(theirs: u32) -> Result<(), Error> {
-    if theirs == PROTOCOL {
+fn check_protocol(remote: u32) -> Result<(), Error> {
+    if remote == PROTOCOL_VERSION {
         return Ok(());
     }
-    Err(refused("the peer speaks another version of the protocol"))
+    Err(permission_denied(
+        "the peer speaks another version of the protocol",
+    ))
 }
 
-fn prove(
+fn proof_mac(
     settings: &LinkSettings,
     side: &[u8],
     dialer_nonce: &[u8; 16],
@@ -148,7 +162,7 @@
     mac
 }
 
-fn refused(reason: &'static str) -> Error {
+fn permission_denied(reason: &'static str) -> Error {
     Error::Io(io::Error::new(io::ErrorKind::PermissionDenied, reason))
 }
 
--- a/dragonflyrun/src/connection/http_server.rs
+++ b/dragonflyrun/src/connection/http_server.rs
@@ -25,16 +25,16 @@
 pub use message::{HttpRequest, HttpResponse};
 
 /// Connections over the limit that are told so at once; any more wait in the system's backlog.
-const REFUSED_CONNECTIONS: usize = 64;
+const MAX_CONCURRENT_REFUSALS: usize = 64;
 
 /// Threads besides one for each connection, so that a refusal never waits for one.
 const SPARE_THREADS: usize = 8;
 
 /// Pause after a failed accept: out of descriptors, accepting again at once would only spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time for which a stopping server looks for connections that the system has already accepted.
-const BACKLOG_PAUSE: Duration = Duration::from_millis(20);
+const BACKLOG_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Answers one request; may block.
 pub type Handler = dyn Fn(HttpRequest) -> HttpResponse + Send + Sync;
@@ -47,9 +47,9 @@
     /// Bytes of one body.
     pub body_bytes: usize,
     /// Bytes of all bodies that are held at once.
-    pub held_bytes: usize,
+    pub total_body_bytes: usize,
     /// How long a whole header may take, and how long a sender or a reader may pause later on.
-    pub pause: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A running server.
@@ -105,15 +105,15 @@
         self.connections.in_flight()
     }
 
-    /// Accepts no more connections and waits up to `most` until the open ones have ended; returns
+    /// Accepts no more connections and waits up to `max_wait` until the open ones have ended; returns
     /// whether all have.
     ///
     /// Whoever stops a process first has its readiness page say so and its handler refuse new
     /// work, gives the balancer time to notice, and then calls this. A connection that has sent
     /// nothing yet is waited for too: its request may be on its way.
-    pub fn drain(&self, most: Duration) -> bool {
+    pub fn drain(&self, max_wait: Duration) -> bool {
         self.stop.send_replace(true);
-        self.connections.wait_until_none(most)
+        self.connections.wait_until_closed(max_wait)
     }
 }
 
@@ -131,52 +131,52 @@
     listener: TcpListener,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let most = connections.limits().connections;
-    let permits = Arc::new(Semaphore::new(most));
-    let refusals = Arc::new(Semaphore::new(REFUSED_CONNECTIONS));
+    let max_connections = connections.limits().connections;
+    let permits = Arc::new(Semaphore::new(max_connections));
+    let refusals = Arc::new(Semaphore::new(MAX_CONCURRENT_REFUSALS));
     loop {
         tokio::select! {
             biased;
             _ = stopped.changed() => break,
             next = listener.accept() => match next {
-                Ok((stream, _)) => take(&connections, stream, &permits, &refusals).await,
+                Ok((stream, _)) => dispatch(&connections, stream, &permits, &refusals).await,
                 Err(error) => {
                     log::warn!(error:% = error; "accept_failed");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
     }
     // The system has accepted these on our behalf; closing the listener would reset them.
-    while let Ok(Ok((stream, _))) = timeout(BACKLOG_PAUSE, listener.accept()).await {
-        take(&connections, stream, &permits, &refusals).await;
+    while let Ok(Ok((stream, _))) = timeout(BACKLOG_ACCEPT_TIMEOUT, listener.accept()).await {
+        dispatch(&connections, stream, &permits, &refusals).await;
     }
     connections.listener_closed();
 }
 
-async fn take(
+async fn dispatch(
     connections: &Arc<Connections>,
     stream: TcpStream,
     permits: &Arc<Semaphore>,
     refusals: &Arc<Semaphore>,
 ) {
     if let Ok(permit) = permits.clone().try_acquire_owned() {
-        spawn(connections, stream, permit, false);
+        spawn_connection(connections, stream, permit, false);
         return;
     }
     // Waits where even the refusals are all in use; each of them ends within a bound.
     if let Ok(permit) = refusals.clone().acquire_owned().await {
-        spawn(connections, stream, permit, true);
+        spawn_connection(connections, stream, permit, true);
     }
 }
 
-fn spawn(
+fn spawn_connection(
     connections: &Arc<Connections>,
     stream: TcpStream,
     permit: OwnedSemaphorePermit,
     refuse: bool,
 ) {
-    let open = connections.open();
+    let guard = connections.count_open();
     let connections = connections.clone();
     tokio::spawn(async move {
         if refuse {
@@ -184,7 +184,7 @@
         } else {
             connections.serve(stream).await;
         }
-        drop(open);
+        drop(guard);
         drop(permit);
     });
 }
--- a/dragonflyrun/src/connection/http_server/body.rs
+++ b/dragonflyrun/src/connection/http_server/body.rs
@@ -11,52 +11,52 @@
 
 use super::HttpLimits;
 
-/// A sender may take this many pauses for a whole body: one that sends a byte a second would
+/// A sender may take this many pauses for a buffered body: one that sends a byte a second would
 /// otherwise hold a connection for days.
-const PAUSES_PER_BODY: u32 = 12;
+const IDLE_TIMEOUTS_PER_BODY: u32 = 12;
 
 /// Bytes of bodies that all connections hold together.
 #[derive(Debug, Default)]
-pub(super) struct HeldBytes(AtomicUsize);
+pub(super) struct TotalBodyBytes(AtomicUsize);
 
-/// A body; its share of the bytes held goes when this drops, also where the bytes were taken out.
+/// A body; its share of the bytes total goes when this drops, also where the bytes were taken out.
 #[derive(Debug)]
-pub(super) struct HeldBody<'a> {
-    held: &'a HeldBytes,
+pub(super) struct BufferedBody<'a> {
+    total: &'a TotalBodyBytes,
     length: usize,
     pub(super) bytes: Vec<u8>,
 }
 
-impl<'a> HeldBody<'a> {
+impl<'a> BufferedBody<'a> {
     /// Reads `body` to its end.
     ///
     /// # Errors
     ///
     /// The status that tells the sender which limit it broke. Nothing was handled.
     pub(super) async fn read(
-        held: &'a HeldBytes,
+        total: &'a TotalBodyBytes,
         limits: &HttpLimits,
         mut body: Incoming,
     ) -> Result<Self, StatusCode> {
         if body.size_hint().lower() > limits.body_bytes as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let end = Instant::now() + limits.pause * PAUSES_PER_BODY;
-        let mut whole = Self {
-            held,
+        let end = Instant::now() + limits.idle_timeout * IDLE_TIMEOUTS_PER_BODY;
+        let mut buffered = Self {
+            total,
             length: 0,
             bytes: Vec::new(),
         };
         loop {
-            let frame = timeout(limits.pause, body.frame())
+            let frame = timeout(limits.idle_timeout, body.frame())
                 .await
                 .map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
             let Some(frame) = frame else {
-                return Ok(whole);
+                return Ok(buffered);
             };
             let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
             if let Some(data) = frame.data_ref() {
-                whole.push(data, limits)?;
+                buffered.push(data, limits)?;
             }
             if Instant::now() > end {
                 return Err(StatusCode::REQUEST_TIMEOUT);
@@ -68,18 +68,18 @@
         if self.bytes.len() + data.len() > limits.body_bytes {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let before = self.held.0.fetch_add(data.len(), Ordering::Relaxed);
+        let before = self.total.0.fetch_add(data.len(), Ordering::Relaxed);
         self.length += data.len();
         self.bytes.extend_from_slice(data);
-        if before + data.len() > limits.held_bytes {
+        if before + data.len() > limits.total_body_bytes {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
         Ok(())
     }
 }
 
-impl Drop for HeldBody<'_> {
+impl Drop for BufferedBody<'_> {
     fn drop(&mut self) {
-        self.held.0.fetch_sub(self.length, Ordering::Relaxed);
+        self.total.0.fetch_sub(self.length, Ordering::Relaxed);
     }
 }
--- a/dragonflyrun/src/connection/http_server/connections.rs
+++ b/dragonflyrun/src/connection/http_server/connections.rs
@@ -39,31 +39,31 @@
     HttpLimits,
     HttpRequest,
     HttpResponse,
-    body::{HeldBody, HeldBytes}, //
+    body::{BufferedBody, TotalBodyBytes}, //
 };
 
 /// Bytes of a request's head, at the most.
-const HEAD_BYTES: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Headers of a request, at the most.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// A reader that goes on reading may take this many pauses for a whole answer.
-const PAUSES_PER_ANSWER: u32 = 12;
+const IDLE_TIMEOUTS_PER_ANSWER: u32 = 12;
 
 /// Time for which what the peer still sends is read after the answer.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIME: Duration = Duration::from_secs(1);
 
 /// Milliseconds after which a caller that the server refused may come back.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-const OUTCOME: HeaderName = HeaderName::from_static("dragonfly-outcome");
+const OUTCOME_HEADER: HeaderName = HeaderName::from_static("dragonfly-outcome");
 
 /// What the connections of one server share.
 pub(super) struct Connections {
     limits: HttpLimits,
     handler: Arc<Handler>,
-    held: HeldBytes,
+    body_bytes: TotalBodyBytes,
     counts: Mutex<Counts>,
     changed: Condvar,
 }
@@ -76,17 +76,17 @@
 }
 
 /// Counts a connection as open until it is dropped.
-pub(super) struct Open(Arc<Connections>);
+pub(super) struct OpenGuard(Arc<Connections>);
 
 /// Counts a request as in flight until its connection has ended.
-struct InFlight(Arc<Connections>);
+struct InFlightGuard(Arc<Connections>);
 
 impl Connections {
     pub(super) fn new(limits: HttpLimits, handler: Arc<Handler>) -> Self {
         Self {
             limits,
             handler,
-            held: HeldBytes::default(),
+            body_bytes: TotalBodyBytes::default(),
             counts: Mutex::default(),
             changed: Condvar::new(),
         }
@@ -96,9 +96,9 @@
         &self.limits
     }
 
-    pub(super) fn open(self: &Arc<Self>) -> Open {
+    pub(super) fn count_open(self: &Arc<Self>) -> OpenGuard {
         self.counts().open += 1;
-        Open(self.clone())
+        OpenGuard(self.clone())
     }
 
     pub(super) fn in_flight(&self) -> usize {
@@ -110,9 +110,11 @@
         self.changed.notify_all();
     }
 
-    pub(super) fn wait_until_none(&self, most: Duration) -> bool {
+    pub(super) fn wait_until_closed(&self, max_wait: Duration) -> bool {
         let busy = |counts: &mut Counts| !counts.listener_closed || counts.open > 0;
-        let waited = self.changed.wait_timeout_while(self.counts(), most, busy);
+        let waited = self
+            .changed
+            .wait_timeout_while(self.counts(), max_wait, busy);
         let (mut counts, _) = waited.unwrap_or_else(PoisonError::into_inner);
         !busy(&mut counts)
     }
@@ -136,7 +138,8 @@
         let in_flight = Arc::new(Mutex::new(None));
         let service = service_fn(|req| {
             // The guard outlives the answer: it goes when the connection ends.
-            *in_flight.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.begin());
+            *in_flight.lock().unwrap_or_else(PoisonError::into_inner) =
+                Some(self.count_in_flight());
             let answered = answered.clone();
             async move {
                 let response = self.answer(req).await;
@@ -146,14 +149,14 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.limits.pause)
-            .max_buf_size(HEAD_BYTES)
-            .max_headers(HEADERS)
+            .header_read_timeout(self.limits.idle_timeout)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADERS)
             .keep_alive(false)
             .serve_connection(TokioIo::new(io), service);
         let ended = tokio::select! {
             ended = connection.without_shutdown() => ended.map_err(|e| e.to_string()),
-            () = self.reader_stalls(&answered, &written) => Err("reader_stalled".to_owned()),
+            () = self.wait_for_stalled_reader(&answered, &written) => Err("reader_stalled".to_owned()),
         };
         match ended {
             Ok(parts) => linger(parts.io.into_inner().stream).await,
@@ -161,27 +164,31 @@
         }
     }
 
-    /// Tells a caller for whom there is no connection left to come back later.
+    /// Tells a caller for whom there is no connection remaining to come back later.
     pub(super) async fn refuse(&self, mut stream: TcpStream) {
         let answer = format!(
             "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-length: 0\r\n\
              dragonfly-outcome: not-run\r\nretry-after: {}\r\n\r\n",
             RETRY_AFTER_MS.div_ceil(1_000),
         );
-        let written = timeout(self.limits.pause, stream.write_all(answer.as_bytes())).await;
+        let written = timeout(
+            self.limits.idle_timeout,
+            stream.write_all(answer.as_bytes()),
+        )
+        .await;
         if matches!(written, Ok(Ok(()))) {
             linger(stream).await;
         }
     }
 
-    fn begin(self: &Arc<Self>) -> InFlight {
+    fn count_in_flight(self: &Arc<Self>) -> InFlightGuard {
         self.counts().in_flight += 1;
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     async fn answer(self: &Arc<Self>, req: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = req.into_parts();
-        let response = match HeldBody::read(&self.held, &self.limits, body).await {
+        let response = match BufferedBody::read(&self.body_bytes, &self.limits, body).await {
             Ok(mut body) => {
                 let req = HttpRequest {
                     method: head.method,
@@ -194,7 +201,7 @@
             }
             // The handler has not seen the request, so it has not run for certain.
             Err(status) => HttpResponse::text(status, status.canonical_reason().unwrap_or(""))
-                .with_header(OUTCOME, "not-run")
+                .with_header(OUTCOME_HEADER, "not-run")
                 .with_retry_after(RETRY_AFTER_MS),
         };
         let mut answer = Response::new(Full::new(Bytes::from(response.body)));
@@ -213,28 +220,28 @@
     }
 
     /// Returns once the answer's reader has paused too long or taken too long altogether.
-    async fn reader_stalls(&self, answered: &Notify, written: &AtomicU64) {
+    async fn wait_for_stalled_reader(&self, answered: &Notify, written: &AtomicU64) {
         answered.notified().await;
-        let mut before = written.load(Ordering::Relaxed);
-        for _ in 0..PAUSES_PER_ANSWER {
-            sleep(self.limits.pause).await;
+        let mut previous = written.load(Ordering::Relaxed);
+        for _ in 0..IDLE_TIMEOUTS_PER_ANSWER {
+            sleep(self.limits.idle_timeout).await;
             let now = written.load(Ordering::Relaxed);
-            if now == before {
+            if now == previous {
                 return;
             }
-            before = now;
+            previous = now;
         }
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.counts().open -= 1;
         self.0.changed.notify_all();
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.counts().in_flight -= 1;
     }
@@ -249,10 +256,10 @@
     if stream.shutdown().await.is_err() {
         return;
     }
-    let end = Instant::now() + LINGER;
+    let end = Instant::now() + LINGER_TIME;
     let mut buf = [0; 4_096];
-    while let Some(left) = end.checked_duration_since(Instant::now()) {
-        match timeout(left, stream.read(&mut buf)).await {
+    while let Some(remaining) = end.checked_duration_since(Instant::now()) {
+        match timeout(remaining, stream.read(&mut buf)).await {
             Ok(Ok(n)) if n > 0 => {}
             _ => return,
         }
--- a/dragonflyrun/src/connection/links.rs
+++ b/dragonflyrun/src/connection/links.rs
@@ -36,31 +36,31 @@
     connection::{
         Message,
         codec,
-        greeting::{self, Peer}, //
+        handshake::{self, Peer}, //
     },
     utils::{HashMap, HashSet, Name, lock},
 };
 
 /// Bytes of one message, at the most: a body of the largest size with its envelope.
-pub(crate) const MESSAGE_BYTES: usize = 17 << 20;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 17 << 20;
 
 /// Connections whose peer has not yet proved that it knows the secret, at the most.
-const UNPROVED_CONNECTIONS: usize = 64;
+const MAX_UNAUTHENTICATED_CONNECTIONS: usize = 64;
 
 /// Time within which a peer has to prove that it knows the secret.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time after which a silent link is closed, so that a dead peer's socket does not stay.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pause between two attempts to dial a peer.
-const DIAL_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Messages that wait for one peer, at the most.
-const QUEUE_MESSAGES: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
 /// Pause before a full event lane is tried again.
-const LANE_PAUSE: Duration = Duration::from_millis(1);
+const LANE_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 type Stream = WebSocketStream<TcpStream>;
 
@@ -103,7 +103,7 @@
 
 /// A link that is up.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Linked {
+pub struct OpenLink {
     /// The peer.
     pub peer: Name,
     /// Tells the link from an earlier one to the same peer.
@@ -211,36 +211,36 @@
     }
 
     /// Returns the links that are up now, in order of their peers' names.
-    pub fn linked(&self) -> Vec<Linked> {
-        let mut linked: Vec<Linked> = lock(&self.shared.peers)
+    pub fn open_links(&self) -> Vec<OpenLink> {
+        let mut open: Vec<OpenLink> = lock(&self.shared.peers)
             .iter()
-            .map(|(peer, outbound)| Linked {
+            .map(|(peer, outbound)| OpenLink {
                 peer: peer.clone(),
                 link: outbound.link,
             })
             .collect();
-        linked.sort();
-        linked
+        open.sort();
+        open
     }
 }
 
 async fn accept(shared: Arc<Shared>, listener: TcpListener) {
-    let unproved = Arc::new(Semaphore::new(UNPROVED_CONNECTIONS));
+    let unauthenticated = Arc::new(Semaphore::new(MAX_UNAUTHENTICATED_CONNECTIONS));
     loop {
-        let Ok(permit) = unproved.clone().acquire_owned().await else {
+        let Ok(permit) = unauthenticated.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors: accepting again at once would only spin.
-            sleep(DIAL_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let greeted = timeout(GREETING_TIMEOUT, greet_dialer(&shared, stream)).await;
+            let connected = timeout(HANDSHAKE_TIMEOUT, accept_peer(&shared, stream)).await;
             drop(permit);
-            if let Ok(Ok((stream, peer))) = greeted {
-                serve(shared, stream, peer).await;
+            if let Ok(Ok((stream, peer))) = connected {
+                run_link(shared, stream, peer).await;
             }
         });
     }
@@ -248,45 +248,46 @@
 
 async fn dial(shared: Arc<Shared>, address: SocketAddr) {
     loop {
-        let greeted = timeout(GREETING_TIMEOUT, greet_listener(&shared, address)).await;
-        match greeted {
-            Ok(Ok((stream, peer))) => serve(shared.clone(), stream, peer).await,
+        let connected = timeout(HANDSHAKE_TIMEOUT, connect_to_peer(&shared, address)).await;
+        match connected {
+            Ok(Ok((stream, peer))) => run_link(shared.clone(), stream, peer).await,
             Ok(Err(error)) => log::debug!(address:% = address, error:% = error; "dial_failed"),
             Err(_) => log::debug!(address:% = address, error = "timeout"; "dial_failed"),
         }
-        sleep(DIAL_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn greet_dialer(
+async fn accept_peer(
     shared: &Shared,
     stream: TcpStream,
 ) -> Result<(Stream, Peer), tungstenite::Error> {
     stream.set_nodelay(true)?;
-    // Until the peer has proved that it knows the secret it may make us hold a short message only.
-    let short = socket_config(greeting::GREETING_BYTES);
-    let mut socket = tokio_tungstenite::accept_async_with_config(stream, Some(short)).await?;
-    let peer = greeting::accept(&mut socket, &shared.settings).await?;
+    // Until the peer has proved that it knows the secret it may make us hold a handshake_config message only.
+    let handshake_config = socket_config(handshake::MAX_HANDSHAKE_BYTES);
+    let mut socket =
+        tokio_tungstenite::accept_async_with_config(stream, Some(handshake_config)).await?;
+    let peer = handshake::accept(&mut socket, &shared.settings).await?;
     // The dialer sends nothing between its proof and our welcome, so no byte is lost here.
     let stream = socket.into_inner();
     let role = tungstenite::protocol::Role::Server;
-    let long = socket_config(MESSAGE_BYTES);
-    let mut socket = WebSocketStream::from_raw_socket(stream, role, Some(long)).await;
-    greeting::welcome(&mut socket).await?;
+    let message_config = socket_config(MAX_MESSAGE_BYTES);
+    let mut socket = WebSocketStream::from_raw_socket(stream, role, Some(message_config)).await;
+    handshake::confirm(&mut socket).await?;
     Ok((socket, peer))
 }
 
-async fn greet_listener(
+async fn connect_to_peer(
     shared: &Shared,
     address: SocketAddr,
 ) -> Result<(Stream, Peer), tungstenite::Error> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/");
-    let config = socket_config(MESSAGE_BYTES);
+    let message_config = socket_config(MAX_MESSAGE_BYTES);
     let (mut socket, _) =
-        tokio_tungstenite::client_async_with_config(url, stream, Some(config)).await?;
-    let peer = greeting::dial(&mut socket, &shared.settings).await?;
+        tokio_tungstenite::client_async_with_config(url, stream, Some(message_config)).await?;
+    let peer = handshake::dial(&mut socket, &shared.settings).await?;
     Ok((socket, peer))
 }
 
@@ -296,9 +297,9 @@
         .max_frame_size(Some(bytes))
 }
 
-async fn serve(shared: Arc<Shared>, stream: Stream, peer: Peer) {
+async fn run_link(shared: Arc<Shared>, stream: Stream, peer: Peer) {
     let link = shared.next_link.fetch_add(1, Ordering::Relaxed);
-    let (tx, rx) = mpsc::channel(QUEUE_MESSAGES);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (sink, source) = stream.split();
     shared.report(LinkEvent::Up { peer: peer.clone() }).await;
     lock(&shared.peers).insert(peer.name.clone(), Outbound { link, tx });
@@ -331,7 +332,7 @@
 }
 
 async fn read(shared: &Shared, mut source: SplitStream<Stream>, peer: &Peer) {
-    while let Ok(Some(Ok(frame))) = timeout(SILENCE_TIMEOUT, source.next()).await {
+    while let Ok(Some(Ok(frame))) = timeout(READ_TIMEOUT, source.next()).await {
         if !frame.is_binary() {
             continue;
         }
@@ -354,17 +355,17 @@
             LinkEvent::Up { peer } | LinkEvent::Down { peer } => &peer.name,
             LinkEvent::Received { from, .. } => from,
         };
-        let lane = &self.lanes[lane_of(name, self.lanes.len())];
+        let lane = &self.lanes[lane_index(name, self.lanes.len())];
         let mut event = event;
         // A full lane holds the link back, which in turn holds the peer back.
-        while let Err(TrySendError::Full(back)) = lane.try_send(event) {
-            event = back;
-            sleep(LANE_PAUSE).await;
+        while let Err(TrySendError::Full(unsent)) = lane.try_send(event) {
+            event = unsent;
+            sleep(LANE_RETRY_DELAY).await;
         }
     }
 }
 
-fn lane_of(name: &Name, lanes: usize) -> usize {
+fn lane_index(name: &Name, lanes: usize) -> usize {
     use std::hash::BuildHasher;
     let hash = rustc_hash::FxBuildHasher.hash_one(name);
     usize::try_from(hash % lanes as u64).unwrap_or(0)
--- a/dragonflyrun/src/connection/log_client.rs
+++ b/dragonflyrun/src/connection/log_client.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of one answer of the log service, at the most.
-const PAGE_BYTES: u64 = 64 << 20;
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
 quick_error! {
     /// Why the log service did not do what was asked.
@@ -132,7 +132,7 @@
         let mut buf = Vec::new();
         answer
             .into_body()
-            .take(PAGE_BYTES)
+            .take(MAX_ANSWER_BYTES)
             .read_to_end(&mut buf)
             .map_err(|e| LogError::Uncertain(e.to_string()))?;
         match status {
--- a/dragonflyrun/src/connection/mod.rs
+++ b/dragonflyrun/src/connection/mod.rs
@@ -2,7 +2,7 @@
 
 mod backend_client;
 pub mod codec;
-mod greeting;
+mod handshake;
 mod http_server;
 mod links;
 mod log_client;
@@ -12,9 +12,9 @@
 mod worker_client;
 
 pub use backend_client::{BackendRequest, run_at_backend};
-pub use greeting::{Peer, Role};
+pub use handshake::{Peer, Role};
 pub use http_server::{Handler, HttpLimits, HttpRequest, HttpResponse, HttpServer};
-pub use links::{LinkEvent, LinkSettings, Linked, Links, SendError};
+pub use links::{LinkEvent, LinkSettings, Links, OpenLink, SendError};
 pub use log_client::{LogClient, LogError, LogPage, LogRecord};
 pub use message::{
     AgentReport, BackendReport, EntryReport, GangMessage, Heartbeat, KeyMessage, KeyVerdict,
@@ -26,7 +26,7 @@
     Placement, Record, RecordBody,
 };
 pub use seal::{
-    AuthorKey, OpenError, RECORD_BYTES, editor_of, is_backends_token, is_editors_token, open,
+    AuthorKey, MAX_RECORD_BYTES, OpenError, editor_of, is_backend_token, is_editor_token, open,
     open_unchecked,
 };
 pub use worker_client::{
--- a/dragonflyrun/src/connection/seal.rs
+++ b/dragonflyrun/src/connection/seal.rs
@@ -18,7 +18,7 @@
 };
 
 /// Bytes of one sealed record, at the most.
-pub const RECORD_BYTES: usize = 4 << 20;
+pub const MAX_RECORD_BYTES: usize = 4 << 20;
 
 /// Begins the author of an editor's records. No process has such a name, so an editor, who holds
 /// a key of its own, can't write a planner's records.
@@ -64,7 +64,7 @@
 impl AuthorKey {
     /// Derives the key of `author` from the deployment's secret.
     pub fn derive(secret: &str, author: &Name) -> Self {
-        let mut mac = keyed(secret.as_bytes());
+        let mut mac = new_hmac(secret.as_bytes());
         mac.update(author.as_bytes());
         Self {
             author: author.clone(),
@@ -123,7 +123,7 @@
     }
 
     fn sign(&self, id: &Name, body: &str) -> Hmac<Sha256> {
-        let mut mac = keyed(&self.key);
+        let mut mac = new_hmac(&self.key);
         mac.update(&(id.len() as u64).to_be_bytes());
         mac.update(id.as_bytes());
         mac.update(body.as_bytes());
@@ -137,7 +137,7 @@
 ///
 /// Any [`OpenError`]; the record is then skipped by every process alike.
 pub fn open(data: &str, secret: &str) -> Result<Record, OpenError> {
-    let sealed = read(data)?;
+    let sealed = parse(data)?;
     let mac = hex_to_bytes(&sealed.mac).ok_or(OpenError::Forged)?;
     AuthorKey::derive(secret, &sealed.author)
         .sign(&sealed.id, sealed.body.get())
@@ -153,11 +153,11 @@
 ///
 /// Any [`OpenError`] but [`OpenError::Forged`].
 pub fn open_unchecked(data: &str) -> Result<Record, OpenError> {
-    read(data)?.into_record()
+    parse(data)?.into_record()
 }
 
-fn read(data: &str) -> Result<Sealed, OpenError> {
-    if data.len() > RECORD_BYTES {
+fn parse(data: &str) -> Result<Sealed, OpenError> {
+    if data.len() > MAX_RECORD_BYTES {
         return Err(OpenError::Malformed("too long".to_owned()));
     }
     serde_json::from_str(data).map_err(|e| OpenError::Malformed(e.to_string()))
@@ -186,23 +186,23 @@
 }
 
 /// Returns whether `token` is the key of the editor called `editor` in hexadecimal.
-pub fn is_editors_token(secret: &str, editor: &str, token: &str) -> bool {
-    is_token(secret, &author_of(editor), token)
+pub fn is_editor_token(secret: &str, editor: &str, token: &str) -> bool {
+    is_key_in_hex(secret, &author_of(editor), token)
 }
 
 /// Returns whether `token` is the key of the backend server called `backend` in hexadecimal.
-pub fn is_backends_token(secret: &str, backend: &str, token: &str) -> bool {
-    is_token(secret, &format!("{BACKEND_PREFIX}{backend}"), token)
+pub fn is_backend_token(secret: &str, backend: &str, token: &str) -> bool {
+    is_key_in_hex(secret, &format!("{BACKEND_PREFIX}{backend}"), token)
 }
 
-fn is_token(secret: &str, author: &str, token: &str) -> bool {
-    let mut mac = keyed(secret.as_bytes());
+fn is_key_in_hex(secret: &str, author: &str, token: &str) -> bool {
+    let mut mac = new_hmac(secret.as_bytes());
     mac.update(author.as_bytes());
     // Compared in constant time, so that a stranger can't find it out byte by byte.
     hex_to_bytes(token).is_some_and(|bytes| mac.verify_slice(&bytes).is_ok())
 }
 
-fn keyed(key: &[u8]) -> Hmac<Sha256> {
+fn new_hmac(key: &[u8]) -> Hmac<Sha256> {
     // HMAC takes a key of any length, so this can't fail.
     #[allow(clippy::unwrap_used)]
     <Hmac<Sha256> as Mac>::new_from_slice(key).unwrap()
--- a/dragonflyrun/src/connection/worker_client.rs
+++ b/dragonflyrun/src/connection/worker_client.rs
@@ -16,7 +16,7 @@
 use crate::utils::Name;
 
 /// Bytes of one answer of a worker, at the most.
-const ANSWER_BYTES: u64 = 1 << 20;
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 quick_error! {
     /// Why a worker did not do what was asked.
@@ -27,7 +27,7 @@
             display("the accelerators are not free")
         }
         /// There is no such lease, or it has lapsed or ended; nothing took effect.
-        Over {
+        LeaseEnded {
             display("the lease is over")
         }
         /// The worker said no or was not reached; nothing took effect.
@@ -116,18 +116,18 @@
 }
 
 #[derive(Serialize)]
-struct Obtain {
+struct ObtainBody {
     accelerators: u32,
     ttl_ms: u64,
 }
 
 #[derive(Serialize)]
-struct Renew {
+struct RenewBody {
     ttl_ms: u64,
 }
 
 #[derive(Serialize)]
-struct Stop {
+struct StopBody {
     checkpoint: bool,
 }
 
@@ -166,50 +166,54 @@
         accelerators: u32,
         ttl: Duration,
     ) -> Result<WorkerLease, WorkerError> {
-        let body = Obtain {
+        let body = ObtainBody {
             accelerators,
             ttl_ms: millis(ttl),
         };
-        self.call(Method::PUT, &path(lease, ""), &body)
+        self.call(Method::PUT, &lease_path(lease, ""), &body)
     }
 
     /// Lets `lease` lapse `ttl` from now.
     ///
     /// # Errors
     ///
-    /// [`WorkerError::Over`] where it has lapsed, which is never undone.
+    /// [`WorkerError::LeaseEnded`] where it has lapsed, which is never undone.
     pub fn renew(&self, lease: &str, ttl: Duration) -> Result<WorkerLease, WorkerError> {
-        let body = Renew {
+        let body = RenewBody {
             ttl_ms: millis(ttl),
         };
-        self.call(Method::POST, &path(lease, "/renew"), &body)
+        self.call(Method::POST, &lease_path(lease, "/renew"), &body)
     }
 
     /// Starts `tasks` under `lease`. Starting the same ones again changes nothing.
     ///
     /// # Errors
     ///
-    /// [`WorkerError::Over`] where the lease has lapsed or was stopped.
+    /// [`WorkerError::LeaseEnded`] where the lease has lapsed or was stopped.
     pub fn start(&self, lease: &str, tasks: &StartTasks) -> Result<WorkerLease, WorkerError> {
-        self.call(Method::POST, &path(lease, "/start"), tasks)
+        self.call(Method::POST, &lease_path(lease, "/start"), tasks)
     }
 
     /// Returns `lease`.
     ///
     /// # Errors
     ///
-    /// [`WorkerError::Over`] where the worker knows no such lease.
+    /// [`WorkerError::LeaseEnded`] where the worker knows no such lease.
     pub fn lease(&self, lease: &str) -> Result<WorkerLease, WorkerError> {
-        self.call(Method::GET, &path(lease, ""), &())
+        self.call(Method::GET, &lease_path(lease, ""), &())
     }
 
     /// Stops the tasks of `lease`, or gives it back where none runs.
     ///
     /// # Errors
     ///
-    /// [`WorkerError::Over`] where the worker knows no such lease.
+    /// [`WorkerError::LeaseEnded`] where the worker knows no such lease.
     pub fn stop(&self, lease: &str, checkpoint: bool) -> Result<WorkerLease, WorkerError> {
-        self.call(Method::POST, &path(lease, "/stop"), &Stop { checkpoint })
+        self.call(
+            Method::POST,
+            &lease_path(lease, "/stop"),
+            &StopBody { checkpoint },
+        )
     }
 
     /// Lets the worker forget `lease`, and stops its tasks.
@@ -218,7 +222,7 @@
     ///
     /// Any [`WorkerError`]; removing a lease again does no harm.
     pub fn remove(&self, lease: &str) -> Result<(), WorkerError> {
-        self.send(Method::DELETE, &path(lease, ""), &())?;
+        self.send(Method::DELETE, &lease_path(lease, ""), &())?;
         Ok(())
     }
 
@@ -253,19 +257,19 @@
             .body(Body::from(body))
             .map_err(|e| WorkerError::Refused(e.to_string()))?;
         let client = Client::new().with_global_timeout(self.timeout);
-        let answer = client.request(req).map_err(|e| not_answered(&e))?;
+        let answer = client.request(req).map_err(|e| classify_error(&e))?;
         let status = answer.status();
         let mut buf = Vec::new();
         answer
             .into_body()
-            .take(ANSWER_BYTES)
+            .take(MAX_ANSWER_BYTES)
             .read_to_end(&mut buf)
             .map_err(|e| WorkerError::Uncertain(e.to_string()))?;
-        classify(status).map(|()| buf)
+        check_status(status).map(|()| buf)
     }
 }
 
-fn not_answered(error: &io::Error) -> WorkerError {
+fn classify_error(error: &io::Error) -> WorkerError {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         WorkerError::Refused(error.to_string())
     } else {
@@ -274,11 +278,11 @@
 }
 
 /// The published rule of the workers: a 4xx or a 503 took no effect, any other error may have.
-fn classify(status: StatusCode) -> Result<(), WorkerError> {
+fn check_status(status: StatusCode) -> Result<(), WorkerError> {
     match status {
         s if s.is_success() => Ok(()),
         StatusCode::CONFLICT => Err(WorkerError::NotFree),
-        StatusCode::NOT_FOUND | StatusCode::GONE => Err(WorkerError::Over),
+        StatusCode::NOT_FOUND | StatusCode::GONE => Err(WorkerError::LeaseEnded),
         s if s.is_client_error() || s == StatusCode::SERVICE_UNAVAILABLE => {
             Err(WorkerError::Refused(format!("status {s}")))
         }
@@ -286,7 +290,7 @@
     }
 }
 
-fn path(lease: &str, verb: &str) -> String {
+fn lease_path(lease: &str, verb: &str) -> String {
     format!("/v1/leases/{lease}{verb}")
 }
 
--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -320,18 +320,18 @@
                 self.on_lease(now, called_at, lease);
                 self.next_call = now + self.pause_after_answer();
             }
-            (WorkerOp::Stop { .. } | WorkerOp::Inspect, Err(WorkerError::Over)) => {
+            (WorkerOp::Stop { .. } | WorkerOp::Inspect, Err(WorkerError::LeaseEnded)) => {
                 self.on_stopped(now);
             }
             // The tasks may have ended by themselves. Reporting them as lost would stop the
             // remaining members of a gang whose members finish one after another.
-            (WorkerOp::Renew { .. } | WorkerOp::Start(_), Err(WorkerError::Over))
+            (WorkerOp::Renew { .. } | WorkerOp::Start(_), Err(WorkerError::LeaseEnded))
                 if matches!(self.phase, Phase::Starting | Phase::Running) =>
             {
                 self.lease_over = true;
                 self.next_call = now;
             }
-            (_, Err(WorkerError::Over)) => self.stop(now, false, STOPPED_WITHOUT_CHECKPOINT),
+            (_, Err(WorkerError::LeaseEnded)) => self.stop(now, false, STOPPED_WITHOUT_CHECKPOINT),
             (WorkerOp::Obtain { .. }, Err(WorkerError::NotFree | WorkerError::Refused(_))) => {
                 self.on_refused(now);
             }
--- a/dragonflyrun/src/process/agent.rs
+++ b/dragonflyrun/src/process/agent.rs
@@ -19,7 +19,7 @@
         Message,
         Peer,
         Report,
-        is_backends_token, //
+        is_backend_token, //
     },
     process::{
         AgentJobs, AgentRequests, AppendError, Context, Folded, Node, RoleSettings, TOKEN_HEADER,
@@ -62,7 +62,7 @@
             Err(error) => return HttpResponse::text(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let token = req.header(TOKEN_HEADER).unwrap_or_default();
-        if !is_backends_token(&self.cx.settings.secret, &announcement.name, token) {
+        if !is_backend_token(&self.cx.settings.secret, &announcement.name, token) {
             log::warn!(backend:% = announcement.name; "announcement_refused");
             self.cx.counters.event("announcement_refused");
             return HttpResponse::text(StatusCode::FORBIDDEN, "the token does not fit the name\n");
@@ -127,7 +127,7 @@
         if self.leaving.load(Ordering::Relaxed) {
             return Err("leaving");
         }
-        if self.cx.links.linked().is_empty() {
+        if self.cx.links.open_links().is_empty() {
             return Err("not linked to an entry");
         }
         self.cx.readiness()
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -285,8 +285,8 @@
     let limits = HttpLimits {
         connections: cx.settings.connections,
         body_bytes: BODY_BYTES,
-        held_bytes: HELD_BYTES,
-        pause: cx.settings.http_timeout,
+        total_body_bytes: HELD_BYTES,
+        idle_timeout: cx.settings.http_timeout,
     };
     let address = cx.settings.http;
     let (handler, counters) = (node.clone(), cx.clone());
--- a/dragonflyrun/src/process/entry_routes.rs
+++ b/dragonflyrun/src/process/entry_routes.rs
@@ -3,7 +3,7 @@
 use hyper::{Method, StatusCode};
 
 use crate::{
-    connection::{HttpRequest, HttpResponse, is_editors_token},
+    connection::{HttpRequest, HttpResponse, is_editor_token},
     job::JobSpec,
     process::{
         EDITOR_HEADER, EntryNode, JobAnswer, JobRefusal, TOKEN_HEADER, entry_status,
@@ -48,7 +48,7 @@
 ) -> HttpResponse {
     let token = req.header(TOKEN_HEADER).unwrap_or_default();
     let editor = req.header(EDITOR_HEADER).unwrap_or_default();
-    if !is_editors_token(&entry.cx.settings.secret, editor, token) {
+    if !is_editor_token(&entry.cx.settings.secret, editor, token) {
         return job_answer(&JobAnswer::NotRun {
             reason: JobRefusal::Forbidden,
             retry_after_ms: None,
--- a/dragonflyrun/src/process/heartbeats.rs
+++ b/dragonflyrun/src/process/heartbeats.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    connection::{BackendReport, Heartbeat, Linked, Message, Report},
+    connection::{BackendReport, Heartbeat, Message, OpenLink, Report},
     process::{Context, Node, lock},
     utils::{HashMap, Name, Timestamp},
 };
@@ -73,7 +73,7 @@
         }
         sent.take(report, change);
         sent.last = now;
-        for Linked { peer, link } in self.cx.links.linked() {
+        for OpenLink { peer, link } in self.cx.links.open_links() {
             let part = sent.part_for(&peer, link);
             let heartbeat = self.heartbeat(now, &peer, sent.change, part);
             let message = Message::Heartbeat(Box::new(heartbeat));
--- a/dragonflyrun/src/process/log_reader.rs
+++ b/dragonflyrun/src/process/log_reader.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    connection::{Linked, LogRecord, LogView, Message, Role},
+    connection::{LogRecord, LogView, Message, OpenLink, Role},
     process::{Context, Folded, Node, lock},
     utils::{Name, Timestamp},
     version::Verdict,
@@ -163,7 +163,7 @@
     }
 
     fn pass_on(&self, records: &[LogRecord]) {
-        for Linked { peer, .. } in self.cx.links.linked() {
+        for OpenLink { peer, .. } in self.cx.links.open_links() {
             for chunk in records.chunks(RELAYED_RECORDS) {
                 let _ = self.cx.links.send(&peer, Message::Records(chunk.to_vec()));
             }
--- a/dragonflyrun/src/tool/publisher.rs
+++ b/dragonflyrun/src/tool/publisher.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    connection::{AuthorKey, Edit, LogError, RECORD_BYTES, RecordBody, editor_of},
+    connection::{AuthorKey, Edit, LogError, MAX_RECORD_BYTES, RecordBody, editor_of},
     process::Folded,
     tool::{Log, LogReader},
     utils::Name,
@@ -113,8 +113,8 @@
     pub fn publish(&mut self, edit: &Edit) -> Published {
         let id = new_id();
         let record = self.key.seal(&id, &RecordBody::Edit(edit.clone()));
-        if record.len() > RECORD_BYTES {
-            let reason = format!("a record may have {RECORD_BYTES} bytes");
+        if record.len() > MAX_RECORD_BYTES {
+            let reason = format!("a record may have {MAX_RECORD_BYTES} bytes");
             return Published::NotSent { reason };
         }
         let end = Instant::now() + self.patience;
--- a/dragonflyrun/src/version/parse.rs
+++ b/dragonflyrun/src/version/parse.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::{
-    connection::RECORD_BYTES,
+    connection::MAX_RECORD_BYTES,
     utils::HashSet,
     version::{
         Document,
@@ -22,7 +22,7 @@
 
 /// Bytes of a document or a section in JSON, at the most: what fits into a record of the log.
 /// Depth is bounded by the parser, at 128 nested values.
-pub const DOCUMENT_BYTES: usize = RECORD_BYTES;
+pub const DOCUMENT_BYTES: usize = MAX_RECORD_BYTES;
 
 /// A section as an edit carries it, whose keys and types are yet to be checked.
 ///
--- a/dragonflyrun/tests/backend_answers.rs
+++ b/dragonflyrun/tests/backend_answers.rs
@@ -8,7 +8,7 @@
 
 use dragonflyrun::connection::{BackendRequest, NotRun, Outcome, RequestId, run_at_backend};
 
-const MOST: u64 = 1_000;
+const MAX_BODY_BYTES: u64 = 1_000;
 
 /// Starts a backend server that answers one request with these bytes and closes.
 fn server(answer: &[u8]) -> (SocketAddr, thread::JoinHandle<String>) {
@@ -39,7 +39,7 @@
         key: Some("ticket".into()),
         body: b"body".to_vec(),
     };
-    run_at_backend(address, req, MOST)
+    run_at_backend(address, req, MAX_BODY_BYTES)
 }
 
 fn outcome(answer: &[u8]) -> Outcome {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn whole_answer() {
+fn complete_answer() {
     let (address, served) = server(b"HTTP/1.1 201 Created\r\ncontent-length: 5\r\n\r\ngrade");
     let done = Outcome::Done {
         status: 201,
@@ -99,7 +99,10 @@
 /// An answer is larger than what may be passed on. It ran, so "not run" would be false.
 #[test]
 fn too_large_answer() {
-    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", MOST + 1);
+    let head = format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
+        MAX_BODY_BYTES + 1
+    );
     let answer = [head.into_bytes(), vec![b'x'; 1_001]].concat();
     assert_eq!(outcome(&answer), Outcome::Unknown);
 }
@@ -116,8 +119,9 @@
     let closed = listener.local_addr().unwrap();
     drop(listener);
     assert_eq!(run(closed), refused);
-    let says_so = b"HTTP/1.1 503 Busy\r\ndragonfly-not-run: true\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(outcome(says_so), refused);
+    let marked_not_run =
+        b"HTTP/1.1 503 Busy\r\ndragonfly-not-run: true\r\ncontent-length: 0\r\n\r\n";
+    assert_eq!(outcome(marked_not_run), refused);
     let plain = b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n";
     assert!(matches!(outcome(plain), Outcome::Done { status: 503, .. }));
 }
--- a/dragonflyrun/tests/gang_world/worker.rs
+++ b/dragonflyrun/tests/gang_world/worker.rs
@@ -178,7 +178,7 @@
         self.advance(now);
         if let Some(lease) = self.leases.get_mut(name) {
             if !matches!(lease.state, LeaseState::Held | LeaseState::Running) {
-                return Err(WorkerError::Over);
+                return Err(WorkerError::LeaseEnded);
             }
             lease.until = now + ttl;
             return self.lease(now, name);
@@ -262,7 +262,7 @@
         checkpoint: bool,
     ) -> Result<WorkerLease, WorkerError> {
         self.advance(now);
-        let lease = self.leases.get_mut(name).ok_or(WorkerError::Over)?;
+        let lease = self.leases.get_mut(name).ok_or(WorkerError::LeaseEnded)?;
         if matches!(lease.state, LeaseState::Held | LeaseState::Running) {
             if let Some(run) = &lease.run {
                 self.run_records[run.record].end = Some(now);
@@ -296,11 +296,11 @@
         self.leases
             .get_mut(name)
             .filter(|l| matches!(l.state, LeaseState::Held | LeaseState::Running))
-            .ok_or(WorkerError::Over)
+            .ok_or(WorkerError::LeaseEnded)
     }
 
     fn lease(&self, now: u64, name: &Name) -> Result<WorkerLease, WorkerError> {
-        let lease = self.leases.get(name).ok_or(WorkerError::Over)?;
+        let lease = self.leases.get(name).ok_or(WorkerError::LeaseEnded)?;
         Ok(WorkerLease {
             lease: name.clone(),
             state: lease.state,
--- a/dragonflyrun/tests/graceful_stop.rs
+++ b/dragonflyrun/tests/graceful_stop.rs
@@ -19,8 +19,8 @@
     HttpLimits {
         connections: 64,
         body_bytes: BODY,
-        held_bytes: 64 * BODY,
-        pause: Duration::from_secs(5),
+        total_body_bytes: 64 * BODY,
+        idle_timeout: Duration::from_secs(5),
     }
 }
 
--- a/dragonflyrun/tests/http_limits.rs
+++ b/dragonflyrun/tests/http_limits.rs
@@ -16,7 +16,7 @@
 use hyper::StatusCode;
 
 /// A pause that a test can wait for; each bound below is a multiple of it.
-const PAUSE: Duration = Duration::from_millis(300);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Server {
     server: HttpServer,
@@ -24,7 +24,7 @@
 }
 
 /// Starts a server that echoes bodies.
-fn start(connections: usize, held_bytes: usize) -> Server {
+fn start(connections: usize, total_body_bytes: usize) -> Server {
     let handled = Arc::new(AtomicUsize::new(0));
     let count = handled.clone();
     let handler = move |req: HttpRequest| {
@@ -34,8 +34,8 @@
     let limits = HttpLimits {
         connections,
         body_bytes: 1 << 20,
-        held_bytes,
-        pause: PAUSE,
+        total_body_bytes,
+        idle_timeout: IDLE_TIMEOUT,
     };
     let address = ([127, 0, 0, 1], 0).into();
     let server = HttpServer::start(address, limits, Arc::new(handler)).unwrap();
@@ -45,8 +45,8 @@
 impl Server {
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.server.local_addr()).unwrap();
-        let patience = Some(Duration::from_secs(20));
-        stream.set_read_timeout(patience).unwrap();
+        let timeout = Some(Duration::from_secs(20));
+        stream.set_read_timeout(timeout).unwrap();
         stream
     }
 
@@ -129,7 +129,7 @@
     let mut lines = 0;
     while stream.write_all(b"a: b\r\n").is_ok() && lines < 100 {
         lines += 1;
-        thread::sleep(PAUSE / 5);
+        thread::sleep(IDLE_TIMEOUT / 5);
     }
     assert!(lines < 100, "still open after {:?}", begun.elapsed());
     assert_eq!(server.handled.load(Ordering::SeqCst), 0);
@@ -137,7 +137,7 @@
 
 /// A sender stops in the middle of its body.
 #[test]
-fn stopped_body() {
+fn incomplete_body() {
     let server = start(8, 8 << 20);
     let whole = post(b"0123456789");
     let answer = server.exchange(&whole[..whole.len() - 5]);
@@ -151,8 +151,8 @@
     let limits = HttpLimits {
         connections: 1,
         body_bytes: 1 << 20,
-        held_bytes: 8 << 20,
-        pause: PAUSE,
+        total_body_bytes: 8 << 20,
+        idle_timeout: IDLE_TIMEOUT,
     };
     let handler = |_: HttpRequest| HttpResponse::bytes(StatusCode::OK, vec![0; 64 << 20]);
     let address = ([127, 0, 0, 1], 0).into();
@@ -192,7 +192,7 @@
 
 /// Strangers send any bytes. The server goes on serving others.
 #[test]
-fn any_bytes() {
+fn arbitrary_bytes() {
     let server = start(8, 8 << 20);
     for n in 0..200 {
         arbtest(|u| {
--- a/dragonflyrun/tests/peer_links.rs
+++ b/dragonflyrun/tests/peer_links.rs
@@ -13,7 +13,7 @@
 use dragonflyrun::utils::Name;
 
 const SECRET: &str = "a secret of the test deployment";
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Process {
     links: Links,
@@ -49,7 +49,7 @@
 
 impl Process {
     fn next(&self) -> LinkEvent {
-        self.events.recv_timeout(PATIENCE).unwrap()
+        self.events.recv_timeout(TIMEOUT).unwrap()
     }
 
     fn wait_up(&self) -> Name {
@@ -95,20 +95,20 @@
     let (entry, address) = entry(SECRET);
     let stranger = process("agent-1", Role::Agent, "another secret of some deployment");
     stranger.links.dial(&[address]);
-    let friend = process("agent-2", Role::Agent, SECRET);
-    friend.links.dial(&[address]);
-    // The stranger dialed first and goes on dialing, yet the friend's link is the first to be seen.
+    let agent = process("agent-2", Role::Agent, SECRET);
+    agent.links.dial(&[address]);
+    // The stranger dialed first and goes on dialing, yet the agent's link is the first to be seen.
     assert_eq!(&*entry.wait_up(), "agent-2");
     assert!(stranger.events.is_empty());
-    let linked = entry.links.linked();
-    assert_eq!(linked.len(), 1);
+    let links = entry.links.open_links();
+    assert_eq!(links.len(), 1);
 }
 
 /// A port scanner or a broken program connects and sends bytes that are no greeting, half a
 /// greeting, or nothing at all. An entry that panicked or waited for ever on one of them would
 /// take no link any more, and operators would see all agents leave.
 #[test]
-fn stranger_bytes() {
+fn malformed_handshake() {
     let (entry, address) = entry(SECRET);
     arbtest::arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
@@ -132,10 +132,10 @@
 /// A stranger opens a link and sends a first message of many megabytes. Held in memory before the
 /// stranger has proved anything, a few of them would exhaust a small host.
 #[test]
-fn long_greeting() {
+fn oversized_handshake() {
     let (_entry, address) = entry(SECRET);
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
         .write_all(
             b"GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\
@@ -158,7 +158,7 @@
 /// An agent dies and its successor of the same name links before the old link has ended. Messages
 /// to the name must reach the successor, or its work would seem lost.
 #[test]
-fn successor_link() {
+fn replaced_link() {
     let (entry, address) = entry(SECRET);
     let old = process("agent-1", Role::Agent, SECRET);
     old.links.dial(&[address]);
--- a/dragonflyrun/tests/record_seals.rs
+++ b/dragonflyrun/tests/record_seals.rs
@@ -6,7 +6,7 @@
     OpenError,
     Placement,
     RecordBody,
-    is_editors_token,
+    is_editor_token,
     open, //
 };
 use dragonflyrun::process::Ledger;
@@ -61,10 +61,10 @@
     let data = stranger.seal(&"id-1".into(), &term("entry-1", 1));
     assert!(matches!(open(&data, SECRET), Err(OpenError::Forged)));
     let anna = AuthorKey::of_editor(SECRET, &"anna".into());
-    assert!(is_editors_token(SECRET, "anna", &anna.to_hex()));
-    assert!(!is_editors_token(SECRET, "anna", &stranger.to_hex()));
-    assert!(!is_editors_token(SECRET, "bert", &anna.to_hex()));
-    assert!(!is_editors_token(SECRET, "anna", ""));
+    assert!(is_editor_token(SECRET, "anna", &anna.to_hex()));
+    assert!(!is_editor_token(SECRET, "anna", &stranger.to_hex()));
+    assert!(!is_editor_token(SECRET, "bert", &anna.to_hex()));
+    assert!(!is_editor_token(SECRET, "anna", ""));
 }
 
 /// A newer version of the program writes a kind of record that this one does not know. It is
--- a/dragonflyrun/tests/tool_output.rs
+++ b/dragonflyrun/tests/tool_output.rs
@@ -10,7 +10,7 @@
 
 use dragonflyrun::{
     Name,
-    connection::{AuthorKey, is_editors_token},
+    connection::{AuthorKey, is_editor_token},
 };
 use serde_json::{Value, json};
 
@@ -176,7 +176,7 @@
     let secret = "a secret of the deployment";
     let alice: Name = "alice".into();
     let key = AuthorKey::of_editor(secret, &alice).to_hex();
-    assert!(is_editors_token(secret, "alice", &key));
+    assert!(is_editor_token(secret, "alice", &key));
     for (editor, token) in [
         ("bob", &*key),
         ("alice", ""),
@@ -184,12 +184,9 @@
         ("", &key),
         ("", ""),
     ] {
-        assert!(
-            !is_editors_token(secret, editor, token),
-            "{editor}: {token}"
-        );
+        assert!(!is_editor_token(secret, editor, token), "{editor}: {token}");
     }
     let process = AuthorKey::derive(secret, &alice).to_hex();
-    assert!(!is_editors_token(secret, "alice", &process));
+    assert!(!is_editor_token(secret, "alice", &process));
     assert_ne!(process, key);
 }
