--- a/dragonflyrun/src/connection/mod.rs
+++ b/dragonflyrun/src/connection/mod.rs
@@ -22,8 +22,8 @@
     RequestMessage, TaskOrder,
 };
 pub use record::{
-    Carried, CarriedConfiguration, CarriedEntry, CarriedMembership, CarriedSection, Edit, JobEnd,
-    Placement, Record, RecordBody,
+    Edit, JobEnd, Placement, Record, RecordBody, RepeatedConfiguration, RepeatedEntry,
+    RepeatedMembership, RepeatedSection, RepeatedState,
 };
 pub use seal::{
     AuthorKey, MAX_RECORD_BYTES, OpenError, editor_of, is_backend_token, is_editor_token, open,
--- a/dragonflyrun/src/connection/record.rs
+++ b/dragonflyrun/src/connection/record.rs
@@ -110,7 +110,8 @@
         job: JobId,
     },
     /// The planner repeats a live state before the log drops the records it came from.
-    Carried(Carried),
+    #[serde(rename = "carried")]
+    RepeatedState(RepeatedState),
 }
 
 impl RecordBody {
@@ -122,10 +123,10 @@
             | Self::JobStopped { term, .. }
             | Self::JobFenced { term, .. }
             | Self::JobEnded { term, .. }
-            | Self::Carried(
-                Carried::Configuration(CarriedConfiguration { term, .. })
-                | Carried::Job { term, .. }
-                | Carried::Membership(CarriedMembership { term, .. }),
+            | Self::RepeatedState(
+                RepeatedState::Configuration(RepeatedConfiguration { term, .. })
+                | RepeatedState::Job { term, .. }
+                | RepeatedState::Membership(RepeatedMembership { term, .. }),
             ) => Some(*term),
             Self::Edit(_)
             | Self::Term { .. }
@@ -140,9 +141,9 @@
 /// State that the planner repeats on the log; see `docs/DESIGN.md`, retention.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
-pub enum Carried {
+pub enum RepeatedState {
     /// The whole configuration.
-    Configuration(CarriedConfiguration),
+    Configuration(RepeatedConfiguration),
     /// A live job.
     Job {
         /// The planner's term.
@@ -151,12 +152,12 @@
         job: Box<LiveJob>,
     },
     /// The terms, entries and key owners.
-    Membership(CarriedMembership),
+    Membership(RepeatedMembership),
 }
 
 /// All that the fold of the edits looks at; see [`History`](crate::version::History).
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CarriedConfiguration {
+pub struct RepeatedConfiguration {
     /// The planner's term.
     pub term: u64,
     /// The offset up to which the planner had folded the log when it took this state. Edits may
@@ -165,7 +166,7 @@
     /// The offset after the last accepted edit.
     pub version: u64,
     /// The version of each section.
-    pub sections: Vec<CarriedSection>,
+    pub sections: Vec<RepeatedSection>,
     /// The ids of the last edits, to drop a second copy.
     pub recent: Vec<Name>,
     /// The document.
@@ -174,7 +175,7 @@
 
 /// The version of one section in a carried configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CarriedSection {
+pub struct RepeatedSection {
     /// The section.
     pub section: Name,
     /// The offset after its last accepted edit.
@@ -183,7 +184,7 @@
 
 /// The terms, entries and key owners, as the planner repeats them on the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CarriedMembership {
+pub struct RepeatedMembership {
     /// The current term, which is the writer's.
     pub term: u64,
     /// The offset of the last record that changed them.
@@ -191,14 +192,14 @@
     /// The planner.
     pub planner: Name,
     /// Entries with their addresses.
-    pub entries: Vec<CarriedEntry>,
+    pub entries: Vec<RepeatedEntry>,
     /// Owners of keys.
     pub ring: Vec<Name>,
 }
 
 /// An entry in a carried membership.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CarriedEntry {
+pub struct RepeatedEntry {
     /// The entry.
     pub entry: Name,
     /// Where its peer listener is reached.
--- a/dragonflyrun/src/job/job_table.rs
+++ b/dragonflyrun/src/job/job_table.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    connection::{Carried, JobEnd, Placement, RecordBody},
+    connection::{JobEnd, Placement, RecordBody, RepeatedState},
     job::{GangId, JobId, JobSpec},
     utils::{HashMap, Name},
 };
@@ -133,7 +133,7 @@
                     live.cancelled = true;
                 }
             }
-            RecordBody::Carried(Carried::Job { job, .. }) => self.adopt(job),
+            RecordBody::RepeatedState(RepeatedState::Job { job, .. }) => self.adopt(job),
             _ => {}
         }
     }
--- a/dragonflyrun/src/job/planner_records.rs
+++ b/dragonflyrun/src/job/planner_records.rs
@@ -2,7 +2,7 @@
 //! new planner takes the gangs over from its own table.
 
 use crate::{
-    connection::{Carried, JobEnd, Record, RecordBody},
+    connection::{JobEnd, Record, RecordBody, RepeatedState},
     job::{Gang, Item, JobId, LiveJob, Planner, StopReason, planner::PlannedJob},
     utils::Timestamp,
 };
@@ -47,7 +47,7 @@
             | RecordBody::JobFenced { job, .. }
             | RecordBody::JobCancelled { job } => self.on_job(now, job, &folded),
             RecordBody::JobEnded { job, end, .. } => self.on_ended(now, job, *end),
-            RecordBody::Carried(carried) => self.on_carried(now, carried, &folded),
+            RecordBody::RepeatedState(carried) => self.on_carried(now, carried, &folded),
         }
         false
     }
@@ -183,16 +183,16 @@
         self.scheduler.job_gone(now, job);
     }
 
-    fn on_carried(&mut self, now: Timestamp, carried: &Carried, folded: &JobRecord<'_>) {
+    fn on_carried(&mut self, now: Timestamp, carried: &RepeatedState, folded: &JobRecord<'_>) {
         let offset = folded.offset;
         match carried {
-            Carried::Configuration(_) => {
+            RepeatedState::Configuration(_) => {
                 self.on_item_carried(now, Item::Configuration, offset, folded.current);
             }
-            Carried::Membership(_) => {
+            RepeatedState::Membership(_) => {
                 self.on_item_carried(now, Item::Membership, offset, folded.current);
             }
-            Carried::Job { job, .. } => match folded.live {
+            RepeatedState::Job { job, .. } => match folded.live {
                 Some(live) => {
                     let item = Item::Job(job.job.clone());
                     self.on_item_carried(now, item, offset, folded.current);
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -223,7 +223,7 @@
         };
         if let Some(body) = body {
             let mut table = lock(&self.table);
-            let id = self.cx.appender.append(RecordBody::Carried(body));
+            let id = self.cx.appender.append(RecordBody::RepeatedState(body));
             table.appended(id, Purpose::Repeat(item));
         }
     }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    connection::{Carried, MemberReport, Record, RecordBody, Report, Role},
+    connection::{MemberReport, Record, RecordBody, RepeatedState, Report, Role},
     job::{
         AgentMessage, ElectionView, ImpossibleReason, Item, JobId, JobRecord, JobSpec, Planner,
         PlannerAction, PlannerView, Purpose, RENEWAL_WITHOUT_LOG, Renewals, WorkerInfo,
@@ -332,24 +332,26 @@
 /// reached the log between the moment at which it was read and that at which it was repeated.
 fn is_current(ledger: &Ledger, body: &RecordBody) -> bool {
     match body {
-        RecordBody::Carried(Carried::Configuration(carried)) => {
+        RecordBody::RepeatedState(RepeatedState::Configuration(carried)) => {
             carried.version >= ledger.history.current().offset
         }
-        RecordBody::Carried(Carried::Membership(carried)) => {
+        RecordBody::RepeatedState(RepeatedState::Membership(carried)) => {
             ledger.membership.carried().as_ref() == Some(carried)
         }
-        RecordBody::Carried(Carried::Job { job, .. }) => ledger.jobs.live(&job.job) == Some(&**job),
+        RecordBody::RepeatedState(RepeatedState::Job { job, .. }) => {
+            ledger.jobs.live(&job.job) == Some(&**job)
+        }
         _ => true,
     }
 }
 
 /// Returns a state as it is on the log now, to be repeated in a record; none where it is over.
-pub fn carried_body(ledger: &Ledger, item: &Item) -> Option<Carried> {
+pub fn carried_body(ledger: &Ledger, item: &Item) -> Option<RepeatedState> {
     let term = ledger.membership.term();
     match item {
-        Item::Membership => ledger.membership.carried().map(Carried::Membership),
+        Item::Membership => ledger.membership.carried().map(RepeatedState::Membership),
         Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
-        Item::Job(job) => ledger.jobs.live(job).map(|live| Carried::Job {
+        Item::Job(job) => ledger.jobs.live(job).map(|live| RepeatedState::Job {
             term,
             job: Box::new(live.clone()),
         }),
@@ -364,7 +366,7 @@
         | RecordBody::JobFenced { job, .. }
         | RecordBody::JobEnded { job, .. }
         | RecordBody::JobCancelled { job } => Some(job),
-        RecordBody::Carried(Carried::Job { job, .. }) => Some(&job.job),
+        RecordBody::RepeatedState(RepeatedState::Job { job, .. }) => Some(&job.job),
         _ => None,
     }
 }
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::{
-    connection::{Carried, LogRecord, OpenError, Record, RecordBody, editor_of, open},
+    connection::{LogRecord, OpenError, Record, RecordBody, RepeatedState, editor_of, open},
     job::JobTable,
     process::Membership,
     utils::{HashSet, Name},
@@ -173,10 +173,15 @@
         match record.body.planner_term() {
             // Until it knows the planner, a process can't tell which job records are in effect.
             None => membership.is_whole() || !is_about_job(&record.body),
-            Some(term) if matches!(record.body, RecordBody::Carried(Carried::Job { .. })) => {
+            Some(term)
+                if matches!(
+                    record.body,
+                    RecordBody::RepeatedState(RepeatedState::Job { .. })
+                ) =>
+            {
                 membership.is_whole() && term >= membership.term()
             }
-            Some(term) if matches!(record.body, RecordBody::Carried(_)) => {
+            Some(term) if matches!(record.body, RecordBody::RepeatedState(_)) => {
                 term >= membership.term()
             }
             Some(term) => term == membership.term() && membership.planner() == Some(&record.author),
@@ -213,7 +218,7 @@
                 editor: editor_of(&record.author).unwrap_or_else(|| record.author.clone()),
                 edit: edit.clone(),
             }),
-            RecordBody::Carried(Carried::Configuration(carried)) => {
+            RecordBody::RepeatedState(RepeatedState::Configuration(carried)) => {
                 self.history.adopt(offset, carried);
                 None
             }
--- a/dragonflyrun/src/process/membership.rs
+++ b/dragonflyrun/src/process/membership.rs
@@ -1,7 +1,7 @@
 //! Who is planner, which entries there are, and which agents own keys, as the log says.
 
 use crate::{
-    connection::{Carried, CarriedEntry, CarriedMembership, RecordBody},
+    connection::{RecordBody, RepeatedEntry, RepeatedMembership, RepeatedState},
     utils::{HashMap, Name},
 };
 
@@ -57,7 +57,7 @@
             RecordBody::Ring { term, members } if *term == self.term => {
                 self.set_ring(offset, members);
             }
-            RecordBody::Carried(Carried::Membership(carried)) => {
+            RecordBody::RepeatedState(RepeatedState::Membership(carried)) => {
                 self.adopt(offset, carried);
                 return;
             }
@@ -68,7 +68,7 @@
 
     /// Takes over a carried state that is not older than this one. A process that has missed
     /// nothing holds the same state already.
-    fn adopt(&mut self, offset: u64, carried: &CarriedMembership) {
+    fn adopt(&mut self, offset: u64, carried: &RepeatedMembership) {
         if self.whole && carried.updated < self.updated || carried.term < self.term {
             return;
         }
@@ -145,17 +145,17 @@
     }
 
     /// Returns the state as the planner repeats it on the log.
-    pub fn carried(&self) -> Option<CarriedMembership> {
-        let mut entries: Vec<CarriedEntry> = self
+    pub fn carried(&self) -> Option<RepeatedMembership> {
+        let mut entries: Vec<RepeatedEntry> = self
             .entries
             .iter()
-            .map(|(entry, address)| CarriedEntry {
+            .map(|(entry, address)| RepeatedEntry {
                 entry: entry.clone(),
                 address: address.clone(),
             })
             .collect();
         entries.sort_by(|a, b| a.entry.cmp(&b.entry));
-        Some(CarriedMembership {
+        Some(RepeatedMembership {
             term: self.term,
             updated: self.updated,
             planner: self.planner.clone()?,
--- a/dragonflyrun/src/version/history.rs
+++ b/dragonflyrun/src/version/history.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    connection::{Carried, CarriedConfiguration, CarriedSection, Edit},
+    connection::{Edit, RepeatedConfiguration, RepeatedSection, RepeatedState},
     utils::Name,
     version::{
         ADMINISTRATION,
@@ -213,7 +213,7 @@
     /// go back. One with a gap takes it over if it has seen every edit since the state was taken,
     /// and then judges those, so that an edit that reached the log between the taking and the
     /// carrying of the state is not lost.
-    pub fn adopt(&mut self, offset: u64, carried: &CarriedConfiguration) {
+    pub fn adopt(&mut self, offset: u64, carried: &RepeatedConfiguration) {
         let (from, least, edits) = match &mut self.standing {
             Standing::Gap { from, edits } => (*from, self.current.offset, edits),
             Standing::Presumed { from, edits } => (*from, 0, edits),
@@ -232,16 +232,16 @@
 
     /// Returns the state as the planner of `term` repeats it on the log, where `as_of` is the
     /// offset up to which this process has folded the log; none where it is not whole.
-    pub fn carried(&self, term: u64, as_of: u64) -> Option<Carried> {
+    pub fn carried(&self, term: u64, as_of: u64) -> Option<RepeatedState> {
         if !self.is_whole() {
             return None;
         }
         let sections = self.sections.iter().map(|(section, version)| {
             let section = section.clone();
             let version = *version;
-            CarriedSection { section, version }
+            RepeatedSection { section, version }
         });
-        Some(Carried::Configuration(CarriedConfiguration {
+        Some(RepeatedState::Configuration(RepeatedConfiguration {
             term,
             as_of,
             version: self.current.offset,
@@ -251,7 +251,7 @@
         }))
     }
 
-    fn install(&mut self, carried: &CarriedConfiguration) {
+    fn install(&mut self, carried: &RepeatedConfiguration) {
         let document = carried.document.clone();
         if document.format() > FORMAT {
             self.give_up(carried.as_of, document.format());
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -10,11 +10,11 @@
     Name,
     connection::{
         AuthorKey,
-        Carried,
-        CarriedConfiguration,
         Edit,
         LogRecord,
         RecordBody, //
+        RepeatedConfiguration,
+        RepeatedState,
     },
     process::Ledger,
     version::{Document, FORMAT, RawSection, Section, Verdict, Version, parse_section},
@@ -100,13 +100,13 @@
         sections.get(section).copied().unwrap_or(0)
     }
 
-    fn carried(&self) -> Carried {
+    fn carried(&self) -> RepeatedState {
         self.whole.history.carried(1, self.head()).unwrap()
     }
 
-    fn carry(&mut self, carried: Carried) {
+    fn carry(&mut self, carried: RepeatedState) {
         let key = AuthorKey::derive(SECRET, &PLANNER.into());
-        self.write(&key, &RecordBody::Carried(carried));
+        self.write(&key, &RecordBody::RepeatedState(carried));
     }
 
     /// Returns a process that reads the log from its first kept record on.
@@ -324,7 +324,7 @@
 #[test]
 fn forged_carry() {
     let mut world = dropped_start();
-    let forged = Carried::Configuration(CarriedConfiguration {
+    let forged = RepeatedState::Configuration(RepeatedConfiguration {
         term: u64::MAX,
         as_of: world.head(),
         version: world.head() - 1,
@@ -333,7 +333,7 @@
         document: Document::default(),
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
-    world.write(&key, &RecordBody::Carried(forged));
+    world.write(&key, &RecordBody::RepeatedState(forged));
     assert!(!world.late().history.is_whole());
     world.carry(world.carried());
     world.assert_agrees(&world.late());
@@ -399,7 +399,11 @@
 
 /// One thing that happens to the log: an edit from an old or the current version, a second copy, a
 /// state carried late or at once, dropped records, or a stranger's bytes.
-fn step(u: &mut Unstructured<'_>, world: &mut World, taken: &mut Option<Carried>) -> Result<()> {
+fn step(
+    u: &mut Unstructured<'_>,
+    world: &mut World,
+    taken: &mut Option<RepeatedState>,
+) -> Result<()> {
     match u.int_in_range(0..=13)? {
         0..=6 => {
             let section = *u.choose(&SECTIONS)?;
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -431,7 +431,7 @@
                 PlannerAction::Append { body, purpose } => self.queue_append(i, &body, purpose),
                 PlannerAction::Repeat(item) => {
                     if let Some(body) = carried_body(&self.nodes[i].ledger, &item) {
-                        let body = RecordBody::Carried(body);
+                        let body = RecordBody::RepeatedState(body);
                         self.queue_append(i, &body, Purpose::Repeat(item));
                     }
                 }
--- a/dragonflyrun/tests/job_table.rs
+++ b/dragonflyrun/tests/job_table.rs
@@ -1,7 +1,7 @@
 //! The fold of job records that are late, duplicated or about another attempt.
 
 use dragonflyrun::{
-    connection::{Carried, JobEnd, Placement, RecordBody},
+    connection::{JobEnd, Placement, RecordBody, RepeatedState},
     job::{GangId, JobSpec, JobTable, LiveJob},
     utils::Name,
     version::{Adjacency, Urgency},
@@ -148,7 +148,7 @@
     let mut table = table(&[accepted()]);
     let before = live(&table).clone();
     let repeated = |job: &LiveJob| {
-        RecordBody::Carried(Carried::Job {
+        RecordBody::RepeatedState(RepeatedState::Job {
             term: 1,
             job: Box::new(job.clone()),
         })
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -99,7 +99,7 @@
                 PlannerAction::Repeat(item) => match carried_body(&self.ledger, &item) {
                     Some(body) => {
                         let purpose = dragonflyrun::job::Purpose::Repeat(item);
-                        (RecordBody::Carried(body), purpose)
+                        (RecordBody::RepeatedState(body), purpose)
                     }
                     None => continue,
                 },
