--- a/dragonflyrun/src/connection/http_server.rs
+++ b/dragonflyrun/src/connection/http_server.rs
@@ -112,8 +112,8 @@
         self.connections.in_flight()
     }
 
-    /// Stops accepting connections and waits up to `max_wait` until the open ones have ended. Returns
-    /// whether all have ended.
+    /// Stops accepting connections and waits up to `max_wait` until the open ones have ended.
+    /// Returns whether all have ended.
     ///
     /// Before this call, a process that stops must report on its readiness page that it is not
     /// ready, refuse new work in its handler, and give the load balancer time to notice. The call
--- a/dragonflyrun/src/connection/http_server/body.rs
+++ b/dragonflyrun/src/connection/http_server/body.rs
@@ -11,8 +11,8 @@
 
 use super::HttpLimits;
 
-/// Time limit for a complete body, in units of [`HttpLimits::idle_timeout`]. Without it, a sender of
-/// one byte per second could occupy a connection for days.
+/// Time limit for a complete body, in units of [`HttpLimits::idle_timeout`]. Without it, a sender
+/// of one byte per second could occupy a connection for days.
 const IDLE_TIMEOUTS_PER_BODY: u32 = 12;
 
 /// Total size in bytes of the bodies that all connections hold in memory.
--- a/dragonflyrun/src/connection/http_server/connections.rs
+++ b/dragonflyrun/src/connection/http_server/connections.rs
@@ -157,7 +157,7 @@
             .serve_connection(TokioIo::new(io), service);
         let ended = tokio::select! {
             ended = connection.without_shutdown() => ended.map_err(|e| e.to_string()),
-            () = self.wait_for_stalled_reader(&answered, &written) => Err("reader_stalled".to_owned()),
+            () = self.reader_stalled(&answered, &written) => Err("reader_stalled".to_owned()),
         };
         match ended {
             Ok(parts) => linger(parts.io.into_inner().stream).await,
@@ -220,8 +220,8 @@
         })
     }
 
-    /// Returns when the reader of the answer has paused for too long or has taken too long in total.
-    async fn wait_for_stalled_reader(&self, answered: &Notify, written: &AtomicU64) {
+    /// Returns when the reader of the answer has paused for too long or taken too long in total.
+    async fn reader_stalled(&self, answered: &Notify, written: &AtomicU64) {
         answered.notified().await;
         let mut previous = written.load(Ordering::Relaxed);
         for _ in 0..IDLE_TIMEOUTS_PER_ANSWER {
--- a/dragonflyrun/src/connection/http_server/message.rs
+++ b/dragonflyrun/src/connection/http_server/message.rs
@@ -90,7 +90,8 @@
         self
     }
 
-    /// Adds a `Retry-After` header for `ms` milliseconds, rounded up to whole seconds as HTTP requires.
+    /// Adds a `Retry-After` header for `ms` milliseconds, rounded up because HTTP expects full
+    /// seconds.
     pub fn with_retry_after(self, ms: u64) -> Self {
         self.with_header(RETRY_AFTER, &ms.div_ceil(1_000).to_string())
     }
--- a/dragonflyrun/src/connection/worker_client.rs
+++ b/dragonflyrun/src/connection/worker_client.rs
@@ -155,8 +155,8 @@
         self.call(Method::GET, "/v1/worker", &())
     }
 
-    /// Obtains `lease` on `accelerators` for `ttl`. Repeating the call for a held lease only sets its
-    /// remaining time to `ttl`.
+    /// Obtains `lease` on `accelerators` for `ttl`. Repeating the call only sets the remaining time
+    /// of the lease.
     ///
     /// # Errors
     ///
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`WorkerError::LeaseEnded`] if the lease has lapsed; a lapsed lease can't be revived.
+    /// Returns [`WorkerError::LeaseEnded`] if the lease has lapsed, which can't be undone.
     pub fn renew(&self, lease: &str, ttl: Duration) -> Result<WorkerLease, WorkerError> {
         let body = RenewBody {
             ttl_ms: millis(ttl),
@@ -250,7 +250,9 @@
         };
         let uri: Uri = format!("http://{}{path}", self.address)
             .parse()
-            .map_err(|_| WorkerError::Refused("the lease name is not valid in a URL path".to_owned()))?;
+            .map_err(|_| {
+                WorkerError::Refused("the lease name is not valid in a path".to_owned())
+            })?;
         let req = Request::builder()
             .method(method)
             .uri(uri)
@@ -278,8 +280,8 @@
     }
 }
 
-/// Maps an error status to an error. Workers document that a call answered with 4xx or 503 had no
-/// effect; after any other error it may have taken effect.
+/// Returns an error unless `status` is a success. Workers document that a call answered with 4xx or
+/// 503 had no effect; after any other error it may have taken effect.
 fn check_status(status: StatusCode) -> Result<(), WorkerError> {
     match status {
         s if s.is_success() => Ok(()),
--- a/dragonflyrun/tests/backend_answers.rs
+++ b/dragonflyrun/tests/backend_answers.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of what its backend server sends, whole or not.
+//! How an agent interprets complete and incomplete answers of its backend server.
 
 use std::{
     io::{Read, Write},
@@ -10,7 +10,8 @@
 
 const MAX_BODY_BYTES: u64 = 1_000;
 
-/// Starts a backend server that answers one request with these bytes and closes.
+/// Starts a backend server that answers one request with the bytes `answer` and then closes the
+/// connection.
 fn server(answer: &[u8]) -> (SocketAddr, thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -73,9 +74,9 @@
     assert!(matches!(outcome(empty), Outcome::Done { length: 0, .. }));
 }
 
-/// A backend server dies while it answers. The request ran, and nobody may take the part that came
-/// for the whole: not with a length, not in chunks, and not where only the end of the connection
-/// would tell the end of the answer.
+/// A backend server dies while it answers. The request ran, so the agent must not take the partial
+/// answer for a complete one: neither with a length, nor with chunks, nor if only the end of the
+/// connection marks the end of the answer.
 #[test]
 fn cut_off_answers() {
     let answers: [&[u8]; 6] = [
@@ -96,7 +97,7 @@
     }
 }
 
-/// An answer is larger than what may be passed on. It ran, so "not run" would be false.
+/// An answer exceeds the size that may be passed on. The request ran, so "not run" would be wrong.
 #[test]
 fn too_large_answer() {
     let head = format!(
@@ -107,8 +108,8 @@
     assert_eq!(outcome(&answer), Outcome::Unknown);
 }
 
-/// Only a backend server that was not reached, or that says so itself, has not run a request. A
-/// plain 503 may come after it ran.
+/// A request counts as not run only if the backend server was not reached or states that it did not
+/// run the request. A plain 503 may be sent after the request ran.
 #[test]
 fn not_run() {
     let refused = Outcome::NotRun {
--- a/dragonflyrun/tests/http_limits.rs
+++ b/dragonflyrun/tests/http_limits.rs
@@ -1,4 +1,5 @@
-//! The HTTP server holds no more for a stranger than its limits say, and answers one request whole.
+//! The HTTP server enforces its limits on untrusted clients, and answers one request per connection
+//! completely.
 
 use std::{
     io::{Read, Write},
@@ -15,7 +16,7 @@
 use dragonflyrun::connection::{HttpLimits, HttpRequest, HttpResponse, HttpServer};
 use hyper::StatusCode;
 
-/// A pause that a test can wait for; each bound below is a multiple of it.
+/// The server's idle timeout, short enough for a test. Each time limit below is a multiple of it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Server {
@@ -52,7 +53,7 @@
 
     fn exchange(&self, request: &[u8]) -> String {
         let mut stream = self.connect();
-        // The server may have answered and closed before it has read all.
+        // The server may have answered and closed the connection before it has read everything.
         let _ = stream.write_all(request);
         read_all(&mut stream)
     }
@@ -66,7 +67,7 @@
 
 fn read_all(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
-    // A reset after a whole answer is the server's right; what was read counts.
+    // The server may reset the connection after a complete answer; the bytes read so far count.
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -86,8 +87,8 @@
     assert!(answer.ends_with(&"x".repeat(1 << 20)));
 }
 
-/// A caller sends more than the limit. It reads so, with "not run". Most callers write their whole
-/// body before they read; a reset while they still write would be all that they see.
+/// A caller sends a body over the limit and must receive 413 with "not run". Most callers write
+/// their complete body before they read, so after an early close they would see only a reset.
 #[test]
 fn over_limit() {
     let server = start(8, 8 << 20);
@@ -104,22 +105,22 @@
     assert_eq!(server.handled.load(Ordering::SeqCst), 0);
 }
 
-/// Callers send large bodies at once. Together they would fill the memory long before any single
-/// body is over its limit; whoever comes on top is told to come back.
+/// Callers send large bodies at the same time. Together these would exhaust the memory long before
+/// any single body exceeds its limit, so a caller over the total limit is told to try again later.
 #[test]
 fn held_bytes() {
     let server = start(8, 600 << 10);
     let answer = server.exchange(&post(&vec![b'x'; 700 << 10]));
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("retry-after: 1"), "{answer}");
-    // What was refused is held no longer.
+    // The refused body no longer counts towards the total.
     let answer = server.exchange(&post(&vec![b'x'; 500 << 10]));
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert_eq!(server.handled.load(Ordering::SeqCst), 1);
 }
 
-/// A sender sends a header line now and then. With a timeout for each read it would hold its
-/// connection for hours, and a few dozen of its kind the whole listener.
+/// A sender slowly sends one header line after another. With a timeout for each read only, it could
+/// occupy its connection for hours, and a few dozen such senders could block the listener.
 #[test]
 fn slow_head() {
     let server = start(8, 8 << 20);
@@ -135,7 +136,7 @@
     assert_eq!(server.handled.load(Ordering::SeqCst), 0);
 }
 
-/// A sender stops in the middle of its body.
+/// A sender stops in the middle of its body and must receive 408 with "not run".
 #[test]
 fn incomplete_body() {
     let server = start(8, 8 << 20);
@@ -145,7 +146,7 @@
     assert!(answer.contains("dragonfly-outcome: not-run"), "{answer}");
 }
 
-/// A reader asks for a large answer and does not read it. Its connection must come free.
+/// A caller requests a large answer and does not read it. The server must close the connection.
 #[test]
 fn stalled_reader() {
     let limits = HttpLimits {
@@ -164,7 +165,7 @@
     assert!(server.drain(Duration::from_secs(20)));
 }
 
-/// All connections are in use. One more caller is told so at once instead of waiting unheard.
+/// All connections are in use. One more caller must be refused immediately instead of waiting.
 #[test]
 fn too_many_connections() {
     let server = start(1, 8 << 20);
@@ -177,8 +178,8 @@
     assert!(answer.contains("retry-after: 1"), "{answer}");
 }
 
-/// A caller sends its second request behind the first. It must not take anything for the answer
-/// to its second one: the first says that the connection ends.
+/// A caller pipelines a second request. It must not receive anything that it could take for the
+/// answer to the second request: the first answer states that the connection is closed.
 #[test]
 fn pipelined_requests() {
     let server = start(8, 8 << 20);
@@ -190,7 +191,7 @@
     assert_eq!(server.handled.load(Ordering::SeqCst), 1);
 }
 
-/// Strangers send any bytes. The server goes on serving others.
+/// Untrusted clients send arbitrary bytes. The server must continue to serve other clients.
 #[test]
 fn arbitrary_bytes() {
     let server = start(8, 8 << 20);
--- a/dragonflyrun/tests/peer_links.rs
+++ b/dragonflyrun/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! Peer links between processes, and strangers who try to have one.
+//! Peer links between processes, and connections from unauthorized peers.
 
 use std::{
     io::{Read, Write},
@@ -88,8 +88,8 @@
     }
 }
 
-/// A process with another deployment's secret dials an entry, by a mistake in its settings or on
-/// purpose. Were it let in, it could announce backend servers and read callers' requests.
+/// A process with the secret of another deployment dials an entry, by misconfiguration or on
+/// purpose. If it were accepted, it could announce backend servers and read callers' requests.
 #[test]
 fn wrong_secret() {
     let (entry, address) = entry(SECRET);
@@ -97,16 +97,16 @@
     stranger.links.dial(&[address]);
     let agent = process("agent-2", Role::Agent, SECRET);
     agent.links.dial(&[address]);
-    // The stranger dialed first and goes on dialing, yet the agent's link is the first to be seen.
+    // The stranger dialed first and keeps dialing, yet the agent's link is the first to open.
     assert_eq!(&*entry.wait_up(), "agent-2");
     assert!(stranger.events.is_empty());
     let links = entry.links.open_links();
     assert_eq!(links.len(), 1);
 }
 
-/// A port scanner or a broken program connects and sends bytes that are no greeting, half a
-/// greeting, or nothing at all. An entry that panicked or waited for ever on one of them would
-/// take no link any more, and operators would see all agents leave.
+/// A port scanner or a faulty program connects and sends bytes that are not a handshake, a partial
+/// handshake, or nothing. If the entry panicked or waited forever on such a connection, it could no
+/// longer accept links, and operators would see all agents disappear.
 #[test]
 fn malformed_handshake() {
     let (entry, address) = entry(SECRET);
@@ -129,8 +129,8 @@
     assert_eq!(&*entry.wait_up(), "agent-1");
 }
 
-/// A stranger opens a link and sends a first message of many megabytes. Held in memory before the
-/// stranger has proved anything, a few of them would exhaust a small host.
+/// An unauthenticated peer connects and sends a first message of many megabytes. If the entry
+/// buffered such messages, a few of them would exhaust the memory of a small host.
 #[test]
 fn oversized_handshake() {
     let (_entry, address) = entry(SECRET);
@@ -142,21 +142,21 @@
               Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: AAAAAAAAAAAAAAAAAAAAAA==\r\n\r\n",
         )
         .unwrap();
-    // The head of a masked binary frame of 16 MiB, of which only the first part ever comes.
+    // The header of a masked binary frame of 16 MiB, of which only the first part is sent.
     let mut frame = vec![0x82, 0xff];
     frame.extend((16_u64 << 20).to_be_bytes());
     frame.extend([0; 4]);
     frame.extend(vec![0; 8 << 10]);
     let _ = stream.write_all(&frame);
-    // The entry closes the connection without waiting for the rest.
+    // The entry must close the connection without waiting for the remaining bytes.
     let mut answer = Vec::new();
     let end = stream.read_to_end(&mut answer);
     let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
     assert!(!timed_out, "the entry still waits for the rest");
 }
 
-/// An agent dies and its successor of the same name links before the old link has ended. Messages
-/// to the name must reach the successor, or its work would seem lost.
+/// An agent dies, and its successor with the same name opens a link before the old link has closed.
+/// Messages to the name must reach the successor, or its work would appear lost.
 #[test]
 fn replaced_link() {
     let (entry, address) = entry(SECRET);
