--- a/dragonflyrun/src/connection/handshake.rs
+++ b/dragonflyrun/src/connection/handshake.rs
@@ -137,8 +137,8 @@
     Ok(remote.peer)
 }
 
-fn check_protocol(remote: u32) -> Result<(), Error> {
-    if remote == PROTOCOL_VERSION {
+fn check_protocol(version: u32) -> Result<(), Error> {
+    if version == PROTOCOL_VERSION {
         return Ok(());
     }
     Err(permission_denied(
--- a/dragonflyrun/src/connection/seal.rs
+++ b/dragonflyrun/src/connection/seal.rs
@@ -29,7 +29,7 @@
 const BACKEND_PREFIX: &str = "backend/";
 
 quick_error! {
-    /// The reason why an entry of the log is not a valid record.
+    /// The reason why data on the log is not a valid record.
     #[derive(Debug)]
     pub enum OpenError {
         /// The data is not a sealed record.
