--- a/dragonflyrun/src/connection/links.rs
+++ b/dragonflyrun/src/connection/links.rs
@@ -1,6 +1,7 @@
-//! Peer links: authenticated WebSocket connections between the system's own processes.
+//! Peer links: authenticated WebSocket connections between the processes of a deployment.
 //!
-//! See `docs/DESIGN.md`, peer links, for who dials whom and how two versions meet.
+//! See `docs/DESIGN.md`, peer links, for which process dials which, and for how processes of
+//! different versions communicate.
 
 use std::{
     io,
@@ -36,58 +37,59 @@
     connection::{
         Message,
         codec,
-        greeting::{self, Peer}, //
+        handshake::{self, Peer}, //
     },
     utils::{HashMap, HashSet, Name, lock},
 };
 
-/// Bytes of one message, at the most: a body of the largest size with its envelope.
-pub(crate) const MESSAGE_BYTES: usize = 17 << 20;
+/// Maximum size of a message in bytes: a request body of the maximum size with its envelope.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 17 << 20;
 
-/// Connections whose peer has not yet proved that it knows the secret, at the most.
-const UNPROVED_CONNECTIONS: usize = 64;
+/// Maximum number of connections whose peer has not yet proved that it knows the secret.
+const MAX_UNAUTHENTICATED_CONNECTIONS: usize = 64;
 
-/// Time within which a peer has to prove that it knows the secret.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for the handshake, in which the peer must prove that it knows the secret.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time after which a silent link is closed, so that a dead peer's socket does not stay.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without a frame after which a link is closed, so that the socket of a dead peer does not
+/// stay open.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two attempts to dial a peer.
-const DIAL_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a peer is dialed again, and before the listener accepts again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Messages that wait for one peer, at the most.
-const QUEUE_MESSAGES: usize = 4_096;
+/// Maximum number of messages that are queued for one peer.
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
-/// Pause before a full event lane is tried again.
-const LANE_PAUSE: Duration = Duration::from_millis(1);
+/// Delay before an event is sent again to a lane that was full.
+const LANE_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 type Stream = WebSocketStream<TcpStream>;
 
 quick_error! {
-    /// Why a message was not handed to a link. It has not been sent.
+    /// The reason why a message was not queued on a link. The message has not been sent.
     #[derive(Clone, Copy, Debug, Eq, PartialEq)]
     pub enum SendError {
-        /// There is no link to the peer.
+        /// No link to the peer is open.
         NotLinked {
             display("not linked to the peer")
         }
-        /// The peer takes messages more slowly than they come.
+        /// The peer reads messages more slowly than they are queued.
         Full {
             display("the peer's queue is full")
         }
     }
 }
 
-/// What the links report, in order for each peer.
+/// An event on a link. The events of one peer are reported in order.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A peer has proved that it knows the secret.
+    /// A link to a peer opened; the peer has proved that it knows the secret.
     Up {
         /// The peer.
         peer: Peer,
     },
-    /// The link to a peer ended.
+    /// The link to a peer closed.
     Down {
         /// The peer.
         peer: Peer,
@@ -101,19 +103,19 @@
     },
 }
 
-/// A link that is up.
+/// An open link.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Linked {
+pub struct OpenLink {
     /// The peer.
     pub peer: Name,
-    /// Tells the link from an earlier one to the same peer.
+    /// A number that distinguishes the link from earlier links to the same peer.
     pub link: u64,
 }
 
-/// What the links need to know of their process.
+/// The settings of a process that its links need.
 #[derive(Clone, Debug)]
 pub struct LinkSettings {
-    /// This process.
+    /// The identity of this process.
     pub identity: Peer,
     /// The secret that all processes of one deployment share.
     pub secret: Name,
@@ -133,19 +135,20 @@
     peers: Mutex<HashMap<Name, Outbound>>,
 }
 
-/// The sending half of a link, with a number that tells it from a later link to the same peer.
+/// The sending half of a link, with a number that distinguishes it from other links to the same
+/// peer.
 struct Outbound {
     link: u64,
     tx: mpsc::Sender<Message>,
 }
 
 impl Links {
-    /// Starts the threads that carry the links. Events of one peer always use the same of the
-    /// `lanes`, so that they stay in order.
+    /// Starts the threads that serve the links. All events of a peer go to the same one of the
+    /// `lanes`, so they stay in order.
     ///
     /// # Errors
     ///
-    /// Where the system gives no thread.
+    /// Returns an error if the threads can't be started.
     pub fn new(settings: LinkSettings, lanes: Vec<Sender<LinkEvent>>) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -165,11 +168,11 @@
         })
     }
 
-    /// Accepts links at `address` and returns the address that was bound.
+    /// Starts to accept links at `address` and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub fn listen(&self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = self.runtime.block_on(TcpListener::bind(address))?;
         let bound = listener.local_addr()?;
@@ -177,7 +180,7 @@
         Ok(bound)
     }
 
-    /// Keeps a link to each of `addresses`, and stops dialing any other.
+    /// Maintains a link to each of `addresses` and stops dialing all other addresses.
     pub fn dial(&self, addresses: &[SocketAddr]) {
         let wanted: HashSet<SocketAddr> = addresses.iter().copied().collect();
         let mut dialers = lock(&self.dialers);
@@ -195,12 +198,12 @@
         }
     }
 
-    /// Hands `message` to the link to `peer` without waiting.
+    /// Queues `message` on the link to `peer` without blocking.
     ///
     /// # Errors
     ///
-    /// [`SendError`] where it was not handed over, and so is not sent. A message that was handed
-    /// over may be lost all the same.
+    /// Returns a [`SendError`] if the message was not queued; it is then never sent. A message that
+    /// was queued may still be lost.
     pub fn send(&self, peer: &Name, message: Message) -> Result<(), SendError> {
         let peers = lock(&self.shared.peers);
         let outbound = peers.get(peer).ok_or(SendError::NotLinked)?;
@@ -210,37 +213,37 @@
         })
     }
 
-    /// Returns the links that are up now, in order of their peers' names.
-    pub fn linked(&self) -> Vec<Linked> {
-        let mut linked: Vec<Linked> = lock(&self.shared.peers)
+    /// Returns the open links, ordered by the names of their peers.
+    pub fn open_links(&self) -> Vec<OpenLink> {
+        let mut open: Vec<OpenLink> = lock(&self.shared.peers)
             .iter()
-            .map(|(peer, outbound)| Linked {
+            .map(|(peer, outbound)| OpenLink {
                 peer: peer.clone(),
                 link: outbound.link,
             })
             .collect();
-        linked.sort();
-        linked
+        open.sort();
+        open
     }
 }
 
 async fn accept(shared: Arc<Shared>, listener: TcpListener) {
-    let unproved = Arc::new(Semaphore::new(UNPROVED_CONNECTIONS));
+    let unauthenticated = Arc::new(Semaphore::new(MAX_UNAUTHENTICATED_CONNECTIONS));
     loop {
-        let Ok(permit) = unproved.clone().acquire_owned().await else {
+        let Ok(permit) = unauthenticated.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors: accepting again at once would only spin.
-            sleep(DIAL_PAUSE).await;
+            // The process may be out of file descriptors; an immediate retry would busy-loop.
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let greeted = timeout(GREETING_TIMEOUT, greet_dialer(&shared, stream)).await;
+            let connected = timeout(HANDSHAKE_TIMEOUT, accept_peer(&shared, stream)).await;
             drop(permit);
-            if let Ok(Ok((stream, peer))) = greeted {
-                serve(shared, stream, peer).await;
+            if let Ok(Ok((stream, peer))) = connected {
+                run_link(shared, stream, peer).await;
             }
         });
     }
@@ -248,45 +251,46 @@
 
 async fn dial(shared: Arc<Shared>, address: SocketAddr) {
     loop {
-        let greeted = timeout(GREETING_TIMEOUT, greet_listener(&shared, address)).await;
-        match greeted {
-            Ok(Ok((stream, peer))) => serve(shared.clone(), stream, peer).await,
+        let connected = timeout(HANDSHAKE_TIMEOUT, connect_to_peer(&shared, address)).await;
+        match connected {
+            Ok(Ok((stream, peer))) => run_link(shared.clone(), stream, peer).await,
             Ok(Err(error)) => log::debug!(address:% = address, error:% = error; "dial_failed"),
             Err(_) => log::debug!(address:% = address, error = "timeout"; "dial_failed"),
         }
-        sleep(DIAL_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn greet_dialer(
+async fn accept_peer(
     shared: &Shared,
     stream: TcpStream,
 ) -> Result<(Stream, Peer), tungstenite::Error> {
     stream.set_nodelay(true)?;
-    // Until the peer has proved that it knows the secret it may make us hold a short message only.
-    let short = socket_config(greeting::GREETING_BYTES);
-    let mut socket = tokio_tungstenite::accept_async_with_config(stream, Some(short)).await?;
-    let peer = greeting::accept(&mut socket, &shared.settings).await?;
-    // The dialer sends nothing between its proof and our welcome, so no byte is lost here.
+    // An unauthenticated peer may make us buffer only a short message.
+    let handshake_config = socket_config(handshake::MAX_HANDSHAKE_BYTES);
+    let mut socket =
+        tokio_tungstenite::accept_async_with_config(stream, Some(handshake_config)).await?;
+    let peer = handshake::accept(&mut socket, &shared.settings).await?;
+    // The dialer sends nothing between its proof and our confirmation, so no byte is lost here.
     let stream = socket.into_inner();
     let role = tungstenite::protocol::Role::Server;
-    let long = socket_config(MESSAGE_BYTES);
-    let mut socket = WebSocketStream::from_raw_socket(stream, role, Some(long)).await;
-    greeting::welcome(&mut socket).await?;
+    let message_config = socket_config(MAX_MESSAGE_BYTES);
+    let mut socket = WebSocketStream::from_raw_socket(stream, role, Some(message_config)).await;
+    handshake::confirm(&mut socket).await?;
     Ok((socket, peer))
 }
 
-async fn greet_listener(
+async fn connect_to_peer(
     shared: &Shared,
     address: SocketAddr,
 ) -> Result<(Stream, Peer), tungstenite::Error> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/");
-    let config = socket_config(MESSAGE_BYTES);
+    let message_config = socket_config(MAX_MESSAGE_BYTES);
     let (mut socket, _) =
-        tokio_tungstenite::client_async_with_config(url, stream, Some(config)).await?;
-    let peer = greeting::dial(&mut socket, &shared.settings).await?;
+        tokio_tungstenite::client_async_with_config(url, stream, Some(message_config)).await?;
+    let peer = handshake::dial(&mut socket, &shared.settings).await?;
     Ok((socket, peer))
 }
 
@@ -296,9 +300,9 @@
         .max_frame_size(Some(bytes))
 }
 
-async fn serve(shared: Arc<Shared>, stream: Stream, peer: Peer) {
+async fn run_link(shared: Arc<Shared>, stream: Stream, peer: Peer) {
     let link = shared.next_link.fetch_add(1, Ordering::Relaxed);
-    let (tx, rx) = mpsc::channel(QUEUE_MESSAGES);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (sink, source) = stream.split();
     shared.report(LinkEvent::Up { peer: peer.clone() }).await;
     lock(&shared.peers).insert(peer.name.clone(), Outbound { link, tx });
@@ -331,7 +335,7 @@
 }
 
 async fn read(shared: &Shared, mut source: SplitStream<Stream>, peer: &Peer) {
-    while let Ok(Some(Ok(frame))) = timeout(SILENCE_TIMEOUT, source.next()).await {
+    while let Ok(Some(Ok(frame))) = timeout(READ_TIMEOUT, source.next()).await {
         if !frame.is_binary() {
             continue;
         }
@@ -340,7 +344,7 @@
                 let from = peer.name.clone();
                 shared.report(LinkEvent::Received { from, message }).await;
             }
-            // A newer peer may say what this version does not know; the link goes on without it.
+            // A newer peer may send messages that this version does not know; the link stays open.
             Err(error) => {
                 log::warn!(peer:% = peer.name, error:% = error; "message_not_understood");
             }
@@ -354,17 +358,17 @@
             LinkEvent::Up { peer } | LinkEvent::Down { peer } => &peer.name,
             LinkEvent::Received { from, .. } => from,
         };
-        let lane = &self.lanes[lane_of(name, self.lanes.len())];
+        let lane = &self.lanes[lane_index(name, self.lanes.len())];
         let mut event = event;
-        // A full lane holds the link back, which in turn holds the peer back.
-        while let Err(TrySendError::Full(back)) = lane.try_send(event) {
-            event = back;
-            sleep(LANE_PAUSE).await;
+        // While the lane is full, no more frames are read, which applies backpressure to the peer.
+        while let Err(TrySendError::Full(unsent)) = lane.try_send(event) {
+            event = unsent;
+            sleep(LANE_RETRY_DELAY).await;
         }
     }
 }
 
-fn lane_of(name: &Name, lanes: usize) -> usize {
+fn lane_index(name: &Name, lanes: usize) -> usize {
     use std::hash::BuildHasher;
     let hash = rustc_hash::FxBuildHasher.hash_one(name);
     usize::try_from(hash % lanes as u64).unwrap_or(0)
--- a/dragonflyrun/src/process/daemon.rs
+++ b/dragonflyrun/src/process/daemon.rs
@@ -287,8 +287,8 @@
     let limits = HttpLimits {
         connections: cx.settings.connections,
         body_bytes: MAX_BODY_BYTES,
-        held_bytes: MAX_TOTAL_BODY_BYTES,
-        pause: cx.settings.http_timeout,
+        total_body_bytes: MAX_TOTAL_BODY_BYTES,
+        idle_timeout: cx.settings.http_timeout,
     };
     let address = cx.settings.http;
     let (handler, counters) = (node.clone(), cx.clone());
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    connection::{Carried, MemberReport, Record, RecordBody, Report, Role},
+    connection::{MemberReport, Record, RecordBody, RepeatedState, Report, Role},
     job::{
         AgentMessage, ElectionView, ImpossibleReason, Item, JobId, JobRecord, JobSpec, Planner,
         PlannerAction, PlannerView, Purpose, RENEWAL_WITHOUT_LOG, Renewals, WorkerInfo,
@@ -342,24 +342,26 @@
 /// the log after the state was read and before it was appended.
 fn is_current(ledger: &Ledger, body: &RecordBody) -> bool {
     match body {
-        RecordBody::Carried(Carried::Configuration(carried)) => {
+        RecordBody::RepeatedState(RepeatedState::Configuration(carried)) => {
             carried.version >= ledger.history.current().offset
         }
-        RecordBody::Carried(Carried::Membership(carried)) => {
+        RecordBody::RepeatedState(RepeatedState::Membership(carried)) => {
             ledger.membership.state_to_repeat().as_ref() == Some(carried)
         }
-        RecordBody::Carried(Carried::Job { job, .. }) => ledger.jobs.live(&job.job) == Some(&**job),
+        RecordBody::RepeatedState(RepeatedState::Job { job, .. }) => {
+            ledger.jobs.live(&job.job) == Some(&**job)
+        }
         _ => true,
     }
 }
 
 /// Returns the current state of `item`, to be repeated on the log; `None` if it has ended.
-pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<Carried> {
+pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<RepeatedState> {
     let term = ledger.membership.term();
     match item {
-        Item::Membership => ledger.membership.state_to_repeat().map(Carried::Membership),
+        Item::Membership => ledger.membership.state_to_repeat().map(RepeatedState::Membership),
         Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
-        Item::Job(job) => ledger.jobs.live(job).map(|live| Carried::Job {
+        Item::Job(job) => ledger.jobs.live(job).map(|live| RepeatedState::Job {
             term,
             job: Box::new(live.clone()),
         }),
@@ -374,7 +376,7 @@
         | RecordBody::JobFenced { job, .. }
         | RecordBody::JobEnded { job, .. }
         | RecordBody::JobCancelled { job } => Some(job),
-        RecordBody::Carried(Carried::Job { job, .. }) => Some(&job.job),
+        RecordBody::RepeatedState(RepeatedState::Job { job, .. }) => Some(&job.job),
         _ => None,
     }
 }
--- a/dragonflyrun/src/process/log_reader.rs
+++ b/dragonflyrun/src/process/log_reader.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    connection::{Linked, LogRecord, LogView, Message, Role},
+    connection::{LogRecord, LogView, Message, OpenLink, Role},
     process::{Context, Folded, Node, lock},
     utils::{Name, Timestamp},
     version::Verdict,
@@ -169,7 +169,7 @@
     }
 
     fn relay(&self, records: &[LogRecord]) {
-        for Linked { peer, .. } in self.cx.links.linked() {
+        for OpenLink { peer, .. } in self.cx.links.open_links() {
             for chunk in records.chunks(MAX_RELAYED_RECORDS) {
                 let _ = self.cx.links.send(&peer, Message::Records(chunk.to_vec()));
             }
--- a/dragonflyrun/src/process/membership.rs
+++ b/dragonflyrun/src/process/membership.rs
@@ -1,7 +1,7 @@
 //! The planner, the entries and the agents that own keys, as folded from the log.
 
 use crate::{
-    connection::{Carried, CarriedEntry, CarriedMembership, RecordBody},
+    connection::{RecordBody, RepeatedEntry, RepeatedMembership, RepeatedState},
     utils::{HashMap, Name},
 };
 
@@ -58,7 +58,7 @@
             RecordBody::Ring { term, members } if *term == self.term => {
                 self.set_ring(offset, members);
             }
-            RecordBody::Carried(Carried::Membership(carried)) => {
+            RecordBody::RepeatedState(RepeatedState::Membership(carried)) => {
                 self.adopt(offset, carried);
                 return;
             }
@@ -69,7 +69,7 @@
 
     /// Adopts a repeated state unless it is older than this one. A process that has missed nothing
     /// already holds the same state.
-    fn adopt(&mut self, offset: u64, carried: &CarriedMembership) {
+    fn adopt(&mut self, offset: u64, carried: &RepeatedMembership) {
         if self.complete && carried.updated < self.updated || carried.term < self.term {
             return;
         }
@@ -146,17 +146,17 @@
     }
 
     /// Returns the state that the planner repeats on the log; `None` before the first term.
-    pub fn state_to_repeat(&self) -> Option<CarriedMembership> {
-        let mut entries: Vec<CarriedEntry> = self
+    pub fn state_to_repeat(&self) -> Option<RepeatedMembership> {
+        let mut entries: Vec<RepeatedEntry> = self
             .entries
             .iter()
-            .map(|(entry, address)| CarriedEntry {
+            .map(|(entry, address)| RepeatedEntry {
                 entry: entry.clone(),
                 address: address.clone(),
             })
             .collect();
         entries.sort_by(|a, b| a.entry.cmp(&b.entry));
-        Some(CarriedMembership {
+        Some(RepeatedMembership {
             term: self.term,
             updated: self.updated,
             planner: self.planner.clone()?,
--- a/dragonflyrun/tests/backend_answers.rs
+++ b/dragonflyrun/tests/backend_answers.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of what its backend server sends, whole or not.
+//! How an agent interprets complete and incomplete answers of its backend server.
 
 use std::{
     io::{Read, Write},
@@ -8,9 +8,10 @@
 
 use dragonflyrun::connection::{BackendRequest, NotRun, Outcome, RequestId, run_at_backend};
 
-const MOST: u64 = 1_000;
+const MAX_BODY_BYTES: u64 = 1_000;
 
-/// Starts a backend server that answers one request with these bytes and closes.
+/// Starts a backend server that answers one request with the bytes `answer` and then closes the
+/// connection.
 fn server(answer: &[u8]) -> (SocketAddr, thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -39,7 +40,7 @@
         key: Some("ticket".into()),
         body: b"body".to_vec(),
     };
-    run_at_backend(address, req, MOST)
+    run_at_backend(address, req, MAX_BODY_BYTES)
 }
 
 fn outcome(answer: &[u8]) -> Outcome {
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn whole_answer() {
+fn complete_answer() {
     let (address, served) = server(b"HTTP/1.1 201 Created\r\ncontent-length: 5\r\n\r\ngrade");
     let done = Outcome::Done {
         status: 201,
@@ -73,9 +74,9 @@
     assert!(matches!(outcome(empty), Outcome::Done { length: 0, .. }));
 }
 
-/// A backend server dies while it answers. The request ran, and nobody may take the part that came
-/// for the whole: not with a length, not in chunks, and not where only the end of the connection
-/// would tell the end of the answer.
+/// A backend server dies while it answers. The request ran, so the agent must not take the partial
+/// answer for a complete one: neither with a length, nor with chunks, nor if only the end of the
+/// connection marks the end of the answer.
 #[test]
 fn cut_off_answers() {
     let answers: [&[u8]; 6] = [
@@ -96,16 +97,19 @@
     }
 }
 
-/// An answer is larger than what may be passed on. It ran, so "not run" would be false.
+/// An answer exceeds the size that may be passed on. The request ran, so "not run" would be wrong.
 #[test]
 fn too_large_answer() {
-    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", MOST + 1);
+    let head = format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
+        MAX_BODY_BYTES + 1
+    );
     let answer = [head.into_bytes(), vec![b'x'; 1_001]].concat();
     assert_eq!(outcome(&answer), Outcome::Unknown);
 }
 
-/// Only a backend server that was not reached, or that says so itself, has not run a request. A
-/// plain 503 may come after it ran.
+/// A request counts as not run only if the backend server was not reached or states that it did not
+/// run the request. A plain 503 may be sent after the request ran.
 #[test]
 fn not_run() {
     let refused = Outcome::NotRun {
@@ -116,8 +120,9 @@
     let closed = listener.local_addr().unwrap();
     drop(listener);
     assert_eq!(run(closed), refused);
-    let says_so = b"HTTP/1.1 503 Busy\r\ndragonfly-not-run: true\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(outcome(says_so), refused);
+    let marked_not_run =
+        b"HTTP/1.1 503 Busy\r\ndragonfly-not-run: true\r\ncontent-length: 0\r\n\r\n";
+    assert_eq!(outcome(marked_not_run), refused);
     let plain = b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n";
     assert!(matches!(outcome(plain), Outcome::Done { status: 503, .. }));
 }
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -10,11 +10,11 @@
     Name,
     connection::{
         AuthorKey,
-        Carried,
-        CarriedConfiguration,
         Edit,
         LogRecord,
         RecordBody, //
+        RepeatedConfiguration,
+        RepeatedState,
     },
     process::Ledger,
     version::{Document, FORMAT, RawSection, Section, Verdict, Version, parse_section},
@@ -101,13 +101,13 @@
         sections.get(section).copied().unwrap_or(0)
     }
 
-    fn state_to_repeat(&self) -> Carried {
+    fn state_to_repeat(&self) -> RepeatedState {
         self.reference.history.carried(1, self.head()).unwrap()
     }
 
-    fn repeat(&mut self, state: Carried) {
+    fn repeat(&mut self, state: RepeatedState) {
         let key = AuthorKey::derive(SECRET, &PLANNER.into());
-        self.write(&key, &RecordBody::Carried(state));
+        self.write(&key, &RecordBody::RepeatedState(state));
     }
 
     /// Returns a process that reads the log from the first record that is still kept.
@@ -328,7 +328,7 @@
 #[test]
 fn forged_repeat() {
     let mut world = with_dropped_start();
-    let forged = Carried::Configuration(CarriedConfiguration {
+    let forged = RepeatedState::Configuration(RepeatedConfiguration {
         term: u64::MAX,
         as_of: world.head(),
         version: world.head() - 1,
@@ -337,7 +337,7 @@
         document: Document::default(),
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
-    world.write(&key, &RecordBody::Carried(forged));
+    world.write(&key, &RecordBody::RepeatedState(forged));
     assert!(!world.late_reader().history.is_whole());
     world.repeat(world.state_to_repeat());
     world.assert_agrees(&world.late_reader());
@@ -407,7 +407,11 @@
 
 /// Applies one random event to the log: an edit based on an old or the current version, a second
 /// copy, a state repeated late or at once, dropped records, or bytes of a stranger.
-fn step(u: &mut Unstructured<'_>, world: &mut World, snapshot: &mut Option<Carried>) -> Result<()> {
+fn step(
+    u: &mut Unstructured<'_>,
+    world: &mut World,
+    snapshot: &mut Option<RepeatedState>,
+) -> Result<()> {
     match u.int_in_range(0..=13)? {
         0..=6 => {
             let section = *u.choose(&SECTIONS)?;
--- a/dragonflyrun/tests/graceful_stop.rs
+++ b/dragonflyrun/tests/graceful_stop.rs
@@ -19,8 +19,8 @@
     HttpLimits {
         connections: 64,
         body_bytes: BODY_BYTES,
-        held_bytes: 64 * BODY_BYTES,
-        pause: Duration::from_secs(5),
+        total_body_bytes: 64 * BODY_BYTES,
+        idle_timeout: Duration::from_secs(5),
     }
 }
 
--- a/dragonflyrun/tests/record_seals.rs
+++ b/dragonflyrun/tests/record_seals.rs
@@ -6,7 +6,7 @@
     OpenError,
     Placement,
     RecordBody,
-    is_editors_token,
+    is_editor_token,
     open, //
 };
 use dragonflyrun::process::Ledger;
@@ -61,10 +61,10 @@
     let data = stranger.seal(&"id-1".into(), &term("entry-1", 1));
     assert!(matches!(open(&data, SECRET), Err(OpenError::Forged)));
     let anna = AuthorKey::of_editor(SECRET, &"anna".into());
-    assert!(is_editors_token(SECRET, "anna", &anna.to_hex()));
-    assert!(!is_editors_token(SECRET, "anna", &stranger.to_hex()));
-    assert!(!is_editors_token(SECRET, "bert", &anna.to_hex()));
-    assert!(!is_editors_token(SECRET, "anna", ""));
+    assert!(is_editor_token(SECRET, "anna", &anna.to_hex()));
+    assert!(!is_editor_token(SECRET, "anna", &stranger.to_hex()));
+    assert!(!is_editor_token(SECRET, "bert", &anna.to_hex()));
+    assert!(!is_editor_token(SECRET, "anna", ""));
 }
 
 /// The log holds a record that this release can't read, such as one of a kind that a newer release
