--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -20,8 +20,8 @@
 const MAX_UNACKED_BYTES: usize = 64 << 20;
 
 /// Time without a new request after which all entries know that the agent is leaving: two
-/// heartbeats. By then the requests that they sent before that have been refused and go to other
-/// agents. If the agent ended earlier, those requests would get no answer.
+/// heartbeats. By then the requests that they sent before they knew have been refused and go to
+/// other agents. If the agent ended earlier, those requests would get no answer.
 const QUIET_PERIOD: Duration = Duration::from_secs(1);
 
 /// Upper limit of a deadline, counted from the arrival of the request; limits how long ids are
@@ -171,7 +171,8 @@
     /// agent is in service.
     pub fn run(&mut self, now: Timestamp, from: &Name, order: RunOrder, in_service: bool) {
         self.last_request_at = now;
-        // An earlier process of this agent may have run the request, so this one can't answer it.
+        // A request addressed to an earlier process of this agent may have run there; this process
+        // can't say.
         if order.incarnation != self.incarnation || self.runs.contains_key(&order.id) {
             return;
         }
--- a/dragonflyrun/src/request/backends.rs
+++ b/dragonflyrun/src/request/backends.rs
@@ -50,7 +50,7 @@
         /// The address at which it accepts requests.
         address: SocketAddr,
     },
-    /// All slots of the service are in use.
+    /// No backend server of the service has a free slot now.
     Busy,
     /// No backend server runs the service.
     None,
--- a/dragonflyrun/src/request/entry_table.rs
+++ b/dragonflyrun/src/request/entry_table.rs
@@ -2,8 +2,8 @@
 //!
 //! Three rules keep the answers true:
 //!
-//! - A request is answered "not run" only if it was never passed to a link, or if every agent that
-//!   received it has said that it did not start it and will not start it.
+//! - A request is answered "not run" only if it was never passed to a link, or if every agent to
+//!   which it was sent has said that it did not start it and will not start it.
 //! - A request that was passed to a link without such an answer is "unknown" once its deadline has
 //!   passed or its agent is lost.
 //! - A request is sent a second time only if the service is repeatable, or to the same process of
--- a/dragonflyrun/src/request/entry_table/answers.rs
+++ b/dragonflyrun/src/request/entry_table/answers.rs
@@ -12,7 +12,7 @@
 
 impl EntryTable {
     /// Handles an answer from an agent; `free` is the number of free slots of the service at the
-    /// agent after the request ended.
+    /// agent when it sent the answer.
     pub fn answered(
         &mut self,
         now: Timestamp,
--- a/dragonflyrun/src/request/entry_table/peers.rs
+++ b/dragonflyrun/src/request/entry_table/peers.rs
@@ -69,7 +69,8 @@
         self.owner_lost(now, &peer.name);
     }
 
-    /// Handles deadlines, lost agents and repeated messages; to be called about every 100 ms.
+    /// Handles deadlines, lost agents, repeated messages and queued requests; to be called about
+    /// every 100 ms.
     pub fn tick(&mut self, now: Timestamp) {
         self.detect_freeze(now);
         self.expire_due(now);
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -19,7 +19,7 @@
 use record::{KeyId, KeyState, Record, body_bytes, known_verdict, refused_verdict};
 
 /// Time after a change of owners during which no new grant is given: a previous owner that has not
-/// read of the change stops granting within [`FRESH`].
+/// read of the change is no longer fresh, and so grants nothing, after [`FRESH`].
 const OWNER_CHANGE_DELAY: Duration = FRESH.saturating_add(Duration::from_millis(500));
 
 /// Time after the deadline during which the owner still waits for the outcome of a grant.
@@ -259,7 +259,8 @@
         let allowed = self.may_grant(now, claim, fresh);
         if claim.attempt > 1 {
             let remembers = self.owned_for(now, claim) >= claim.window;
-            // Another owner may have granted an earlier attempt without this process knowing.
+            // Another owner or an earlier process of this agent may have granted an earlier
+            // attempt, which this process can't know.
             return match allowed {
                 Ok(()) if remembers => self.grant(now, claim),
                 _ => KeyVerdict::Unknown,
--- a/dragonflyrun/src/request/key_owner/record.rs
+++ b/dragonflyrun/src/request/key_owner/record.rs
@@ -28,7 +28,7 @@
         outcome_due_at: Timestamp,
         waiters: Vec<KeyClaim>,
     },
-    /// No request with this key has run.
+    /// The request is known not to have run.
     NotRun,
     /// The holder has run, or may have run.
     Ran { holder: RequestId, outcome: Outcome },
--- a/dragonflyrun/src/request/load.rs
+++ b/dragonflyrun/src/request/load.rs
@@ -59,7 +59,8 @@
     pub(crate) slots: u32,
     /// Slots that are free or that requests of this entry use.
     pub(crate) available: u32,
-    /// Whether all agents with the service are in failure domains that are out of service.
+    /// Whether no usable agent has the service, but at least one has it whose failure domain is out
+    /// of service.
     pub(crate) out_of_service: bool,
 }
 
--- a/dragonflyrun/src/request/load/offer.rs
+++ b/dragonflyrun/src/request/load/offer.rs
@@ -14,8 +14,8 @@
 /// Maximum number of doublings of [`QUARANTINE_TIME`].
 const MAX_QUARANTINE_DOUBLINGS: u32 = 5;
 
-/// How long an agent that did not start a request gets no further one. It is short, since a slot of
-/// this entry's own share is soon free again.
+/// How long an agent that did not start a request, usually since it had no free slot, gets no
+/// further one. It is short, since a slot of this entry's own share is soon free again.
 const BUSY_BACKOFF: Duration = Duration::from_millis(50);
 
 /// How long an agent whose backend server refused a request gets no further one.
--- a/dragonflyrun/src/request/retry_budget.rs
+++ b/dragonflyrun/src/request/retry_budget.rs
@@ -12,7 +12,7 @@
 
 /// The number of retries that may be made now.
 ///
-/// When many requests are refused, each retry adds load to the remaining backend servers. The
+/// When backend servers refuse many requests, each retry adds load to the remaining servers. The
 /// budget limits this additional load to the share that operators set, whatever fails.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
