--- a/dragonflyrun/src/request/entry_table/admission.rs
+++ b/dragonflyrun/src/request/entry_table/admission.rs
@@ -117,13 +117,13 @@
         if capacity.slots == 0 {
             return Err(Refusal::new(NotRun::NoBackend, NO_BACKEND_RETRY_AFTER_MS));
         }
-        let expected_run_time = self.expected_run_time(now, &service.name, waiting.urgency);
+        let run_time_bound = self.run_time_bound(now, &service.name, waiting.urgency);
         let state = self.services.entry(service.name.clone()).or_default();
         let wait = state.expected_wait(
             capacity.available.max(1),
             state.queue.ahead_of(waiting.urgency),
         );
-        let ready = now + wait + expected_run_time;
+        let ready = now + wait + run_time_bound;
         if waiting.deadline <= now || ready > waiting.deadline {
             return Err(Refusal::new(
                 NotRun::Deadline,
--- a/dragonflyrun/src/request/entry_table/dispatch.rs
+++ b/dragonflyrun/src/request/entry_table/dispatch.rs
@@ -99,11 +99,11 @@
     /// Returns whether a request can no longer be answered by its deadline. Running it would take a
     /// slot from a request that can.
     fn would_miss_deadline(&self, now: Timestamp, service: &Name, waiting: &Waiting) -> bool {
-        now + self.expected_run_time(now, service, waiting.urgency) >= waiting.deadline
+        now + self.run_time_bound(now, service, waiting.urgency) >= waiting.deadline
     }
 
     /// Returns how long most requests of `urgency` take if they start now at the fastest agent.
-    pub(super) fn expected_run_time(
+    pub(super) fn run_time_bound(
         &self,
         now: Timestamp,
         service: &Name,
