--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -359,7 +359,10 @@
 pub fn state_to_repeat(ledger: &Ledger, item: &Item) -> Option<RepeatedState> {
     let term = ledger.membership.term();
     match item {
-        Item::Membership => ledger.membership.state_to_repeat().map(RepeatedState::Membership),
+        Item::Membership => ledger
+            .membership
+            .state_to_repeat()
+            .map(RepeatedState::Membership),
         Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
         Item::Job(job) => ledger.jobs.live(job).map(|live| RepeatedState::Job {
             term,
