--- a/dragonflyrun/benches/config_fold.rs
+++ b/dragonflyrun/benches/config_fold.rs
@@ -134,7 +134,7 @@
         ledger.fold(record, secret);
     }
     let elapsed = start.elapsed();
-    assert_eq!(ledger.history.sections().len(), TEAMS + 1);
+    assert_eq!(ledger.history.section_versions().len(), TEAMS + 1);
     println!(
         "records={} bytes_each={} open_and_fold_us_each={:.1} all_ms={}",
         records.len(),
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -348,7 +348,7 @@
     let term = ledger.membership.term();
     match item {
         Item::Membership => ledger.membership.carried().map(Carried::Membership),
-        Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
+        Item::Configuration => ledger.history.state_to_repeat(term, ledger.next_offset()),
         Item::Job(job) => ledger.jobs.live(job).map(|live| Carried::Job {
             term,
             job: Box::new(live.clone()),
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -112,7 +112,7 @@
             self.gaps += 1;
             self.planned = false;
             self.kept.clear();
-            self.history.gap(first);
+            self.history.mark_incomplete(first);
             self.membership.gap();
             self.jobs = JobTable::default();
         }
@@ -129,13 +129,13 @@
         if !self.membership.is_whole() && !self.planned && is_blank {
             log::info!(offset = self.next_offset; "new_deployment");
             self.membership.begin();
-            self.history.begin();
+            self.history.presume_complete();
         }
     }
 
     /// Returns whether nothing is missing that the log may have said.
     pub fn is_whole(&self) -> bool {
-        self.membership.is_whole() && self.history.is_whole()
+        self.membership.is_whole() && self.history.is_complete()
     }
 
     /// Counts the gaps after which the tables began anew.
--- a/dragonflyrun/src/request/entry_table/admission.rs
+++ b/dragonflyrun/src/request/entry_table/admission.rs
@@ -77,7 +77,7 @@
             return Err(Refusal::new(NotRun::TooLarge, MOST_RETRY_MS));
         }
         // A grant must have been used or be void long before the owner forgets the key.
-        let most = service.longest_deadline_ms();
+        let most = service.max_deadline_ms();
         let deadline_ms = req.deadline_ms.unwrap_or(most).min(most);
         Ok(Pending {
             service: service.name.clone(),
--- a/dragonflyrun/src/tool/commands/document.rs
+++ b/dragonflyrun/src/tool/commands/document.rs
@@ -13,13 +13,13 @@
     },
     utils::Name,
     version::{
-        DOCUMENT_BYTES,
         Document,
         Finding,
         History,
+        MAX_DOCUMENT_BYTES,
         Section,
         check as check_document,
-        check_alone,
+        check_single_section,
         explain,
         parse_document,
         parse_section, //
@@ -44,10 +44,10 @@
 
 /// Checks a document, or one section of it.
 pub(super) fn check(options: &CheckOptions) -> Result<Printed, ToolError> {
-    let bytes = read_file(&options.file, DOCUMENT_BYTES)?;
+    let bytes = read_file(&options.file, MAX_DOCUMENT_BYTES)?;
     let findings = match &options.section {
         Some(name) => match parse_section(&bytes, &format!("/sections/{name}")) {
-            Ok(section) => check_alone(name, &section),
+            Ok(section) => check_single_section(name, &section),
             Err(findings) => findings,
         },
         None => match parse_document(&bytes) {
@@ -102,7 +102,7 @@
     let Some(name) = &options.section else {
         let answer = ShowAnswer {
             version: history.current().offset,
-            sections: history.sections(),
+            sections: history.section_versions(),
             document,
         };
         eprintln!("version {}", answer.version);
@@ -114,7 +114,7 @@
     };
     let answer = ShowSectionAnswer {
         section: name,
-        version: history.sections().get(name).copied().unwrap_or(0),
+        version: history.section_versions().get(name).copied().unwrap_or(0),
         content,
     };
     eprintln!(
@@ -126,7 +126,7 @@
 
 /// Explains the document in a file.
 pub(super) fn explain_file(file: &str) -> Result<Printed, ToolError> {
-    let bytes = read_file(file, DOCUMENT_BYTES)?;
+    let bytes = read_file(file, MAX_DOCUMENT_BYTES)?;
     let document = parse_document(&bytes).map_err(ToolError::Findings)?;
     let findings = check_document(&document);
     if !findings.is_empty() {
@@ -168,12 +168,12 @@
         let what = format!("the document is in format {format}; use a newer tool");
         return Err(ToolError::NotKnown(what));
     }
-    if !history.is_whole() {
+    if !history.is_complete() {
         let what = "the log has dropped edits, and the planner has not repeated the configuration \
                     since; try again when it has";
         return Err(ToolError::NotKnown(what.to_owned()));
     }
-    if history.is_presumed() && !is_confirmed(settings) {
+    if history.is_presumed_complete() && !is_confirmed(settings) {
         let what = "the log has dropped its first records, and no entry confirms that there was no \
                     configuration among them";
         return Err(ToolError::NotKnown(what.to_owned()));
--- a/dragonflyrun/src/tool/commands/edit.rs
+++ b/dragonflyrun/src/tool/commands/edit.rs
@@ -17,9 +17,9 @@
     },
     utils::Name,
     version::{
-        DOCUMENT_BYTES,
         Finding,
         History,
+        MAX_DOCUMENT_BYTES,
         RawSection,
         Section,
         Verdict,
@@ -150,7 +150,7 @@
 
 /// Replaces a section by the content of a file.
 pub(super) fn edit(settings: &ToolSettings, options: &EditOptions) -> Result<Printed, ToolError> {
-    let bytes = read_file(&options.file, DOCUMENT_BYTES)?;
+    let bytes = read_file(&options.file, MAX_DOCUMENT_BYTES)?;
     let pointer = format!("/sections/{}", options.section);
     let content = parse_section(&bytes, &pointer).map_err(ToolError::Findings)?;
     change(settings, &options.section, options.base, Some(&content))
@@ -180,7 +180,11 @@
             return Ok(EditAnswer::NotSent { section, reason }.printed());
         }
     };
-    let current = history.sections().get(section).copied().unwrap_or(0);
+    let current = history
+        .section_versions()
+        .get(section)
+        .copied()
+        .unwrap_or(0);
     let edit = Edit {
         section: section.clone(),
         base: base.unwrap_or(current),
@@ -315,7 +319,7 @@
         changed.failure_domains[place].in_service = in_service;
         return Ok(DomainEdit {
             section: name.clone(),
-            version: history.sections().get(name).copied().unwrap_or(0),
+            version: history.section_versions().get(name).copied().unwrap_or(0),
             changed: (domains[place].in_service != in_service).then_some(changed),
         });
     }
--- a/dragonflyrun/src/version/check.rs
+++ b/dragonflyrun/src/version/check.rs
@@ -21,30 +21,30 @@
         Section,
         Service,
         Workspace,
-        finding::{Findings, Place, shorten},
+        finding::{Findings, Place, truncate},
         index::Index, //
     },
 };
 
 /// Characters of a name, at the most.
-pub const NAME_CHARACTERS: usize = 64;
+pub const MAX_NAME_CHARACTERS: usize = 64;
 
 /// Sections of a document, at the most.
-pub const SECTIONS: usize = 512;
+pub const MAX_SECTIONS: usize = 512;
 
 /// Items of one section, at the most: its owners, workspaces, guarantees, failure domains and
 /// services together.
-pub const SECTION_ITEMS: usize = 2_048;
+pub const MAX_SECTION_ITEMS: usize = 2_048;
 
 /// Items of all sections together, at the most, so that the planner can always repeat the whole
 /// configuration in one record of the log.
-pub const DOCUMENT_ITEMS: usize = 16_384;
+pub const MAX_DOCUMENT_ITEMS: usize = 16_384;
 
 /// Tasks of one gang, at the most.
-pub const GANG_TASKS: u32 = 256;
+pub const MAX_GANG_TASKS: u32 = 256;
 
 /// Accelerators of one worker, at the most, and so also of one task.
-pub const WORKER_ACCELERATORS: u32 = 64;
+pub const MAX_ACCELERATORS_PER_WORKER: u32 = 64;
 
 const HOUR_MS: u64 = 3_600_000;
 const DAY_MS: u64 = 24 * HOUR_MS;
@@ -68,7 +68,7 @@
 
 /// Returns all that is wrong in the section called `name`, as far as it can be seen without the
 /// other sections.
-pub fn check_alone(name: &Name, section: &Section) -> Vec<Finding> {
+pub fn check_single_section(name: &Name, section: &Section) -> Vec<Finding> {
     let mut findings = Findings::default();
     check_section(name, section, &mut findings);
     findings.into_vec()
@@ -87,18 +87,18 @@
     if section.format == Some(0) {
         findings.add(place.key("format"), "It begins at 1.");
     }
-    if section.items() > SECTION_ITEMS {
-        let what = format!("It has more than {SECTION_ITEMS} items.");
+    if section.items() > MAX_SECTION_ITEMS {
+        let what = format!("It has more than {MAX_SECTION_ITEMS} items.");
         findings.add(place, what);
         return;
     }
-    check_each(&section.workspaces, place.key("workspaces"), findings);
-    check_each(
+    check_list(&section.workspaces, place.key("workspaces"), findings);
+    check_list(
         &section.failure_domains,
         place.key("failure_domains"),
         findings,
     );
-    check_each(&section.services, place.key("services"), findings);
+    check_list(&section.services, place.key("services"), findings);
     if let Some(limits) = &section.limits {
         check_limits(limits, place.key("limits"), findings);
     }
@@ -113,13 +113,13 @@
     fn check(&self, place: Place<'_>, findings: &mut Findings);
 }
 
-fn check_each<N: Named>(list: &[N], place: Place<'_>, findings: &mut Findings) {
+fn check_list<N: Named>(list: &[N], place: Place<'_>, findings: &mut Findings) {
     let mut seen = HashSet::default();
     for (i, named) in list.iter().enumerate() {
         let place = place.index(i);
         check_name(named.name(), place.key("name"), findings);
         if !seen.insert(named.name()) {
-            let what = format!("`{}` stands twice in this section.", shorten(named.name()));
+            let what = format!("`{}` stands twice in this section.", truncate(named.name()));
             findings.add(place.key("name"), what);
         }
         named.check(place, findings);
@@ -155,18 +155,20 @@
     check_range(
         tasks,
         1,
-        u64::from(GANG_TASKS),
+        u64::from(MAX_GANG_TASKS),
         place.key("tasks"),
         findings,
     );
     let accelerators = u64::from(guarantee.accelerators);
-    let most = u64::from(WORKER_ACCELERATORS);
-    check_range(accelerators, 1, most, place.key("accelerators"), findings);
-    if guarantee.adjacency == Adjacency::Worker && accelerators <= most && guarantee.total() > most
+    let max = u64::from(MAX_ACCELERATORS_PER_WORKER);
+    check_range(accelerators, 1, max, place.key("accelerators"), findings);
+    if guarantee.adjacency == Adjacency::Worker
+        && accelerators <= max
+        && guarantee.total_accelerators() > max
     {
         let what = format!(
-            "All tasks on one worker need {} accelerators, and no worker has more than {most}.",
-            guarantee.total()
+            "All tasks on one worker need {} accelerators, and no worker has more than {max}.",
+            guarantee.total_accelerators()
         );
         findings.add(place.key("adjacency"), what);
     }
@@ -211,14 +213,14 @@
         ("worker_failures", limits.worker_failures.into(), 1, 1_000),
         ("quarantine_ms", limits.quarantine_ms, 1_000, DAY_MS),
     ];
-    for (key, value, least, most) in ranges {
-        check_range(value, least, most, place.key(key), findings);
+    for (key, value, min, max) in ranges {
+        check_range(value, min, max, place.key(key), findings);
     }
 }
 
-fn check_range(value: u64, least: u64, most: u64, place: Place<'_>, findings: &mut Findings) {
-    if !(least..=most).contains(&value) {
-        let what = format!("It has to be between {least} and {most}, and is {value}.");
+fn check_range(value: u64, min: u64, max: u64, place: Place<'_>, findings: &mut Findings) {
+    if !(min..=max).contains(&value) {
+        let what = format!("It has to be between {min} and {max}, and is {value}.");
         findings.add(place, what);
     }
 }
@@ -231,7 +233,7 @@
     for (i, owner) in owners.iter().enumerate() {
         check_name(owner, place.index(i), findings);
         if !seen.insert(owner) {
-            let what = format!("`{}` stands here twice.", shorten(owner));
+            let what = format!("`{}` stands here twice.", truncate(owner));
             findings.add(place.index(i), what);
         }
     }
@@ -240,9 +242,9 @@
 fn check_name(name: &str, place: Place<'_>, findings: &mut Findings) {
     if !is_name(name) {
         let what = format!(
-            "`{}` is not a name: 1 to {NAME_CHARACTERS} of a-z, A-Z, 0-9, `-`, `_`, `.` and `@`, \
+            "`{}` is not a name: 1 to {MAX_NAME_CHARACTERS} of a-z, A-Z, 0-9, `-`, `_`, `.` and `@`, \
              the first a letter or a digit.",
-            shorten(name).escape_debug()
+            truncate(name).escape_debug()
         );
         findings.add(place, what);
     }
@@ -251,11 +253,11 @@
 /// Returns whether `text` may name something. A name stands in paths, headers and log lines, so it
 /// has no character that would need quoting there.
 pub fn is_name(text: &str) -> bool {
-    let rest = |b: u8| b.is_ascii_alphanumeric() || b"-_.@".contains(&b);
-    text.len() <= NAME_CHARACTERS
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.@".contains(&b);
+    text.len() <= MAX_NAME_CHARACTERS
         && text
             .bytes()
             .next()
             .is_some_and(|b| b.is_ascii_alphanumeric())
-        && text.bytes().all(rest)
+        && text.bytes().all(is_allowed)
 }
--- a/dragonflyrun/src/version/document.rs
+++ b/dragonflyrun/src/version/document.rs
@@ -92,7 +92,7 @@
 impl Workspace {
     /// Returns the accelerators of all guarantees together.
     pub fn guaranteed_accelerators(&self) -> u64 {
-        let totals = self.guarantees.iter().map(Guarantee::total);
+        let totals = self.guarantees.iter().map(Guarantee::total_accelerators);
         // A section that has not been checked yet may hold any numbers.
         totals.fold(0, u64::saturating_add)
     }
@@ -113,7 +113,7 @@
 
 impl Guarantee {
     /// Returns the accelerators of all tasks together.
-    pub fn total(&self) -> u64 {
+    pub fn total_accelerators(&self) -> u64 {
         u64::from(self.tasks) * u64::from(self.accelerators)
     }
 }
@@ -192,7 +192,7 @@
     ///
     /// A caller that has waited for its answer in vain asks again with the same key. The key has
     /// to be remembered then, so a request gets no more than half of that time.
-    pub fn longest_deadline_ms(&self) -> u64 {
+    pub fn max_deadline_ms(&self) -> u64 {
         if self.repeatable {
             return self.deadline_ms;
         }
--- a/dragonflyrun/src/version/explain/mod.rs
+++ b/dragonflyrun/src/version/explain/mod.rs
@@ -13,7 +13,7 @@
 };
 
 /// What can't be known from a document, however it is written.
-const LIMITS_OF_KNOWLEDGE: &str = "Whether the workers that are there hold all guarantees can't be read off the document; \
+const NOT_KNOWN_FROM_DOCUMENT: &str = "Whether the workers that are there hold all guarantees can't be read off the document; \
      `dragonflyrun status` shows what there is.";
 
 /// What the system will do under a document.
@@ -81,7 +81,7 @@
         general: sentences::general(document),
         topics,
         warnings: warnings::warnings(document),
-        not_known: LIMITS_OF_KNOWLEDGE,
+        not_known: NOT_KNOWN_FROM_DOCUMENT,
     }
 }
 
--- a/dragonflyrun/src/version/explain/sentences.rs
+++ b/dragonflyrun/src/version/explain/sentences.rs
@@ -95,7 +95,7 @@
     let tasks = count(guarantee.tasks.into(), "task");
     let each = if guarantee.tasks == 1 { "" } else { " each" };
     let accelerators = count(guarantee.accelerators.into(), "accelerator");
-    let total = count(guarantee.total(), "accelerator");
+    let total = count(guarantee.total_accelerators(), "accelerator");
     format!(
         "It can have {tasks} of {accelerators}{each}, {adjacency}, at any time ({total} in all), \
          also when others are using them."
@@ -131,7 +131,7 @@
         Urgency::Normal => "of normal urgency, unless they state less",
         Urgency::Patient => "patient",
     };
-    let deadline = duration(service.longest_deadline_ms());
+    let deadline = duration(service.max_deadline_ms());
     let mut sentences = vec![
         format!(
             "Its requests are {urgency}. One that can't start within {deadline}, or the shorter \
@@ -191,7 +191,7 @@
     match names {
         [] => String::new(),
         [one] => one.to_string(),
-        [most @ .., last] => format!("{} and {last}", most.join(", ")),
+        [rest @ .., last] => format!("{} and {last}", rest.join(", ")),
     }
 }
 
--- a/dragonflyrun/src/version/explain/warnings.rs
+++ b/dragonflyrun/src/version/explain/warnings.rs
@@ -12,9 +12,9 @@
 
 /// Failure domains by whether they are in service.
 #[derive(Clone, Copy, Default)]
-struct Domains {
-    inside: usize,
-    outside: usize,
+struct DomainCounts {
+    in_service: usize,
+    out_of_service: usize,
 }
 
 /// Returns what operators should look at.
@@ -26,7 +26,7 @@
         findings.add(Place::Root("/sections/administration/format"), what);
     }
     let domains = count_domains(document);
-    if domains.inside == 0 {
+    if domains.in_service == 0 {
         let what = "No failure domain is in service, so nothing starts anywhere.";
         findings.add(root, what);
     }
@@ -36,19 +36,24 @@
     findings.into_vec()
 }
 
-fn count_domains(document: &Document) -> Domains {
-    let mut domains = Domains::default();
+fn count_domains(document: &Document) -> DomainCounts {
+    let mut domains = DomainCounts::default();
     for domain in document.sections.values().flat_map(|s| &s.failure_domains) {
         if domain.in_service {
-            domains.inside += 1;
+            domains.in_service += 1;
         } else {
-            domains.outside += 1;
+            domains.out_of_service += 1;
         }
     }
     domains
 }
 
-fn check_section(section: &Section, domains: Domains, place: Place<'_>, findings: &mut Findings) {
+fn check_section(
+    section: &Section,
+    domains: DomainCounts,
+    place: Place<'_>,
+    findings: &mut Findings,
+) {
     let list = place.key("failure_domains");
     for (i, domain) in section.failure_domains.iter().enumerate() {
         if !domain.in_service {
@@ -64,10 +69,10 @@
     }
     let list = place.key("services");
     for (i, service) in section.services.iter().enumerate() {
-        if service.longest_deadline_ms() < service.deadline_ms {
+        if service.max_deadline_ms() < service.deadline_ms {
             let what = format!(
                 "The deadline is cut to {} ms, half of the time for which a key is remembered.",
-                service.longest_deadline_ms()
+                service.max_deadline_ms()
             );
             findings.add(list.index(i).key("deadline_ms"), what);
         }
@@ -76,17 +81,17 @@
 
 fn check_workspace(
     workspace: &Workspace,
-    domains: Domains,
+    domains: DomainCounts,
     place: Place<'_>,
     findings: &mut Findings,
 ) {
     let list = place.key("guarantees");
     for (i, guarantee) in workspace.guarantees.iter().enumerate() {
-        if domains.inside == 0 {
+        if domains.in_service == 0 {
             let what = "It can't be honoured while no failure domain is in service.";
             findings.add(list.index(i), what);
-        } else if domains.inside == 1 && guarantee.adjacency != Adjacency::Any {
-            let lost = if domains.outside == 0 {
+        } else if domains.in_service == 1 && guarantee.adjacency != Adjacency::Any {
+            let lost = if domains.out_of_service == 0 {
                 "lost"
             } else {
                 "lost too"
--- a/dragonflyrun/src/version/finding.rs
+++ b/dragonflyrun/src/version/finding.rs
@@ -6,10 +6,10 @@
 
 /// Findings that are reported together, at the most. A long list of them helps nobody, and a
 /// hostile section could be made of nothing else.
-const MOST_FINDINGS: usize = 100;
+const MAX_FINDINGS: usize = 100;
 
 /// Characters of a stranger's text that are shown in a finding, at the most.
-const SHOWN_CHARACTERS: usize = 80;
+const MAX_SHOWN_CHARACTERS: usize = 80;
 
 /// Something wrong in a document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -54,7 +54,7 @@
             // JSON pointers escape these two characters of a key. A stranger's key may be megabytes
             // long, and stand in each of many findings.
             Self::Key(parent, key) => {
-                let shown = shorten(key).replace('~', "~0").replace('/', "~1");
+                let shown = truncate(key).replace('~', "~0").replace('/', "~1");
                 write!(f, "{parent}/{shown}")
             }
             Self::Index(parent, index) => write!(f, "{parent}/{index}"),
@@ -63,8 +63,8 @@
 }
 
 /// Returns the start of `text`, which is all of it unless it is over-long.
-pub(crate) fn shorten(text: &str) -> &str {
-    match text.char_indices().nth(SHOWN_CHARACTERS) {
+pub(crate) fn truncate(text: &str) -> &str {
+    match text.char_indices().nth(MAX_SHOWN_CHARACTERS) {
         Some((end, _)) => &text[..end],
         None => text,
     }
@@ -78,12 +78,12 @@
 
 impl Findings {
     pub(crate) fn add(&mut self, place: Place<'_>, what: impl Into<String>) {
-        if self.list.len() < MOST_FINDINGS {
+        if self.list.len() < MAX_FINDINGS {
             self.list.push(Finding {
                 place: place.to_string(),
                 what: what.into(),
             });
-        } else if self.list.len() == MOST_FINDINGS {
+        } else if self.list.len() == MAX_FINDINGS {
             self.list.push(Finding {
                 place: String::new(),
                 what: "There is more; mend these first.".to_owned(),
--- a/dragonflyrun/src/version/history.rs
+++ b/dragonflyrun/src/version/history.rs
@@ -21,7 +21,7 @@
         Document,
         FORMAT,
         Finding,
-        NAME_CHARACTERS,
+        MAX_NAME_CHARACTERS,
         Section,
         Version,
         check::check_section,
@@ -33,10 +33,10 @@
 /// Ids of edits that are remembered to drop a second copy, which comes from an editor who sent
 /// again after a lost answer. A copy of an accepted edit would only be stale; a copy of a refused
 /// one may have become valid since, and must not take effect after its editor was told no.
-const RECENT_EDITS: usize = 1_024;
+const MAX_RECENT_EDIT_IDS: usize = 1_024;
 
 /// Edits that are kept while the configuration before them is not known, at the most.
-const PENDING_EDITS: usize = 1_024;
+const MAX_PENDING_EDITS: usize = 1_024;
 
 /// What became of an edit; the same in every process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -81,42 +81,42 @@
 
 /// How much of the configuration a process knows.
 #[derive(Clone, Debug)]
-enum Standing {
+enum Completeness {
     /// All of it.
-    Whole,
+    Complete,
     /// The log has dropped edits that this process has not seen. `from` is the offset as of which
     /// it has seen all, and `edits` are those since.
     Gap {
-        from: u64,
+        complete_from: u64,
         edits: VecDeque<LoggedEdit>,
     },
     /// All of it, provided that there was none before `from`; `edits` are those since.
-    Presumed {
-        from: u64,
+    PresumedComplete {
+        complete_from: u64,
         edits: VecDeque<LoggedEdit>,
     },
     /// The document is in a newer format than this program knows.
-    Unsupported { format: u32 },
+    UnsupportedFormat { format: u32 },
 }
 
 /// The configuration in force and the versions of its sections.
 #[derive(Clone, Debug)]
 pub struct History {
     current: Arc<Version>,
-    sections: BTreeMap<Name, u64>,
+    section_versions: BTreeMap<Name, u64>,
     index: Index,
-    recent: VecDeque<Name>,
-    standing: Standing,
+    recent_ids: VecDeque<Name>,
+    completeness: Completeness,
 }
 
 impl Default for History {
     fn default() -> Self {
         Self {
             current: Arc::new(Version::new(0, Document::default())),
-            sections: BTreeMap::new(),
+            section_versions: BTreeMap::new(),
             index: Index::default(),
-            recent: VecDeque::new(),
-            standing: Standing::Whole,
+            recent_ids: VecDeque::new(),
+            completeness: Completeness::Complete,
         }
     }
 }
@@ -128,21 +128,24 @@
     }
 
     /// Returns the version of each section.
-    pub fn sections(&self) -> &BTreeMap<Name, u64> {
-        &self.sections
+    pub fn section_versions(&self) -> &BTreeMap<Name, u64> {
+        &self.section_versions
     }
 
     /// Returns whether this process knows all edits up to where it has folded the log.
     ///
     /// One that does not may have missed that a failure domain was taken out. It keeps the version
     /// that it has, but must start nothing until it is whole again.
-    pub fn is_whole(&self) -> bool {
-        matches!(self.standing, Standing::Whole | Standing::Presumed { .. })
+    pub fn is_complete(&self) -> bool {
+        matches!(
+            self.completeness,
+            Completeness::Complete | Completeness::PresumedComplete { .. }
+        )
     }
 
     /// Returns whether it is whole only provided that there was no configuration before a gap.
-    pub fn is_presumed(&self) -> bool {
-        matches!(self.standing, Standing::Presumed { .. })
+    pub fn is_presumed_complete(&self) -> bool {
+        matches!(self.completeness, Completeness::PresumedComplete { .. })
     }
 
     /// Returns the format of the document, where it is newer than this program knows.
@@ -150,8 +153,8 @@
     /// The program has no right verdict on any later edit, so it goes no further. It has to be
     /// replaced by a newer one.
     pub fn unsupported_format(&self) -> Option<u32> {
-        match self.standing {
-            Standing::Unsupported { format } => Some(format),
+        match self.completeness {
+            Completeness::UnsupportedFormat { format } => Some(format),
             _ => None,
         }
     }
@@ -159,29 +162,35 @@
     /// Folds an edit.
     ///
     /// Returns none for a second copy of an edit, and where this process is not
-    /// [whole](Self::is_whole). An edit in a gap is judged later, when a carried configuration
+    /// [whole](Self::is_complete). An edit in a gap is judged later, when a carried configuration
     /// closes the gap.
     pub fn fold(&mut self, logged: &LoggedEdit) -> Option<Verdict> {
-        match &mut self.standing {
-            Standing::Whole => self.judge(logged),
-            Standing::Presumed { from, edits } => {
-                remember(from, edits, logged);
-                self.judge(logged)
+        match &mut self.completeness {
+            Completeness::Complete => self.evaluate(logged),
+            Completeness::PresumedComplete {
+                complete_from,
+                edits,
+            } => {
+                push_pending(complete_from, edits, logged);
+                self.evaluate(logged)
             }
-            Standing::Gap { from, edits } => {
-                remember(from, edits, logged);
+            Completeness::Gap {
+                complete_from,
+                edits,
+            } => {
+                push_pending(complete_from, edits, logged);
                 None
             }
-            Standing::Unsupported { .. } => None,
+            Completeness::UnsupportedFormat { .. } => None,
         }
     }
 
     /// Takes note that the log has dropped records before this process has read them, and that it
     /// reads on at offset `first`.
-    pub fn gap(&mut self, first: u64) {
-        if !matches!(self.standing, Standing::Unsupported { .. }) {
-            self.standing = Standing::Gap {
-                from: first,
+    pub fn mark_incomplete(&mut self, first: u64) {
+        if !matches!(self.completeness, Completeness::UnsupportedFormat { .. }) {
+            self.completeness = Completeness::Gap {
+                complete_from: first,
                 edits: VecDeque::new(),
             };
         }
@@ -193,14 +202,21 @@
     /// A process that knows a configuration knows that there was one. One that knows none may still
     /// be mistaken, where all that the planner has repeated is dropped as well after a long outage,
     /// so it goes on looking for a carried configuration.
-    pub fn begin(&mut self) {
+    pub fn presume_complete(&mut self) {
         if self.current.offset > 0 {
             return;
         }
-        if let Standing::Gap { from, edits } = &mut self.standing {
-            let (from, pending) = (*from, mem::take(edits));
+        if let Completeness::Gap {
+            complete_from,
+            edits,
+        } = &mut self.completeness
+        {
+            let (complete_from, pending) = (*complete_from, mem::take(edits));
             let edits = VecDeque::new();
-            self.standing = Standing::Presumed { from, edits };
+            self.completeness = Completeness::PresumedComplete {
+                complete_from,
+                edits,
+            };
             for logged in &pending {
                 self.fold(logged);
             }
@@ -214,17 +230,24 @@
     /// and then judges those, so that an edit that reached the log between the taking and the
     /// carrying of the state is not lost.
     pub fn adopt(&mut self, offset: u64, carried: &CarriedConfiguration) {
-        let (from, least, edits) = match &mut self.standing {
-            Standing::Gap { from, edits } => (*from, self.current.offset, edits),
-            Standing::Presumed { from, edits } => (*from, 0, edits),
-            Standing::Whole | Standing::Unsupported { .. } => return,
+        let (complete_from, min_version, edits) = match &mut self.completeness {
+            Completeness::Gap {
+                complete_from,
+                edits,
+            } => (*complete_from, self.current.offset, edits),
+            Completeness::PresumedComplete {
+                complete_from,
+                edits,
+            } => (*complete_from, 0, edits),
+            Completeness::Complete | Completeness::UnsupportedFormat { .. } => return,
         };
-        let sound = (least..=carried.as_of).contains(&carried.version) && carried.as_of <= offset;
-        if carried.as_of < from || !sound {
+        let is_consistent =
+            (min_version..=carried.as_of).contains(&carried.version) && carried.as_of <= offset;
+        if carried.as_of < complete_from || !is_consistent {
             return;
         }
         let edits = mem::take(edits);
-        self.install(carried);
+        self.replace_state(carried);
         for logged in edits.iter().filter(|e| e.offset >= carried.as_of) {
             self.fold(logged);
         }
@@ -232,11 +255,11 @@
 
     /// Returns the state as the planner of `term` repeats it on the log, where `as_of` is the
     /// offset up to which this process has folded the log; none where it is not whole.
-    pub fn carried(&self, term: u64, as_of: u64) -> Option<Carried> {
-        if !self.is_whole() {
+    pub fn state_to_repeat(&self, term: u64, as_of: u64) -> Option<Carried> {
+        if !self.is_complete() {
             return None;
         }
-        let sections = self.sections.iter().map(|(section, version)| {
+        let sections = self.section_versions.iter().map(|(section, version)| {
             let section = section.clone();
             let version = *version;
             CarriedSection { section, version }
@@ -246,15 +269,15 @@
             as_of,
             version: self.current.offset,
             sections: sections.collect(),
-            recent: self.recent.iter().cloned().collect(),
+            recent: self.recent_ids.iter().cloned().collect(),
             document: self.current.document.clone(),
         }))
     }
 
-    fn install(&mut self, carried: &CarriedConfiguration) {
+    fn replace_state(&mut self, carried: &CarriedConfiguration) {
         let document = carried.document.clone();
         if document.format() > FORMAT {
-            self.give_up(carried.as_of, document.format());
+            self.stop_at_format(carried.as_of, document.format());
             return;
         }
         self.index = Index::default();
@@ -262,34 +285,38 @@
             self.index.insert(name, section);
         }
         let sections = carried.sections.iter();
-        self.sections = sections.map(|s| (s.section.clone(), s.version)).collect();
-        self.recent = carried.recent.iter().cloned().collect();
+        self.section_versions = sections.map(|s| (s.section.clone(), s.version)).collect();
+        self.recent_ids = carried.recent.iter().cloned().collect();
         self.current = Arc::new(Version::new(carried.version, document));
-        self.standing = Standing::Whole;
+        self.completeness = Completeness::Complete;
     }
 
-    fn give_up(&mut self, offset: u64, format: u32) {
+    fn stop_at_format(&mut self, offset: u64, format: u32) {
         log::error!(offset = offset, format = format; "format_unsupported");
-        self.standing = Standing::Unsupported { format };
+        self.completeness = Completeness::UnsupportedFormat { format };
     }
 
-    fn is_first_copy(&mut self, id: &Name) -> bool {
-        if id.len() > NAME_CHARACTERS || self.recent.contains(id) {
+    fn record_first_copy(&mut self, id: &Name) -> bool {
+        if id.len() > MAX_NAME_CHARACTERS || self.recent_ids.contains(id) {
             return false;
         }
-        self.recent.push_back(id.clone());
-        if self.recent.len() > RECENT_EDITS {
-            self.recent.pop_front();
+        self.recent_ids.push_back(id.clone());
+        if self.recent_ids.len() > MAX_RECENT_EDIT_IDS {
+            self.recent_ids.pop_front();
         }
         true
     }
 
-    fn judge(&mut self, logged: &LoggedEdit) -> Option<Verdict> {
-        if !self.is_first_copy(&logged.id) {
+    fn evaluate(&mut self, logged: &LoggedEdit) -> Option<Verdict> {
+        if !self.record_first_copy(&logged.id) {
             return None;
         }
         let edit = &logged.edit;
-        let current = self.sections.get(&edit.section).copied().unwrap_or(0);
+        let current = self
+            .section_versions
+            .get(&edit.section)
+            .copied()
+            .unwrap_or(0);
         if edit.base != current {
             return Some(Verdict::Stale { current });
         }
@@ -299,16 +326,16 @@
             Some(Ok(section)) => Some(Arc::new(section)),
             Some(Err(findings)) => return Some(Verdict::Invalid { findings }),
         };
-        if !self.owns(&logged.editor, &edit.section, content.as_deref()) {
+        if !self.may_edit(&logged.editor, &edit.section, content.as_deref()) {
             return Some(Verdict::NotOwner);
         }
-        match self.replace(&edit.section, content) {
+        match self.replace_section(&edit.section, content) {
             Ok(document) if document.format() > FORMAT => {
-                self.give_up(logged.offset, document.format());
+                self.stop_at_format(logged.offset, document.format());
                 None
             }
             Ok(document) => {
-                self.advance(logged, document);
+                self.put_in_force(logged, document);
                 Some(Verdict::Accepted)
             }
             Err(findings) => Some(Verdict::Invalid { findings }),
@@ -316,7 +343,7 @@
     }
 
     /// Returns the document with `content` in the place of the section.
-    fn replace(
+    fn replace_section(
         &mut self,
         name: &Name,
         content: Option<Arc<Section>>,
@@ -351,17 +378,17 @@
         }
     }
 
-    fn advance(&mut self, logged: &LoggedEdit, document: Document) {
+    fn put_in_force(&mut self, logged: &LoggedEdit, document: Document) {
         let name = &logged.edit.section;
         if document.sections.contains_key(name) {
-            self.sections.insert(name.clone(), logged.version());
+            self.section_versions.insert(name.clone(), logged.version());
         } else {
-            self.sections.remove(name);
+            self.section_versions.remove(name);
         }
         self.current = Arc::new(Version::new(logged.version(), document));
     }
 
-    fn owns(&self, editor: &Name, name: &Name, content: Option<&Section>) -> bool {
+    fn may_edit(&self, editor: &Name, name: &Name, content: Option<&Section>) -> bool {
         let document = &self.current.document;
         // The very first edit names the administrators; whoever holds a key may make it.
         let Some(administration) = document.sections.get(ADMINISTRATION) else {
@@ -378,12 +405,12 @@
 }
 
 /// Keeps an edit for when a carried configuration tells what was before it.
-fn remember(from: &mut u64, edits: &mut VecDeque<LoggedEdit>, logged: &LoggedEdit) {
+fn push_pending(complete_from: &mut u64, edits: &mut VecDeque<LoggedEdit>, logged: &LoggedEdit) {
     edits.push_back(logged.clone());
-    if edits.len() > PENDING_EDITS
+    if edits.len() > MAX_PENDING_EDITS
         && let Some(dropped) = edits.pop_front()
     {
-        *from = dropped.offset + 1;
+        *complete_from = dropped.offset + 1;
     }
 }
 
--- a/dragonflyrun/src/version/index.rs
+++ b/dragonflyrun/src/version/index.rs
@@ -5,7 +5,7 @@
     utils::{HashMap, Name},
     version::{
         Section,
-        check::{DOCUMENT_ITEMS, SECTIONS},
+        check::{MAX_DOCUMENT_ITEMS, MAX_SECTIONS},
         finding::{Findings, Place}, //
     },
 };
@@ -22,9 +22,9 @@
 /// What the sections of a document define.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
-    sections: HashMap<Definition, Name>,
-    count: usize,
-    items: usize,
+    defined_in: HashMap<Definition, Name>,
+    section_count: usize,
+    item_count: usize,
 }
 
 impl Index {
@@ -33,54 +33,54 @@
     pub(super) fn check(&self, name: &Name, section: &Section, findings: &mut Findings) {
         let root = Place::Root("/sections");
         let place = root.key(name);
-        if self.count >= SECTIONS {
-            findings.add(place, format!("There are {SECTIONS} sections already."));
+        if self.section_count >= MAX_SECTIONS {
+            findings.add(place, format!("There are {MAX_SECTIONS} sections already."));
         }
-        if self.items + section.items() > DOCUMENT_ITEMS {
-            let what = format!("All sections together have more than {DOCUMENT_ITEMS} items.");
+        if self.item_count + section.items() > MAX_DOCUMENT_ITEMS {
+            let what = format!("All sections together have more than {MAX_DOCUMENT_ITEMS} items.");
             findings.add(place, what);
         }
         let list = place.key("workspaces");
         for (i, w) in section.workspaces.iter().enumerate() {
             let definition = Definition::Workspace(w.name.clone());
-            self.check_one(&definition, list.index(i).key("name"), findings);
+            self.check_definition(&definition, list.index(i).key("name"), findings);
         }
         let list = place.key("failure_domains");
         for (i, d) in section.failure_domains.iter().enumerate() {
             let definition = Definition::FailureDomain(d.name.clone());
-            self.check_one(&definition, list.index(i).key("name"), findings);
+            self.check_definition(&definition, list.index(i).key("name"), findings);
         }
         let list = place.key("services");
         for (i, s) in section.services.iter().enumerate() {
             let definition = Definition::Service(s.name.clone());
-            self.check_one(&definition, list.index(i).key("name"), findings);
+            self.check_definition(&definition, list.index(i).key("name"), findings);
         }
         if section.limits.is_some() {
-            self.check_one(&Definition::Limits, place.key("limits"), findings);
+            self.check_definition(&Definition::Limits, place.key("limits"), findings);
         }
     }
 
-    fn check_one(&self, definition: &Definition, place: Place<'_>, findings: &mut Findings) {
-        if let Some(other) = self.sections.get(definition) {
+    fn check_definition(&self, definition: &Definition, place: Place<'_>, findings: &mut Findings) {
+        if let Some(other) = self.defined_in.get(definition) {
             findings.add(place, format!("Section `{other}` defines it already."));
         }
     }
 
     /// Inserts what `section` defines.
     pub(super) fn insert(&mut self, name: &Name, section: &Section) {
-        self.count += 1;
-        self.items += section.items();
+        self.section_count += 1;
+        self.item_count += section.items();
         for definition in definitions(section) {
-            self.sections.insert(definition, name.clone());
+            self.defined_in.insert(definition, name.clone());
         }
     }
 
     /// Removes what `section` defines.
     pub(super) fn remove(&mut self, section: &Section) {
-        self.count -= 1;
-        self.items -= section.items();
+        self.section_count -= 1;
+        self.item_count -= section.items();
         for definition in definitions(section) {
-            self.sections.remove(&definition);
+            self.defined_in.remove(&definition);
         }
     }
 }
--- a/dragonflyrun/src/version/mod.rs
+++ b/dragonflyrun/src/version/mod.rs
@@ -11,8 +11,8 @@
 mod tables;
 
 pub use check::{
-    DOCUMENT_ITEMS, GANG_TASKS, NAME_CHARACTERS, SECTION_ITEMS, SECTIONS, WORKER_ACCELERATORS,
-    check, check_alone, is_name,
+    MAX_ACCELERATORS_PER_WORKER, MAX_DOCUMENT_ITEMS, MAX_GANG_TASKS, MAX_NAME_CHARACTERS,
+    MAX_SECTION_ITEMS, MAX_SECTIONS, check, check_single_section, is_name,
 };
 pub use document::{
     ADMINISTRATION, Adjacency, Document, FORMAT, FailureDomain, Guarantee, Limits, Section,
@@ -21,5 +21,5 @@
 pub use explain::{Explanation, Topic, TopicKind, explain};
 pub use finding::Finding;
 pub use history::{History, LoggedEdit, Verdict};
-pub use parse::{DOCUMENT_BYTES, RawSection, parse_document, parse_section};
+pub use parse::{MAX_DOCUMENT_BYTES, RawSection, parse_document, parse_section};
 pub use tables::Version;
--- a/dragonflyrun/src/version/parse.rs
+++ b/dragonflyrun/src/version/parse.rs
@@ -22,7 +22,7 @@
 
 /// Bytes of a document or a section in JSON, at the most: what fits into a record of the log.
 /// Depth is bounded by the parser, at 128 nested values.
-pub const DOCUMENT_BYTES: usize = RECORD_BYTES;
+pub const MAX_DOCUMENT_BYTES: usize = RECORD_BYTES;
 
 /// A section as an edit carries it, whose keys and types are yet to be checked.
 ///
@@ -41,7 +41,7 @@
     pub fn parse(&self, pointer: &str) -> Result<Section, Vec<Finding>> {
         let mut findings = Findings::default();
         schema::check_section(&self.0, Place::Root(pointer), &mut findings);
-        typed(&self.0, pointer, findings)
+        deserialize_checked(&self.0, pointer, findings)
     }
 }
 
@@ -60,7 +60,7 @@
 pub fn parse_document(bytes: &[u8]) -> Result<Document, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, "")?;
     schema::check_document(&value, Place::Root(""), &mut findings);
-    typed(&value, "", findings)
+    deserialize_checked(&value, "", findings)
 }
 
 /// Reads the section that stands at `pointer` of a document from JSON.
@@ -71,10 +71,10 @@
 pub fn parse_section(bytes: &[u8], pointer: &str) -> Result<Section, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, pointer)?;
     schema::check_section(&value, Place::Root(pointer), &mut findings);
-    typed(&value, pointer, findings)
+    deserialize_checked(&value, pointer, findings)
 }
 
-fn typed<T: serde::de::DeserializeOwned>(
+fn deserialize_checked<T: serde::de::DeserializeOwned>(
     value: &Value,
     pointer: &str,
     mut findings: Findings,
@@ -92,8 +92,11 @@
 fn parse(bytes: &[u8], pointer: &str) -> Result<(Value, Findings), Vec<Finding>> {
     let root = Place::Root(pointer);
     let mut findings = Findings::default();
-    if bytes.len() > DOCUMENT_BYTES {
-        findings.add(root, format!("It is longer than {DOCUMENT_BYTES} bytes."));
+    if bytes.len() > MAX_DOCUMENT_BYTES {
+        findings.add(
+            root,
+            format!("It is longer than {MAX_DOCUMENT_BYTES} bytes."),
+        );
         return Err(findings.into_vec());
     }
     let value = match serde_json::from_slice(bytes) {
@@ -103,7 +106,7 @@
             return Err(findings.into_vec());
         }
     };
-    let seed = Duplicates {
+    let seed = DuplicateKeyCheck {
         place: root,
         findings: &mut findings,
     };
@@ -114,12 +117,12 @@
 
 /// Looks for keys that stand twice in an object. JSON readers keep one of the two silently, so an
 /// operator's section could be dropped without a word.
-struct Duplicates<'a, 'f> {
+struct DuplicateKeyCheck<'a, 'f> {
     place: Place<'a>,
     findings: &'f mut Findings,
 }
 
-impl<'de> DeserializeSeed<'de> for Duplicates<'_, '_> {
+impl<'de> DeserializeSeed<'de> for DuplicateKeyCheck<'_, '_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -127,7 +130,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Duplicates<'_, '_> {
+impl<'de> Visitor<'de> for DuplicateKeyCheck<'_, '_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -160,7 +163,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
         for index in 0.. {
-            let seed = Duplicates {
+            let seed = DuplicateKeyCheck {
                 place: self.place.index(index),
                 findings: self.findings,
             };
@@ -180,7 +183,7 @@
                 map.next_value::<IgnoredAny>()?;
                 continue;
             }
-            map.next_value_seed(Duplicates {
+            map.next_value_seed(DuplicateKeyCheck {
                 place,
                 findings: self.findings,
             })?;
--- a/dragonflyrun/src/version/schema.rs
+++ b/dragonflyrun/src/version/schema.rs
@@ -8,14 +8,14 @@
 use crate::version::finding::{Findings, Place};
 
 /// What a value has to be.
-enum Kind {
+enum ValueKind {
     Text,
     Flag,
-    Count { most: u64 },
+    Count { max: u64 },
     Choice(&'static [&'static str]),
-    List(&'static Kind),
+    List(&'static ValueKind),
     Object(&'static [Field]),
-    Map(&'static Kind),
+    Map(&'static ValueKind),
 }
 
 /// Whether a key has to be there.
@@ -30,10 +30,10 @@
 struct Field {
     name: &'static str,
     presence: Presence,
-    kind: Kind,
+    kind: ValueKind,
 }
 
-const fn field(name: &'static str, presence: Presence, kind: Kind) -> Field {
+const fn field(name: &'static str, presence: Presence, kind: ValueKind) -> Field {
     Field {
         name,
         presence,
@@ -43,42 +43,42 @@
 
 use Presence::{Nullable, Optional, Required};
 
-const U32: Kind = Kind::Count {
-    most: u32::MAX as u64,
+const U32: ValueKind = ValueKind::Count {
+    max: u32::MAX as u64,
 };
-const U64: Kind = Kind::Count { most: u64::MAX };
+const U64: ValueKind = ValueKind::Count { max: u64::MAX };
 
 const ADJACENCIES: &[&str] = &["any", "failure_domain", "rack", "worker"];
 const URGENCIES: &[&str] = &["urgent", "normal", "patient"];
 
-const GUARANTEE: Kind = Kind::Object(&[
+const GUARANTEE: ValueKind = ValueKind::Object(&[
     field("tasks", Required, U32),
     field("accelerators", Required, U32),
-    field("adjacency", Optional, Kind::Choice(ADJACENCIES)),
+    field("adjacency", Optional, ValueKind::Choice(ADJACENCIES)),
 ]);
 
-const WORKSPACE: Kind = Kind::Object(&[
-    field("name", Required, Kind::Text),
-    field("guarantees", Optional, Kind::List(&GUARANTEE)),
+const WORKSPACE: ValueKind = ValueKind::Object(&[
+    field("name", Required, ValueKind::Text),
+    field("guarantees", Optional, ValueKind::List(&GUARANTEE)),
     field("quota_accelerators", Nullable, U32),
 ]);
 
-const FAILURE_DOMAIN: Kind = Kind::Object(&[
-    field("name", Required, Kind::Text),
-    field("region", Nullable, Kind::Text),
-    field("in_service", Optional, Kind::Flag),
+const FAILURE_DOMAIN: ValueKind = ValueKind::Object(&[
+    field("name", Required, ValueKind::Text),
+    field("region", Nullable, ValueKind::Text),
+    field("in_service", Optional, ValueKind::Flag),
 ]);
 
-const SERVICE: Kind = Kind::Object(&[
-    field("name", Required, Kind::Text),
-    field("urgency", Optional, Kind::Choice(URGENCIES)),
+const SERVICE: ValueKind = ValueKind::Object(&[
+    field("name", Required, ValueKind::Text),
+    field("urgency", Optional, ValueKind::Choice(URGENCIES)),
     field("deadline_ms", Optional, U64),
-    field("repeatable", Optional, Kind::Flag),
+    field("repeatable", Optional, ValueKind::Flag),
     field("queue_limit", Optional, U32),
     field("key_window_ms", Optional, U64),
 ]);
 
-const LIMITS: Kind = Kind::Object(&[
+const LIMITS: ValueKind = ValueKind::Object(&[
     field("body_bytes", Optional, U64),
     field("live_jobs", Optional, U32),
     field("retry_percent", Optional, U32),
@@ -86,16 +86,21 @@
     field("quarantine_ms", Optional, U64),
 ]);
 
-const SECTION: Kind = Kind::Object(&[
-    field("owners", Required, Kind::List(&Kind::Text)),
+const SECTION: ValueKind = ValueKind::Object(&[
+    field("owners", Required, ValueKind::List(&ValueKind::Text)),
     field("format", Nullable, U32),
-    field("workspaces", Optional, Kind::List(&WORKSPACE)),
-    field("failure_domains", Optional, Kind::List(&FAILURE_DOMAIN)),
-    field("services", Optional, Kind::List(&SERVICE)),
+    field("workspaces", Optional, ValueKind::List(&WORKSPACE)),
+    field(
+        "failure_domains",
+        Optional,
+        ValueKind::List(&FAILURE_DOMAIN),
+    ),
+    field("services", Optional, ValueKind::List(&SERVICE)),
     field("limits", Nullable, LIMITS),
 ]);
 
-const DOCUMENT: Kind = Kind::Object(&[field("sections", Optional, Kind::Map(&SECTION))]);
+const DOCUMENT: ValueKind =
+    ValueKind::Object(&[field("sections", Optional, ValueKind::Map(&SECTION))]);
 
 /// Adds what is wrong with the shape of the document `value`.
 pub(super) fn check_document(value: &Value, place: Place<'_>, findings: &mut Findings) {
@@ -107,22 +112,22 @@
     check(&SECTION, value, place, findings);
 }
 
-fn check(kind: &Kind, value: &Value, place: Place<'_>, findings: &mut Findings) {
+fn check(kind: &ValueKind, value: &Value, place: Place<'_>, findings: &mut Findings) {
     match (kind, value) {
-        (Kind::Text, Value::String(_)) | (Kind::Flag, Value::Bool(_)) => {}
-        (Kind::Count { most }, Value::Number(n)) if n.as_u64().is_some_and(|n| n <= *most) => {}
-        (Kind::Choice(choices), Value::String(s)) if choices.contains(&s.as_str()) => {}
-        (Kind::List(element), Value::Array(list)) => {
+        (ValueKind::Text, Value::String(_)) | (ValueKind::Flag, Value::Bool(_)) => {}
+        (ValueKind::Count { max }, Value::Number(n)) if n.as_u64().is_some_and(|n| n <= *max) => {}
+        (ValueKind::Choice(choices), Value::String(s)) if choices.contains(&s.as_str()) => {}
+        (ValueKind::List(element), Value::Array(list)) => {
             for (i, value) in list.iter().enumerate() {
                 check(element, value, place.index(i), findings);
             }
         }
-        (Kind::Map(element), Value::Object(map)) => {
+        (ValueKind::Map(element), Value::Object(map)) => {
             for (key, value) in map {
                 check(element, value, place.key(key), findings);
             }
         }
-        (Kind::Object(fields), Value::Object(map)) => {
+        (ValueKind::Object(fields), Value::Object(map)) => {
             for (key, value) in map {
                 match fields.iter().find(|f| f.name == key) {
                     Some(f) if f.presence == Nullable && value.is_null() => {}
@@ -145,16 +150,16 @@
     format!("There is no such key; there are {}.", names.join(", "))
 }
 
-fn wrong_type(kind: &Kind, value: &Value) -> String {
-    let wanted = match kind {
-        Kind::Text => "a string".to_owned(),
-        Kind::Flag => "true or false".to_owned(),
-        Kind::Count { most } => format!("a whole number up to {most}"),
-        Kind::Choice(choices) => format!("one of {}", choices.join(", ")),
-        Kind::List(_) => "a list".to_owned(),
-        Kind::Object(_) | Kind::Map(_) => "an object".to_owned(),
+fn wrong_type(kind: &ValueKind, value: &Value) -> String {
+    let expected = match kind {
+        ValueKind::Text => "a string".to_owned(),
+        ValueKind::Flag => "true or false".to_owned(),
+        ValueKind::Count { max } => format!("a whole number up to {max}"),
+        ValueKind::Choice(choices) => format!("one of {}", choices.join(", ")),
+        ValueKind::List(_) => "a list".to_owned(),
+        ValueKind::Object(_) | ValueKind::Map(_) => "an object".to_owned(),
     };
-    let got = match value {
+    let found = match value {
         Value::Null => "null",
         Value::Bool(_) => "true or false",
         Value::Number(_) => "another number",
@@ -162,5 +167,5 @@
         Value::Array(_) => "a list",
         Value::Object(_) => "an object",
     };
-    format!("It has to be {wanted}, and is {got}.")
+    format!("It has to be {expected}, and is {found}.")
 }
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -96,12 +96,12 @@
     }
 
     fn version_of(&self, section: &str) -> u64 {
-        let sections = self.whole.history.sections();
+        let sections = self.whole.history.section_versions();
         sections.get(section).copied().unwrap_or(0)
     }
 
     fn carried(&self) -> Carried {
-        self.whole.history.carried(1, self.head()).unwrap()
+        self.whole.history.state_to_repeat(1, self.head()).unwrap()
     }
 
     fn carry(&mut self, carried: Carried) {
@@ -134,10 +134,10 @@
 
     fn assert_agrees(&self, ledger: &Ledger) {
         let (ours, theirs) = (&self.whole.history, &ledger.history);
-        assert!(theirs.is_whole());
+        assert!(theirs.is_complete());
         assert_eq!(theirs.current().offset, ours.current().offset);
         assert_eq!(theirs.current().document, ours.current().document);
-        assert_eq!(theirs.sections(), ours.sections());
+        assert_eq!(theirs.section_versions(), ours.section_versions());
     }
 }
 
@@ -168,7 +168,7 @@
     let taken = world.edit("mallory", "administration", 0, administration(&["mallory"]));
     assert!(matches!(taken, Some(Verdict::Stale { .. })));
     let mut late = world.late();
-    assert!(!late.history.is_whole());
+    assert!(!late.history.is_complete());
     assert_eq!(late.history.current().document, Document::default());
     world.carry(world.carried());
     world.catch_up(&mut late);
@@ -198,7 +198,7 @@
     world.first = world.head();
     world.carry(carried);
     let mut late = world.late();
-    assert!(!late.history.is_whole());
+    assert!(!late.history.is_complete());
     world.carry(world.carried());
     world.catch_up(&mut late);
     world.assert_agrees(&late);
@@ -220,7 +220,7 @@
     world.edit("root", "administration", base, domain(false));
     world.first = world.head();
     world.catch_up(&mut frozen);
-    assert!(!frozen.history.is_whole());
+    assert!(!frozen.history.is_complete());
     world.carry(world.carried());
     world.catch_up(&mut frozen);
     world.assert_agrees(&frozen);
@@ -244,7 +244,7 @@
     world.first = world.head();
     world.catch_up(&mut frozen);
     frozen.reached_head();
-    assert!(!frozen.history.is_whole());
+    assert!(!frozen.history.is_complete());
     assert!(!frozen.membership.is_whole());
     world.carry(world.carried());
     world.catch_up(&mut frozen);
@@ -259,7 +259,7 @@
     let mut world = dropped_start();
     let mut late = world.late();
     late.reached_head();
-    assert!(late.history.is_presumed());
+    assert!(late.history.is_presumed_complete());
     world.edit("mallory", "administration", 0, administration(&["mallory"]));
     world.edit("root", "team", 0, administration(&["root"]));
     world.carry(world.carried());
@@ -268,7 +268,7 @@
         late.fold(&world.raw(late.next_offset()), SECRET);
     }
     world.assert_agrees(&late);
-    assert!(!late.history.is_presumed());
+    assert!(!late.history.is_presumed_complete());
 }
 
 /// A log that was used for something else before has dropped its first records, and all processes
@@ -290,7 +290,7 @@
     world.carry(world.carried());
     world.catch_up(&mut late);
     world.assert_agrees(&late);
-    assert!(!world.whole.history.is_presumed());
+    assert!(!world.whole.history.is_presumed_complete());
 }
 
 /// An answer to an append is lost and the edit is sent a second time with the same id. The first
@@ -334,7 +334,7 @@
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
     world.write(&key, &RecordBody::Carried(forged));
-    assert!(!world.late().history.is_whole());
+    assert!(!world.late().history.is_complete());
     world.carry(world.carried());
     world.assert_agrees(&world.late());
 }
@@ -363,12 +363,18 @@
     let raise = |format| Some(json!({ "owners": ["root"], "format": format }));
     let mistaken = world.edit("root", "administration", base, raise(FORMAT + 7));
     assert!(matches!(mistaken, Some(Verdict::Invalid { .. })));
-    assert!(world.whole.history.is_whole());
+    assert!(world.whole.history.is_complete());
     let raised = world.edit("root", "administration", base, raise(FORMAT + 1));
     assert_eq!(raised, None);
-    assert!(!world.whole.history.is_whole());
+    assert!(!world.whole.history.is_complete());
     assert_eq!(world.whole.history.unsupported_format(), Some(FORMAT + 1));
-    assert!(world.whole.history.carried(1, world.head()).is_none());
+    assert!(
+        world
+            .whole
+            .history
+            .state_to_repeat(1, world.head())
+            .is_none()
+    );
 }
 
 const EDITORS: [&str; 4] = ["root", "alice", "bob", "mallory"];
@@ -486,7 +492,7 @@
                 deliver(u, &world, &mut others[chosen])?;
             }
             for other in others.iter().filter(|o| o.next_offset() == world.head()) {
-                if other.history.is_whole() {
+                if other.history.is_complete() {
                     world.assert_agrees(other);
                     joined += 1;
                 }
--- a/dragonflyrun/tests/document_checks.rs
+++ b/dragonflyrun/tests/document_checks.rs
@@ -19,7 +19,7 @@
 
 const VALID: &[u8] = include_bytes!("data/murtal.json");
 
-fn lines(findings: &[Finding]) -> String {
+fn finding_lines(findings: &[Finding]) -> String {
     let lines = findings.iter().map(|f| format!("{f}\n"));
     lines.collect()
 }
@@ -27,29 +27,29 @@
 #[test]
 fn valid_document() {
     let document = parse_document(VALID).unwrap();
-    assert_eq!(lines(&check(&document)), "");
+    assert_eq!(finding_lines(&check(&document)), "");
     let again = serde_json::to_vec(&document).unwrap();
     assert_eq!(parse_document(&again).unwrap(), document);
 }
 
 #[test]
-fn broken_document() {
-    let document = parse_document(include_bytes!("data/broken.json")).unwrap();
-    let expected = include_str!("data/broken-findings.txt");
-    assert_eq!(lines(&check(&document)), expected);
+fn invalid_document() {
+    let document = parse_document(include_bytes!("data/invalid.json")).unwrap();
+    let expected = include_str!("data/invalid-findings.txt");
+    assert_eq!(finding_lines(&check(&document)), expected);
 }
 
 #[test]
-fn misshapen_document() {
-    let findings = parse_document(include_bytes!("data/misshapen.json")).unwrap_err();
-    let expected = include_str!("data/misshapen-findings.txt");
-    assert_eq!(lines(&findings), expected);
+fn malformed_document() {
+    let findings = parse_document(include_bytes!("data/malformed.json")).unwrap_err();
+    let expected = include_str!("data/malformed-findings.txt");
+    assert_eq!(finding_lines(&findings), expected);
 }
 
 /// An operator pastes a whole document in place of a section, cuts a file off, or sends something
 /// that is no document at all. The answer says so, whatever its size or depth.
 #[test]
-fn foreign_bytes() {
+fn input_that_is_no_document() {
     let place = |bytes: &[u8]| {
         parse_section(bytes, "/sections/a").unwrap_err()[0]
             .place
@@ -78,7 +78,7 @@
 }
 
 /// Returns the value at `place` of the valid document with `value` in its place.
-fn changed(place: &str, value: Value) -> Document {
+fn with_value(place: &str, value: Value) -> Document {
     let mut document: Value = serde_json::from_slice(VALID).unwrap();
     let (parent, key) = place.rsplit_once('/').unwrap();
     let parent = document.pointer_mut(parent).unwrap();
@@ -90,14 +90,14 @@
 }
 
 #[test]
-fn each_bound() {
+fn value_bounds() {
     let scaling = "/sections/log-yard-scaling";
     let guarantee = format!("{scaling}/workspaces/1/guarantees");
     let gang = |tasks: u32, accelerators: u32, adjacency: &str| json!([{ "tasks": tasks, "accelerators": accelerators, "adjacency": adjacency }]);
     let service = |key: &str| format!("{scaling}/services/0/{key}");
     let limit = |key: &str| format!("/sections/administration/limits/{key}");
     let name = |n: usize| json!("n".repeat(n));
-    let good_and_bad = [
+    let valid_and_invalid = [
         (
             guarantee.clone(),
             gang(256, 64, "any"),
@@ -140,11 +140,11 @@
         (limit("worker_failures"), json!(1), json!(0)),
         (limit("quarantine_ms"), json!(1_000), json!(999)),
     ];
-    for (place, good, bad) in good_and_bad {
-        let findings = check(&changed(&place, good));
-        assert_eq!(lines(&findings), "", "{place}");
-        let findings = check(&changed(&place, bad));
-        assert_eq!(findings.len(), 1, "{place}: {}", lines(&findings));
+    for (place, valid, invalid) in valid_and_invalid {
+        let findings = check(&with_value(&place, valid));
+        assert_eq!(finding_lines(&findings), "", "{place}");
+        let findings = check(&with_value(&place, invalid));
+        assert_eq!(findings.len(), 1, "{place}: {}", finding_lines(&findings));
         let found = &findings[0].place;
         assert!(found.starts_with(&place), "{place}: {found}");
     }
@@ -205,19 +205,19 @@
 }
 
 /// Replaces one value in `at` by any other.
-fn mutate(u: &mut Unstructured<'_>, at: &mut Value) -> Result<()> {
-    let inside = u.ratio(9, 10)?;
-    match at {
-        Value::Object(map) if inside && !map.is_empty() => {
+fn mutate(u: &mut Unstructured<'_>, target: &mut Value) -> Result<()> {
+    let descend = u.ratio(9, 10)?;
+    match target {
+        Value::Object(map) if descend && !map.is_empty() => {
             let index = u.choose_index(map.len())?;
             mutate(u, map.values_mut().nth(index).unwrap())
         }
-        Value::Array(list) if inside && !list.is_empty() => {
+        Value::Array(list) if descend && !list.is_empty() => {
             let index = u.choose_index(list.len())?;
             mutate(u, &mut list[index])
         }
         _ => {
-            *at = match at {
+            *target = match target {
                 Value::Number(_) if u.ratio(2, 3)? => json!(*u.choose(&NUMBERS)?),
                 Value::String(_) if u.ratio(2, 3)? => json!(*u.choose(&TEXTS)?),
                 Value::Bool(flag) if u.ratio(2, 3)? => json!(!*flag),
@@ -240,7 +240,7 @@
 /// table of keys and types agrees with the types that the rest of the program uses.
 #[test]
 fn any_document() {
-    let (mut good, mut bad) = (0, 0);
+    let (mut valid, mut invalid) = (0, 0);
     each_seed(2_000, 512, |u| {
         let value = if u.ratio(1, 3)? {
             any_value(u, 6)?
@@ -254,19 +254,23 @@
             (Ok(document), typed) => assert_eq!(Some(document), typed.as_ref().ok()),
             // The types would take an object's values in a list as well, without their keys.
             (Err(findings), Ok(_)) => {
-                let list = |f: &Finding| f.what == "It has to be an object, and is a list.";
-                assert!(findings.iter().all(list), "{value}: {findings:?}");
+                let is_list_for_object =
+                    |f: &Finding| f.what == "It has to be an object, and is a list.";
+                assert!(
+                    findings.iter().all(is_list_for_object),
+                    "{value}: {findings:?}"
+                );
             }
             (Err(_), Err(_)) => {}
         }
         match parsed {
             Ok(document) => {
-                good += 1;
+                valid += 1;
                 check(&document);
                 let _ = explain(&document).to_string();
             }
             Err(findings) => {
-                bad += 1;
+                invalid += 1;
                 assert!(!findings.is_empty());
             }
         }
@@ -286,8 +290,8 @@
         Ok(())
     });
     assert!(
-        good > 200 && bad > 200,
-        "{good} good and {bad} bad documents"
+        valid > 200 && invalid > 200,
+        "{valid} valid and {invalid} invalid documents"
     );
 }
 
@@ -297,7 +301,7 @@
     // Added up without care, these would overflow.
     let gang = json!({ "tasks": u32::MAX, "accelerators": u32::MAX });
     let place = "/sections/log-yard-scaling/workspaces/0/guarantees";
-    assert_eq!(check(&changed(place, json!([gang, gang]))).len(), 5);
+    assert_eq!(check(&with_value(place, json!([gang, gang]))).len(), 5);
     each_seed(2_000, 64, |u| {
         let mut bytes = VALID.to_vec();
         for _ in 0..u.int_in_range(1..=8)? {
@@ -321,20 +325,24 @@
 /// The fold checks an edited section against an index of the others. Its verdict has to be that of
 /// the checks of the whole document, or it would put in force what nobody can carry on from.
 #[test]
-fn fold_and_check() {
+fn fold_agrees_with_check() {
     let root: Name = "root".into();
-    let (mut accepted, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     each_seed(300, 512, |u| {
         let mut history = History::default();
         let mut offset = 0;
         while !u.is_empty() {
             offset += 1;
             let section: Name = (*u.choose(&["administration", "a", "b", "c"])?).into();
-            let content = section_of(u)?;
-            let base = history.sections().get(&section).copied().unwrap_or(0);
+            let content = any_section(u)?;
+            let base = history
+                .section_versions()
+                .get(&section)
+                .copied()
+                .unwrap_or(0);
             let mut document = history.current().document.clone();
             let parsed = content.as_ref().map(|c| c.parse(""));
-            let naive = match parsed {
+            let passes_check = match parsed {
                 None => {
                     document.sections.remove(&section);
                     check(&document).is_empty()
@@ -361,13 +369,13 @@
             match verdict.unwrap() {
                 Verdict::Accepted => {
                     accepted += 1;
-                    assert!(naive);
+                    assert!(passes_check);
                     assert_eq!(history.current().document, document);
                     assert_eq!(history.current().offset, offset + 1);
                 }
                 Verdict::Invalid { findings } => {
-                    refused += 1;
-                    assert!(!naive, "{}", lines(&findings));
+                    rejected += 1;
+                    assert!(!passes_check, "{}", finding_lines(&findings));
                     assert_ne!(history.current().offset, offset + 1);
                 }
                 Verdict::Stale { .. } => panic!("the base is the current version"),
@@ -376,10 +384,13 @@
         }
         Ok(())
     });
-    assert!(accepted > 500 && refused > 500, "{accepted} and {refused}");
+    assert!(
+        accepted > 500 && rejected > 500,
+        "{accepted} and {rejected}"
+    );
 }
 
-fn section_of(u: &mut Unstructured<'_>) -> Result<Option<RawSection>> {
+fn any_section(u: &mut Unstructured<'_>) -> Result<Option<RawSection>> {
     let name = |u: &mut Unstructured<'_>| Ok(*u.choose(&["x", "y", "z", "not a name"])?);
     let mut section = json!({ "owners": ["root"] });
     match u.int_in_range(0..=6)? {
--- a/dragonflyrun/tests/operator_edits.rs
+++ b/dragonflyrun/tests/operator_edits.rs
@@ -31,7 +31,7 @@
     /// It takes effect, and the answer is lost.
     AnswerLost,
     /// It takes effect after the next call, and no answer comes.
-    Late,
+    Delayed,
 }
 
 /// A log in memory, with the faults of the next calls; after them all go well, or none.
@@ -43,32 +43,35 @@
 #[derive(Default)]
 struct State {
     records: Vec<String>,
-    late: Vec<String>,
+    delayed: Vec<String>,
     faults: Vec<Fault>,
-    then: Option<Fault>,
+    default_fault: Option<Fault>,
 }
 
 impl State {
     fn next_fault(&mut self) -> Fault {
-        self.faults.pop().or(self.then).unwrap_or(Fault::None)
+        self.faults
+            .pop()
+            .or(self.default_fault)
+            .unwrap_or(Fault::None)
     }
 }
 
 impl FaultyLog {
     /// Sets the faults of the next calls in their order, and of all calls after them.
-    fn fail(&self, faults: &[Fault], then: Fault) {
+    fn set_faults(&self, faults: &[Fault], default_fault: Fault) {
         let mut state = self.state.borrow_mut();
         state.faults = faults.iter().rev().copied().collect();
-        state.then = Some(then);
+        state.default_fault = Some(default_fault);
     }
 
     /// Ends all faults; what was on its way arrives.
-    fn heal(&self) {
+    fn clear_faults(&self) {
         let mut state = self.state.borrow_mut();
         state.faults.clear();
-        state.then = None;
-        let late = std::mem::take(&mut state.late);
-        state.records.extend(late);
+        state.default_fault = None;
+        let delayed = std::mem::take(&mut state.delayed);
+        state.records.extend(delayed);
     }
 
     fn ledger(&self) -> Ledger {
@@ -82,31 +85,36 @@
 
     fn version_of(&self, section: &str) -> u64 {
         let ledger = self.ledger();
-        ledger.history.sections().get(section).copied().unwrap_or(0)
+        ledger
+            .history
+            .section_versions()
+            .get(section)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
-fn lost<T>() -> Result<T, LogError> {
+fn uncertain<T>() -> Result<T, LogError> {
     Err(LogError::Uncertain("cut off".to_owned()))
 }
 
 impl Log for &FaultyLog {
     fn append(&self, records: &[String]) -> Result<u64, LogError> {
         let mut state = self.state.borrow_mut();
-        let late = std::mem::take(&mut state.late);
+        let delayed = std::mem::take(&mut state.delayed);
         let fault = state.next_fault();
         let first = state.records.len() as u64;
         if matches!(fault, Fault::None | Fault::AnswerLost) {
             state.records.extend_from_slice(records);
         }
-        state.records.extend(late);
+        state.records.extend(delayed);
         match fault {
             Fault::None => Ok(first),
             Fault::Refused => Err(LogError::Refused("status 503".to_owned())),
-            Fault::Dropped | Fault::AnswerLost => lost(),
-            Fault::Late => {
-                state.late.extend_from_slice(records);
-                lost()
+            Fault::Dropped | Fault::AnswerLost => uncertain(),
+            Fault::Delayed => {
+                state.delayed.extend_from_slice(records);
+                uncertain()
             }
         }
     }
@@ -114,7 +122,7 @@
     fn read(&self, from: u64, limit: usize) -> Result<LogPage, LogError> {
         let mut state = self.state.borrow_mut();
         if state.next_fault() != Fault::None {
-            return lost();
+            return uncertain();
         }
         let from = usize::try_from(from).unwrap();
         let records = state.records.iter().enumerate().skip(from).take(limit);
@@ -163,7 +171,7 @@
 }
 
 /// A log on which `root` administers, and `alice` owns the section `north`.
-fn started() -> FaultyLog {
+fn log_with_section() -> FaultyLog {
     let log = FaultyLog::default();
     let owned = |owner| Some(json!({ "owners": [owner] }));
     let first = edit("administration", 0, owned("root"));
@@ -181,8 +189,8 @@
 /// Two operators load the same section, and both send it back. The second would undo the first
 /// one's change without having seen it.
 #[test]
-fn racing_editors() {
-    let log = started();
+fn concurrent_edits() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let first = edit("north", base, with_domain("alice", "murau", false));
     let second = edit("north", base, with_domain("alice", "murau", true));
@@ -195,7 +203,7 @@
 /// Two operators begin a new deployment at the same time, on a log that is empty. What one of them
 /// wrote must not be lost without notice, though it stands at the very first offset.
 #[test]
-fn racing_start() {
+fn concurrent_first_edits() {
     let log = FaultyLog::default();
     let first = edit(
         "administration",
@@ -213,8 +221,8 @@
 /// Somebody edits a section that is another team's, gives it to others, or makes itself an
 /// administrator.
 #[test]
-fn rights_of_owners() {
-    let log = started();
+fn owner_permissions() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let owned = |owners: &[&str]| Some(json!({ "owners": owners }));
     let administration = log.version_of("administration");
@@ -260,7 +268,7 @@
 /// Somebody seals an edit with a key of another editor's name that it has made up.
 #[test]
 fn forged_editor() {
-    let log = started();
+    let log = log_with_section();
     let before = log.ledger().history.current().document.clone();
     let body = RecordBody::Edit(edit("north", log.version_of("north"), None));
     for key in [
@@ -277,13 +285,13 @@
 /// force.
 #[test]
 fn lost_answer() {
-    let log = started();
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(
+    log.set_faults(
         &[Fault::AnswerLost, Fault::Dropped, Fault::AnswerLost],
         Fault::None,
     );
@@ -294,24 +302,24 @@
 /// The append itself was lost, so it has to be sent again.
 #[test]
 fn lost_append() {
-    let log = started();
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(&[Fault::Dropped, Fault::None, Fault::Refused], Fault::None);
+    log.set_faults(&[Fault::Dropped, Fault::None, Fault::Refused], Fault::None);
     assert_eq!(verdict(&log, "alice", &drain), Verdict::Accepted);
 }
 
 /// The append arrives after it has been sent a second time, and after another operator's edit. The
 /// first copy counts, and the second changes nothing.
 #[test]
-fn late_append() {
-    let log = started();
+fn delayed_append() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let drain = edit("north", base, with_domain("alice", "murau", false));
-    log.fail(&[Fault::Late, Fault::None], Fault::None);
+    log.set_faults(&[Fault::Delayed, Fault::None], Fault::None);
     assert_eq!(verdict(&log, "alice", &drain), Verdict::Accepted);
     let version = log.version_of("north");
     let back = edit("north", version, with_domain("alice", "murau", true));
@@ -324,40 +332,43 @@
 /// The log is down and stays down. Refused calls took no effect, so "not sent" is true. A lost
 /// answer says nothing: the edit may be there, and the operator must not be told that it is not.
 #[test]
-fn lasting_outage() {
-    let log = started();
+fn permanent_outage() {
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(&[], Fault::Refused);
+    log.set_faults(&[], Fault::Refused);
     let refused = publish(&log, "alice", &drain, false);
     assert!(matches!(refused, Published::NotSent { .. }), "{refused:?}");
-    for fault in [Fault::AnswerLost, Fault::Dropped, Fault::Late] {
-        log.fail(&[fault], Fault::Refused);
-        let lost = publish(&log, "alice", &drain, false);
-        assert!(matches!(lost, Published::Unknown { .. }), "{lost:?}");
+    for fault in [Fault::AnswerLost, Fault::Dropped, Fault::Delayed] {
+        log.set_faults(&[fault], Fault::Refused);
+        let uncertain = publish(&log, "alice", &drain, false);
+        assert!(
+            matches!(uncertain, Published::Unknown { .. }),
+            "{uncertain:?}"
+        );
     }
 }
 
 /// Whatever befalls the calls, an editor is told "accepted" only of what is in force, and "not
 /// sent" or "rejected" only of what never will be.
 #[test]
-fn true_answers() {
+fn reported_outcome_is_true() {
     let faults = [
         Fault::None,
         Fault::Refused,
         Fault::Dropped,
         Fault::AnswerLost,
-        Fault::Late,
+        Fault::Delayed,
     ];
-    let (mut judged, mut open) = (0, 0);
+    let (mut judged, mut unknown) = (0, 0);
     each_seed(50, 128, |u| {
-        let log = started();
+        let log = log_with_section();
         while !u.is_empty() {
-            let chosen = some_faults(u, &faults)?;
-            let (patient, then) = if u.ratio(1, 2)? {
+            let chosen = any_faults(u, &faults)?;
+            let (patient, default_fault) = if u.ratio(1, 2)? {
                 (true, Fault::None)
             } else {
                 (false, *u.choose(&faults)?)
@@ -369,26 +380,29 @@
                 base
             };
             let name = format!("domain-{}", log.state.borrow().records.len());
-            log.fail(&chosen, then);
+            log.set_faults(&chosen, default_fault);
             let change = edit("north", base, with_domain("alice", &name, true));
             let published = publish(&log, "alice", &change, patient);
-            log.heal();
-            let is_in = log.ledger().history.current().in_service(&Name::from(name));
+            log.clear_faults();
+            let is_in_force = log.ledger().history.current().in_service(&Name::from(name));
             match published {
                 Published::Judged { verdict, .. } => {
                     judged += 1;
-                    assert_eq!(is_in, verdict == Verdict::Accepted);
+                    assert_eq!(is_in_force, verdict == Verdict::Accepted);
                 }
-                Published::NotSent { .. } => assert!(!is_in),
-                Published::Unknown { .. } => open += 1,
+                Published::NotSent { .. } => assert!(!is_in_force),
+                Published::Unknown { .. } => unknown += 1,
             }
         }
         Ok(())
     });
-    assert!(judged > 100 && open > 30, "{judged} judged, {open} unknown");
+    assert!(
+        judged > 100 && unknown > 30,
+        "{judged} judged, {unknown} unknown"
+    );
 }
 
-fn some_faults(u: &mut Unstructured<'_>, faults: &[Fault]) -> ArbResult<Vec<Fault>> {
+fn any_faults(u: &mut Unstructured<'_>, faults: &[Fault]) -> ArbResult<Vec<Fault>> {
     let length = u.int_in_range(0..=6)?;
     (0..length).map(|_| u.choose(faults).copied()).collect()
 }
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -177,7 +177,7 @@
             ..Section::default()
         };
         let section_name: Name = ADMINISTRATION.into();
-        let sections = self.ledger.history.sections();
+        let sections = self.ledger.history.section_versions();
         let edit = Edit {
             base: sections.get(&section_name).copied().unwrap_or(0),
             section: section_name,
--- a/dragonflyrun/tests/tool_output.rs
+++ b/dragonflyrun/tests/tool_output.rs
@@ -51,14 +51,14 @@
 fn check_prints() {
     let valid = run(&["check", "murtal.json"]);
     assert_eq!((valid.exit, &*valid.err), (0, ""), "{}", valid.out);
-    let broken = run(&["check", "broken.json"]);
-    assert_eq!(broken.exit, 1);
+    let invalid = run(&["check", "invalid.json"]);
+    assert_eq!(invalid.exit, 1);
     assert_eq!(
-        broken.out,
-        std::fs::read_to_string(data("broken-findings.txt")).unwrap()
+        invalid.out,
+        std::fs::read_to_string(data("invalid-findings.txt")).unwrap()
     );
-    let broken = run(&["check", "--json", "broken.json"]);
-    let findings = json_of(&broken);
+    let invalid = run(&["check", "--json", "invalid.json"]);
+    let findings = json_of(&invalid);
     assert_eq!(findings["valid"], json!(false));
     let places = findings["findings"].as_array().unwrap();
     assert!(
@@ -87,9 +87,9 @@
         "/sections/murtal-cluster/failure_domains/2"
     );
     assert_eq!(leoben["kind"], "failure_domain");
-    let broken = run(&["explain", "--json", "broken.json"]);
+    let invalid = run(&["explain", "--json", "invalid.json"]);
     assert_eq!(
-        (broken.exit, &json_of(&broken)["error"]),
+        (invalid.exit, &json_of(&invalid)["error"]),
         (1, &json!("findings"))
     );
 }
@@ -107,7 +107,7 @@
         &["edit", "a", "section.json"],
         &["status"],
         &["--config", "no-such-file.json", "status"],
-        &["--config", "broken.json", "status"],
+        &["--config", "invalid.json", "status"],
         &[
             "--log",
             "localhost",
--- a/standins/src/editor.rs
+++ b/standins/src/editor.rs
@@ -73,7 +73,12 @@
     /// Where the log does not take it, or it is rejected.
     pub fn edit(&self, section: &str, content: Section) -> io::Result<u64> {
         let section = Name::from(section);
-        let base = self.ledger()?.history.sections().get(&section).copied();
+        let base = self
+            .ledger()?
+            .history
+            .section_versions()
+            .get(&section)
+            .copied();
         let body = RecordBody::Edit(Edit {
             section: section.clone(),
             base: base.unwrap_or(0),
@@ -83,7 +88,7 @@
         let record = AuthorKey::of_editor(&self.secret, &self.name).seal(&id, &body);
         let offset = self.client.append(&[record]).map_err(io::Error::other)?;
         let ledger = self.ledger()?;
-        match ledger.history.sections().get(&section) {
+        match ledger.history.section_versions().get(&section) {
             Some(version) if *version == offset + 1 => Ok(*version),
             _ => Err(io::Error::other("the edit was rejected")),
         }
