--- a/dragonflyrun/src/version/check.rs
+++ b/dragonflyrun/src/version/check.rs
@@ -1,12 +1,11 @@
-//! The checks of what a document says: all findings are collected with their place and reported
-//! together.
+//! The checks of the values in a document. All findings are collected and reported together.
 //!
-//! Every process judges an edit by these checks, so a change here is a change of the format: two
-//! programs with different checks would put different configurations in force. `docs/DESIGN.md`,
-//! verdicts, says how a new format is brought in.
+//! Every process applies these checks to an edit, so changing a check changes the format: two
+//! releases with different checks would put different configurations in force. `docs/DESIGN.md`,
+//! verdicts, describes how to introduce a new format.
 //!
-//! Whether the guarantees fit the hardware can't be known from a document; `dragonflyrun status`
-//! shows what there is.
+//! A document does not tell whether the hardware suffices for the guarantees;
+//! `dragonflyrun status` shows the available accelerators.
 
 use crate::{
     utils::{HashSet, Name},
@@ -26,30 +25,30 @@
     },
 };
 
-/// Characters of a name, at the most.
+/// The maximum number of characters in a name.
 pub const MAX_NAME_CHARACTERS: usize = 64;
 
-/// Sections of a document, at the most.
+/// The maximum number of sections in a document.
 pub const MAX_SECTIONS: usize = 512;
 
-/// Items of one section, at the most: its owners, workspaces, guarantees, failure domains and
-/// services together.
+/// The maximum number of items in one section: its owners, workspaces, guarantees, failure domains
+/// and services together.
 pub const MAX_SECTION_ITEMS: usize = 2_048;
 
-/// Items of all sections together, at the most, so that the planner can always repeat the whole
-/// configuration in one record of the log.
+/// The maximum number of items in all sections together. The limit ensures that the planner can
+/// always repeat the whole configuration in one log record.
 pub const MAX_DOCUMENT_ITEMS: usize = 16_384;
 
-/// Tasks of one gang, at the most.
+/// The maximum number of tasks in a gang.
 pub const MAX_GANG_TASKS: u32 = 256;
 
-/// Accelerators of one worker, at the most, and so also of one task.
+/// The maximum number of accelerators in a worker, and so also of one task.
 pub const MAX_ACCELERATORS_PER_WORKER: u32 = 64;
 
 const HOUR_MS: u64 = 3_600_000;
 const DAY_MS: u64 = 24 * HOUR_MS;
 
-/// Returns all that is wrong in `document`, in the order of its sections.
+/// Returns all findings in `document`, in the order of its sections.
 pub fn check(document: &Document) -> Vec<Finding> {
     let mut findings = Findings::default();
     let root = Place::Root("/sections");
@@ -66,15 +65,14 @@
     findings.into_vec()
 }
 
-/// Returns all that is wrong in the section called `name`, as far as it can be seen without the
-/// other sections.
+/// Returns all findings in the section called `name`, except conflicts with other sections.
 pub fn check_single_section(name: &Name, section: &Section) -> Vec<Finding> {
     let mut findings = Findings::default();
     check_section(name, section, &mut findings);
     findings.into_vec()
 }
 
-/// Adds all that is wrong in the section called `name`, without regard to other sections.
+/// Adds all findings in the section called `name`, except conflicts with other sections.
 pub(super) fn check_section(name: &Name, section: &Section, findings: &mut Findings) {
     let root = Place::Root("/sections");
     let place = root.key(name);
@@ -85,7 +83,7 @@
         findings.add(place.key("format"), what);
     }
     if section.format == Some(0) {
-        findings.add(place.key("format"), "It begins at 1.");
+        findings.add(place.key("format"), "The lowest format is 1.");
     }
     if section.items() > MAX_SECTION_ITEMS {
         let what = format!("It has more than {MAX_SECTION_ITEMS} items.");
@@ -104,12 +102,12 @@
     }
 }
 
-/// One of the named things that a section lists.
+/// An item of a section that has a name.
 trait Named {
-    /// Returns its name.
+    /// Returns the name of the item.
     fn name(&self) -> &Name;
 
-    /// Adds what is wrong in it apart from its name.
+    /// Adds all findings in the item, except those about its name.
     fn check(&self, place: Place<'_>, findings: &mut Findings);
 }
 
@@ -199,7 +197,7 @@
         let window = place.key("key_window_ms");
         check_range(self.key_window_ms, 1_000, DAY_MS, window, findings);
         if !self.repeatable && self.key_window_ms < self.deadline_ms {
-            // A caller who waits out the deadline and asks again would find its key forgotten.
+            // The key of a caller that waits for the deadline and then retries would be gone.
             findings.add(window, "A key is forgotten before the request's deadline.");
         }
     }
@@ -242,16 +240,16 @@
 fn check_name(name: &str, place: Place<'_>, findings: &mut Findings) {
     if !is_name(name) {
         let what = format!(
-            "`{}` is not a name: 1 to {MAX_NAME_CHARACTERS} of a-z, A-Z, 0-9, `-`, `_`, `.` and `@`, \
-             the first a letter or a digit.",
+            "`{}` is not a name: 1 to {MAX_NAME_CHARACTERS} of a-z, A-Z, 0-9, `-`, `_`, `.` and \
+             `@`, the first a letter or a digit.",
             truncate(name).escape_debug()
         );
         findings.add(place, what);
     }
 }
 
-/// Returns whether `text` may name something. A name stands in paths, headers and log lines, so it
-/// has no character that would need quoting there.
+/// Returns whether `text` is a valid name. Names appear in paths, headers and log lines, so they
+/// contain no character that has to be quoted there.
 pub fn is_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.@".contains(&b);
     text.len() <= MAX_NAME_CHARACTERS
--- a/dragonflyrun/src/version/document.rs
+++ b/dragonflyrun/src/version/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document, as it is written in JSON.
+//! The configuration document that operators write in JSON.
 //!
 //! `docs/OPERATIONS.md` describes each section with its defaults and an example.
 
@@ -14,14 +14,14 @@
 /// The section whose owners may add and remove sections and change their owners.
 pub const ADMINISTRATION: &str = "administration";
 
-/// The newest format of the document that this program can judge; see `docs/OPERATIONS.md`,
-/// changes of the format.
+/// The newest document format that this program supports; see `docs/OPERATIONS.md`, changes of the
+/// format.
 pub const FORMAT: u32 = 1;
 
 /// The whole configuration: sections by name, each owned by a team.
 ///
-/// A new version shares the sections that an edit left alone with the one before it: at 160
-/// sections, copying them all took most of the time of a fold.
+/// A new version shares the sections that an edit did not change with the version before it: with
+/// 160 sections, copying all of them took most of the time of applying an edit.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -31,7 +31,7 @@
 }
 
 impl Document {
-    /// Returns the format that the sections are written in.
+    /// Returns the format of the document, which is 1 unless section `administration` sets it.
     pub fn format(&self) -> u32 {
         self.sections
             .get(ADMINISTRATION)
@@ -42,32 +42,33 @@
 
 /// One team's part of the document.
 ///
-/// The lists of all sections together make up the effective tables; a name may be defined in one
-/// section only.
+/// The lists of all sections are merged into the tables of a
+/// [`Version`](super::Version), so each name may be defined in one section only.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
-    /// Editors who may change this section.
+    /// The editors who may change this section.
     pub owners: Vec<Name>,
-    /// The format of the whole document, in section `administration` only; none means 1.
+    /// The format of the whole document; allowed in section `administration` only. `None` means 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub format: Option<u32>,
-    /// Workspaces with their guarantees.
+    /// The workspaces with their guarantees.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<Workspace>,
-    /// Failure domains, in or out of service.
+    /// The failure domains, in or out of service.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failure_domains: Vec<FailureDomain>,
-    /// Services that callers may send requests to.
+    /// The services that callers may send requests to.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<Service>,
-    /// Limits of the whole system; one section at most may set them.
+    /// The limits of the whole system; at most one section may set them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<Limits>,
 }
 
 impl Section {
-    /// Returns how many things the section lists, guarantees and owners included.
+    /// Returns the number of items in the section: its owners, workspaces, guarantees, failure
+    /// domains and services.
     pub fn items(&self) -> usize {
         let guarantees: usize = self.workspaces.iter().map(|w| w.guarantees.len()).sum();
         let entries = self.workspaces.len() + self.failure_domains.len() + self.services.len();
@@ -75,50 +76,50 @@
     }
 }
 
-/// A customer of the system with what it has been promised.
+/// A workspace with its guarantees and its quota.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// The name that jobs give.
+    /// The name by which jobs refer to the workspace.
     pub name: Name,
-    /// Shapes that this workspace can have at any time.
+    /// The gangs that this workspace can run at any time.
     #[serde(default)]
     pub guarantees: Vec<Guarantee>,
-    /// Accelerators in use at once, at the most; none means no bound.
+    /// The maximum number of accelerators in use at once; `None` means no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota_accelerators: Option<u32>,
 }
 
 impl Workspace {
-    /// Returns the accelerators of all guarantees together.
+    /// Returns the total number of accelerators of all guarantees.
     pub fn guaranteed_accelerators(&self) -> u64 {
         let totals = self.guarantees.iter().map(Guarantee::total_accelerators);
-        // A section that has not been checked yet may hold any numbers.
+        // An unchecked section may hold numbers whose sum overflows.
         totals.fold(0, u64::saturating_add)
     }
 }
 
-/// A shape that a workspace can have at any time, also when others are using it.
+/// A gang that a workspace can run at any time, even if other jobs are using the accelerators.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Guarantee {
-    /// Tasks that run together.
+    /// The number of tasks that run together.
     pub tasks: u32,
-    /// Accelerators of each task.
+    /// The number of accelerators of each task.
     pub accelerators: u32,
-    /// How near to each other the tasks are.
+    /// How close to each other the tasks have to run.
     #[serde(default)]
     pub adjacency: Adjacency,
 }
 
 impl Guarantee {
-    /// Returns the accelerators of all tasks together.
+    /// Returns the total number of accelerators of all tasks.
     pub fn total_accelerators(&self) -> u64 {
         u64::from(self.tasks) * u64::from(self.accelerators)
     }
 }
 
-/// How near to each other the tasks of a gang have to be.
+/// How close to each other the tasks of a gang have to run.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -135,13 +136,13 @@
     Worker,
 }
 
-/// A set of workers that operators take out of service and return as one.
+/// A set of workers that operators take out of service and return to service together.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailureDomain {
-    /// The name that the settings of agents give.
+    /// The name by which the settings of agents refer to the failure domain.
     pub name: Name,
-    /// The region it lies in.
+    /// The region that the failure domain is in.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<Name>,
     /// Whether tasks and requests may start in it.
@@ -149,18 +150,18 @@
     pub in_service: bool,
 }
 
-/// How soon a request or a job is needed.
+/// The priority class of a request or a job.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// Somebody waits for it.
+    /// Somebody is waiting for the result.
     Urgent,
-    /// It can wait a little.
+    /// A short wait is acceptable.
     #[default]
     Normal,
-    /// It can wait long.
+    /// A long wait is acceptable.
     Patient,
 }
 
@@ -168,30 +169,31 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name in the request's path.
+    /// The name in the path of a request.
     pub name: Name,
-    /// How soon its answers are needed.
+    /// The urgency of its requests, unless a request states a lower one.
     #[serde(default)]
     pub urgency: Urgency,
-    /// Milliseconds within which a request is answered, unless it states less.
+    /// The deadline of a request in milliseconds, unless the request states a shorter one.
     #[serde(default = "Service::default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether running a request twice does no harm. Where it does, callers send a key.
+    /// Whether a request may run twice. If not, callers have to send an idempotency key.
     #[serde(default)]
     pub repeatable: bool,
-    /// Requests that wait at one entry, at the most.
+    /// The maximum number of requests that wait at one entry.
     #[serde(default = "Service::default_queue_limit")]
     pub queue_limit: u32,
-    /// Milliseconds for which a key is remembered.
+    /// How long an idempotency key is remembered, in milliseconds.
     #[serde(default = "Service::default_key_window_ms")]
     pub key_window_ms: u64,
 }
 
 impl Service {
-    /// Returns the milliseconds within which a request is answered at the most.
+    /// Returns the longest deadline of a request, in milliseconds.
     ///
-    /// A caller that has waited for its answer in vain asks again with the same key. The key has
-    /// to be remembered then, so a request gets no more than half of that time.
+    /// A caller that got no answer within the deadline retries with the same idempotency key. The
+    /// key still has to be remembered then, so the deadline is at most half of the time for which
+    /// keys are remembered.
     pub fn max_deadline_ms(&self) -> u64 {
         if self.repeatable {
             return self.deadline_ms;
@@ -216,15 +218,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of a request's or an answer's body, at the most.
+    /// The maximum size of the body of a request or an answer, in bytes.
     pub body_bytes: u64,
-    /// Jobs that wait or run at once, at the most.
+    /// The maximum number of jobs that wait or run at once.
     pub live_jobs: u32,
-    /// Retries as a share of first attempts, in percent.
+    /// The maximum number of retries, in percent of the number of first attempts.
     pub retry_percent: u32,
-    /// Failed starts in a row after which a worker is set aside.
+    /// The number of consecutive failed task starts after which a worker is quarantined.
     pub worker_failures: u32,
-    /// Milliseconds for which a worker that was set aside is left alone.
+    /// How long a quarantined worker gets no tasks at first, in milliseconds.
     pub quarantine_ms: u64,
 }
 
--- a/dragonflyrun/src/version/explain/mod.rs
+++ b/dragonflyrun/src/version/explain/mod.rs
@@ -1,4 +1,4 @@
-//! What the system will do, in sentences, read off a document alone.
+//! Explains in sentences what the system does under a document, from the document alone.
 
 mod sentences;
 mod warnings;
@@ -12,37 +12,37 @@
     version::{Document, Finding, Section, finding::Place}, //
 };
 
-/// What can't be known from a document, however it is written.
+/// What no document tells about the system.
 const NOT_KNOWN_FROM_DOCUMENT: &str = "Whether the workers that are there hold all guarantees can't be read off the document; \
      `dragonflyrun status` shows what there is.";
 
-/// What the system will do under a document.
+/// A description of what the system does under a document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Explanation {
-    /// What holds for the whole system.
+    /// Sentences about the whole system.
     pub general: Vec<String>,
-    /// Each thing that the sections define, in their order.
+    /// A topic for each item that the sections define, in the order of the sections.
     pub topics: Vec<Topic>,
-    /// What operators should look at, though it is allowed.
+    /// Valid settings that may be a mistake.
     pub warnings: Vec<Finding>,
-    /// What can't be known from a document.
+    /// What the document does not tell.
     pub not_known: &'static str,
 }
 
-/// What the system will do about one thing.
+/// A description of what the system does with one item of the document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Topic {
-    /// A JSON pointer to its definition.
+    /// The JSON pointer to the definition of the item.
     pub place: String,
-    /// What kind of thing it is.
+    /// The kind of the item.
     pub kind: TopicKind,
-    /// Its name.
+    /// The name of the item.
     pub name: Name,
-    /// What the system will do, one thing a sentence.
+    /// What the system does, one statement per sentence.
     pub sentences: Vec<String>,
 }
 
-/// The kinds of things that a document defines.
+/// The kinds of items that a document defines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TopicKind {
--- a/dragonflyrun/src/version/explain/sentences.rs
+++ b/dragonflyrun/src/version/explain/sentences.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// Returns what holds for the whole system.
+/// Returns the sentences about the whole system.
 pub(super) fn general(document: &Document) -> Vec<String> {
     let mut sentences = vec![
         "Jobs that wait start in the order urgent, normal, patient; among equals those go first \
@@ -34,13 +34,13 @@
             .to_owned(),
     ];
     if document.sections.values().all(|s| s.limits.is_none()) {
-        sentences.push("No section sets limits, so the default ones hold:".to_owned());
+        sentences.push("No section sets limits, so the defaults apply:".to_owned());
         sentences.extend(limits(&Limits::default()));
     }
     sentences
 }
 
-/// Returns who may edit the section.
+/// Returns the sentences about who may edit the section.
 pub(super) fn section(document: &Document, name: &Name, section: &Section) -> Vec<String> {
     let owners = join(&section.owners);
     if **name == *ADMINISTRATION {
@@ -56,7 +56,7 @@
     ]
 }
 
-/// Returns what a workspace can have and may borrow.
+/// Returns the sentences about what a workspace is guaranteed and may borrow.
 pub(super) fn workspace(workspace: &Workspace) -> Vec<String> {
     let mut sentences: Vec<String> = workspace.guarantees.iter().map(guarantee).collect();
     let guaranteed = workspace.guaranteed_accelerators();
@@ -102,7 +102,7 @@
     )
 }
 
-/// Returns what may start in a failure domain.
+/// Returns the sentences about what may start in a failure domain.
 pub(super) fn failure_domain(failure_domain: &FailureDomain) -> Vec<String> {
     let mut sentences = Vec::new();
     if let Some(region) = &failure_domain.region {
@@ -124,7 +124,7 @@
     sentences
 }
 
-/// Returns how the requests of a service are treated.
+/// Returns the sentences about how the requests of a service are handled.
 pub(super) fn service(service: &Service) -> Vec<String> {
     let urgency = match service.urgency {
         Urgency::Urgent => "urgent, unless they state less",
@@ -163,7 +163,7 @@
     sentences
 }
 
-/// Returns what the limits do.
+/// Returns the sentences about the effects of the limits.
 pub(super) fn limits(limits: &Limits) -> Vec<String> {
     vec![
         format!(
@@ -200,7 +200,7 @@
     format!("{n} {noun}{plural}")
 }
 
-/// Returns a number of milliseconds as it is read best.
+/// Formats a duration in milliseconds in the largest unit of which it is a multiple.
 fn duration(ms: u64) -> String {
     if ms.is_multiple_of(60_000) {
         count(ms / 60_000, "minute")
--- a/dragonflyrun/src/version/explain/warnings.rs
+++ b/dragonflyrun/src/version/explain/warnings.rs
@@ -1,4 +1,4 @@
-//! What is allowed in a document, but worth a second look.
+//! Warnings about settings that are valid but may be a mistake.
 
 use crate::version::{
     Adjacency,
@@ -10,19 +10,20 @@
     finding::{Findings, Place}, //
 };
 
-/// Failure domains by whether they are in service.
+/// The numbers of failure domains in and out of service.
 #[derive(Clone, Copy, Default)]
 struct DomainCounts {
     in_service: usize,
     out_of_service: usize,
 }
 
-/// Returns what operators should look at.
+/// Returns the warnings about `document`.
 pub(super) fn warnings(document: &Document) -> Vec<Finding> {
     let mut findings = Findings::default();
     let root = Place::Root("/sections");
     if document.format() > FORMAT {
-        let what = "The format is newer than this program; the explanation may be incomplete.";
+        let what =
+            "The format is newer than this program supports; the explanation may be incomplete.";
         findings.add(Place::Root("/sections/administration/format"), what);
     }
     let domains = count_domains(document);
--- a/dragonflyrun/src/version/finding.rs
+++ b/dragonflyrun/src/version/finding.rs
@@ -1,22 +1,22 @@
-//! Findings: what is wrong in operators' input, each with its place.
+//! Findings: mistakes in operators' input, each with its place.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Findings that are reported together, at the most. A long list of them helps nobody, and a
-/// hostile section could be made of nothing else.
+/// The maximum number of findings in a report. A longer list is of no use to an operator, and a
+/// malicious section could consist of nothing but mistakes.
 const MAX_FINDINGS: usize = 100;
 
-/// Characters of a stranger's text that are shown in a finding, at the most.
+/// The maximum number of characters of untrusted text that a finding quotes.
 const MAX_SHOWN_CHARACTERS: usize = 80;
 
-/// Something wrong in a document.
+/// A mistake in a document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Finding {
-    /// A JSON pointer to the place.
+    /// The JSON pointer to the mistake.
     pub place: String,
-    /// What is wrong there, as a whole sentence.
+    /// What is wrong, as a whole sentence.
     pub what: String,
 }
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// A JSON pointer that grows as a check goes deeper.
+/// A JSON pointer that is extended while a check descends into a value.
 #[derive(Clone, Copy)]
 pub(crate) enum Place<'a> {
-    /// The whole of what is checked, which itself has this pointer.
+    /// The checked value itself, which is at this pointer.
     Root(&'a str),
     /// A key of an object.
     Key(&'a Place<'a>, &'a str),
@@ -51,8 +51,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Root(pointer) => f.write_str(pointer),
-            // JSON pointers escape these two characters of a key. A stranger's key may be megabytes
-            // long, and stand in each of many findings.
+            // JSON pointers escape these two characters. An untrusted key may be megabytes long and
+            // appear in many findings, so it is truncated.
             Self::Key(parent, key) => {
                 let shown = truncate(key).replace('~', "~0").replace('/', "~1");
                 write!(f, "{parent}/{shown}")
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the start of `text`, which is all of it unless it is over-long.
+/// Returns the first [`MAX_SHOWN_CHARACTERS`] characters of `text`.
 pub(crate) fn truncate(text: &str) -> &str {
     match text.char_indices().nth(MAX_SHOWN_CHARACTERS) {
         Some((end, _)) => &text[..end],
@@ -70,7 +70,7 @@
     }
 }
 
-/// Collects findings, up to a bound.
+/// A list of findings, limited to [`MAX_FINDINGS`].
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
     list: Vec<Finding>,
@@ -86,7 +86,7 @@
         } else if self.list.len() == MAX_FINDINGS {
             self.list.push(Finding {
                 place: String::new(),
-                what: "There is more; mend these first.".to_owned(),
+                what: "There are more findings; fix these first.".to_owned(),
             });
         }
     }
--- a/dragonflyrun/src/version/history.rs
+++ b/dragonflyrun/src/version/history.rs
@@ -1,9 +1,10 @@
-//! The fold of the edits on the log into the configuration in force.
+//! Folds the edits on the log into the configuration in force.
 //!
 //! Every process folds the same records in the order of their offsets, by the same rules, and so
-//! reaches the same verdict on each edit without asking another process. What the rules look at is
-//! all in [`History`] and is all repeated in a carried configuration, so that a process that
-//! starts there goes on exactly like one that has folded the log from its first record.
+//! reaches the same verdict on each edit without asking another process. All state that the rules
+//! depend on is in [`History`] and in the configuration that the planner repeats on the log, so a
+//! process that starts from a repeated configuration behaves exactly like one that has folded the
+//! log from its first record.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -30,72 +31,75 @@
     },
 };
 
-/// Ids of edits that are remembered to drop a second copy, which comes from an editor who sent
-/// again after a lost answer. A copy of an accepted edit would only be stale; a copy of a refused
-/// one may have become valid since, and must not take effect after its editor was told no.
+/// The number of recent edit ids that are kept to detect a second copy of an edit.
+///
+/// An editor that got no answer sends its edit again. A second copy of an accepted edit would only
+/// be stale, but a second copy of a rejected edit may have become valid since, and must not take
+/// effect after its editor was told that it was rejected.
 const MAX_RECENT_EDIT_IDS: usize = 1_024;
 
-/// Edits that are kept while the configuration before them is not known, at the most.
+/// The maximum number of edits that are kept while the configuration before them is unknown.
 const MAX_PENDING_EDITS: usize = 1_024;
 
-/// What became of an edit; the same in every process.
+/// The outcome of an edit, which is the same in every process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is in force.
+    /// The edit is in force.
     Accepted,
-    /// The section has changed since the editor saw it.
+    /// The section has changed since the version that the edit is based on.
     Stale {
-        /// The section's version.
+        /// The current version of the section.
         current: u64,
     },
-    /// The editor does not own the section.
+    /// The editor may not make this change.
     NotOwner,
-    /// The document that results breaks the checks.
+    /// The resulting document would be invalid.
     Invalid {
-        /// All that was found.
+        /// All findings in the edited section.
         findings: Vec<Finding>,
     },
 }
 
-/// An edit as it stands on the log.
+/// An edit that was read from the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoggedEdit {
-    /// Its offset.
+    /// The offset of its record.
     pub offset: u64,
     /// The id of its record.
     pub id: Name,
-    /// Who wrote it.
+    /// The editor who wrote it.
     pub editor: Name,
-    /// What it says.
+    /// The edit itself.
     pub edit: Edit,
 }
 
 impl LoggedEdit {
-    /// Returns the version that the edit makes if it is accepted: the offset after its own, so
-    /// that an edit at the start of the log differs from there being none.
+    /// Returns the version that the edit creates if it is accepted. This is the offset after its
+    /// own, so that an edit at offset 0 differs from version 0, where there is no edit.
     pub fn version(&self) -> u64 {
         self.offset + 1
     }
 }
 
-/// How much of the configuration a process knows.
+/// Whether a process has seen all edits of the configuration.
 #[derive(Clone, Debug)]
 enum Completeness {
-    /// All of it.
+    /// The process has seen all edits.
     Complete,
-    /// The log has dropped edits that this process has not seen. `from` is the offset as of which
-    /// it has seen all, and `edits` are those since.
+    /// The log has dropped records that this process has not read. It has seen all edits from
+    /// offset `complete_from` on and keeps them in `edits`.
     Gap {
         complete_from: u64,
         edits: VecDeque<LoggedEdit>,
     },
-    /// All of it, provided that there was none before `from`; `edits` are those since.
+    /// The process has seen all edits, provided that there was none before `complete_from`. `edits`
+    /// are those since.
     PresumedComplete {
         complete_from: u64,
         edits: VecDeque<LoggedEdit>,
     },
-    /// The document is in a newer format than this program knows.
+    /// The document is in a newer format than this program supports.
     UnsupportedFormat { format: u32 },
 }
 
@@ -122,7 +126,7 @@
 }
 
 impl History {
-    /// Returns the version in force.
+    /// Returns the version of the configuration in force.
     pub fn current(&self) -> &Arc<Version> {
         &self.current
     }
@@ -132,10 +136,12 @@
         &self.section_versions
     }
 
-    /// Returns whether this process knows all edits up to where it has folded the log.
+    /// Returns whether this process knows all edits up to the offset up to which it has folded the
+    /// log.
     ///
-    /// One that does not may have missed that a failure domain was taken out. It keeps the version
-    /// that it has, but must start nothing until it is whole again.
+    /// If not, it may have missed that a failure domain was taken out of service. It keeps its
+    /// version of the configuration, but must not start anything until the history is complete
+    /// again.
     pub fn is_complete(&self) -> bool {
         matches!(
             self.completeness,
@@ -143,15 +149,15 @@
         )
     }
 
-    /// Returns whether it is whole only provided that there was no configuration before a gap.
+    /// Returns whether the history is complete only if there was no configuration before a gap.
     pub fn is_presumed_complete(&self) -> bool {
         matches!(self.completeness, Completeness::PresumedComplete { .. })
     }
 
-    /// Returns the format of the document, where it is newer than this program knows.
+    /// Returns the format of the document if it is newer than this program supports.
     ///
-    /// The program has no right verdict on any later edit, so it goes no further. It has to be
-    /// replaced by a newer one.
+    /// The program can't evaluate later edits correctly, so it stops folding edits and has to be
+    /// upgraded.
     pub fn unsupported_format(&self) -> Option<u32> {
         match self.completeness {
             Completeness::UnsupportedFormat { format } => Some(format),
@@ -161,9 +167,9 @@
 
     /// Folds an edit.
     ///
-    /// Returns none for a second copy of an edit, and where this process is not
-    /// [whole](Self::is_complete). An edit in a gap is judged later, when a carried configuration
-    /// closes the gap.
+    /// Returns `None` for a second copy of an edit, and if the history is not
+    /// [complete](Self::is_complete). An edit after a gap is evaluated later, once a repeated
+    /// configuration has closed the gap.
     pub fn fold(&mut self, logged: &LoggedEdit) -> Option<Verdict> {
         match &mut self.completeness {
             Completeness::Complete => self.evaluate(logged),
@@ -185,8 +191,8 @@
         }
     }
 
-    /// Takes note that the log has dropped records before this process has read them, and that it
-    /// reads on at offset `first`.
+    /// Marks the history as incomplete: the log dropped records before this process read them, and
+    /// the process continues at offset `first`.
     pub fn mark_incomplete(&mut self, first: u64) {
         if !matches!(self.completeness, Completeness::UnsupportedFormat { .. }) {
             self.completeness = Completeness::Gap {
@@ -197,11 +203,11 @@
     }
 
     /// Presumes that there was no configuration before the gap, as the log shows no trace of one,
-    /// and judges the edits seen since.
+    /// and evaluates the edits since.
     ///
-    /// A process that knows a configuration knows that there was one. One that knows none may still
-    /// be mistaken, where all that the planner has repeated is dropped as well after a long outage,
-    /// so it goes on looking for a carried configuration.
+    /// This does nothing if the process already knows a configuration. Otherwise it may still be
+    /// wrong: after a long outage the log may also have dropped every configuration that the
+    /// planner repeated. So the process still accepts a repeated configuration.
     pub fn presume_complete(&mut self) {
         if self.current.offset > 0 {
             return;
@@ -223,13 +229,13 @@
         }
     }
 
-    /// Folds a carried configuration that stands at `offset`.
+    /// Folds a configuration that the planner repeated at `offset`.
     ///
-    /// A process that is whole has no use for it: it holds this state or a later one, and must not
-    /// go back. One with a gap takes it over if it has seen every edit since the state was taken,
-    /// and then judges those, so that an edit that reached the log between the taking and the
-    /// carrying of the state is not lost.
-    pub fn adopt(&mut self, offset: u64, carried: &CarriedConfiguration) {
+    /// A complete history ignores it: it has this state or a later one, and must not go back. A
+    /// history with a gap adopts it if it has seen every edit since the planner took the snapshot,
+    /// and then evaluates those edits. So an edit that reached the log between the snapshot and its
+    /// record is not lost.
+    pub fn adopt(&mut self, offset: u64, repeated: &CarriedConfiguration) {
         let (complete_from, min_version, edits) = match &mut self.completeness {
             Completeness::Gap {
                 complete_from,
@@ -242,19 +248,19 @@
             Completeness::Complete | Completeness::UnsupportedFormat { .. } => return,
         };
         let is_consistent =
-            (min_version..=carried.as_of).contains(&carried.version) && carried.as_of <= offset;
-        if carried.as_of < complete_from || !is_consistent {
+            (min_version..=repeated.as_of).contains(&repeated.version) && repeated.as_of <= offset;
+        if repeated.as_of < complete_from || !is_consistent {
             return;
         }
         let edits = mem::take(edits);
-        self.replace_state(carried);
-        for logged in edits.iter().filter(|e| e.offset >= carried.as_of) {
+        self.replace_state(repeated);
+        for logged in edits.iter().filter(|e| e.offset >= repeated.as_of) {
             self.fold(logged);
         }
     }
 
-    /// Returns the state as the planner of `term` repeats it on the log, where `as_of` is the
-    /// offset up to which this process has folded the log; none where it is not whole.
+    /// Returns the state that the planner of `term` repeats on the log, or `None` if the history is
+    /// incomplete. `as_of` is the offset up to which this process has folded the log.
     pub fn state_to_repeat(&self, term: u64, as_of: u64) -> Option<Carried> {
         if !self.is_complete() {
             return None;
@@ -274,20 +280,20 @@
         }))
     }
 
-    fn replace_state(&mut self, carried: &CarriedConfiguration) {
-        let document = carried.document.clone();
+    fn replace_state(&mut self, repeated: &CarriedConfiguration) {
+        let document = repeated.document.clone();
         if document.format() > FORMAT {
-            self.stop_at_format(carried.as_of, document.format());
+            self.stop_at_format(repeated.as_of, document.format());
             return;
         }
         self.index = Index::default();
         for (name, section) in &document.sections {
             self.index.insert(name, section);
         }
-        let sections = carried.sections.iter();
+        let sections = repeated.sections.iter();
         self.section_versions = sections.map(|s| (s.section.clone(), s.version)).collect();
-        self.recent_ids = carried.recent.iter().cloned().collect();
-        self.current = Arc::new(Version::new(carried.version, document));
+        self.recent_ids = repeated.recent.iter().cloned().collect();
+        self.current = Arc::new(Version::new(repeated.version, document));
         self.completeness = Completeness::Complete;
     }
 
@@ -342,7 +348,12 @@
         }
     }
 
-    /// Returns the document with `content` in the place of the section.
+    /// Returns the document with the section replaced by `content`, or removed if that is `None`,
+    /// and updates the index accordingly.
+    ///
+    /// # Errors
+    ///
+    /// All findings; the index is unchanged then.
     fn replace_section(
         &mut self,
         name: &Name,
@@ -390,7 +401,7 @@
 
     fn may_edit(&self, editor: &Name, name: &Name, content: Option<&Section>) -> bool {
         let document = &self.current.document;
-        // The very first edit names the administrators; whoever holds a key may make it.
+        // The first edit sets the administrators; any editor with a key may make it.
         let Some(administration) = document.sections.get(ADMINISTRATION) else {
             return document.sections.is_empty() && **name == *ADMINISTRATION;
         };
@@ -404,7 +415,7 @@
     }
 }
 
-/// Keeps an edit for when a carried configuration tells what was before it.
+/// Keeps an edit until a repeated configuration shows the state before it.
 fn push_pending(complete_from: &mut u64, edits: &mut VecDeque<LoggedEdit>, logged: &LoggedEdit) {
     edits.push_back(logged.clone());
     if edits.len() > MAX_PENDING_EDITS
@@ -414,10 +425,10 @@
     }
 }
 
-/// Adds a finding where `section` would change the format in any way but to the next one.
+/// Adds a finding if `section` changes the format to any but the next one.
 ///
-/// Programs that do not know the next format stop at the change, so a mistaken number must not get
-/// through: those that know no such format could not tell it from a later one.
+/// A program that does not support the new format stops at the change. It can't tell a wrong number
+/// from a later format, so a wrong number must be rejected.
 fn check_format(current: u32, name: &Name, section: &Section, findings: &mut Findings) {
     let format = section.format.unwrap_or(1);
     let next = current.saturating_add(1);
--- a/dragonflyrun/src/version/index.rs
+++ b/dragonflyrun/src/version/index.rs
@@ -1,5 +1,7 @@
-//! Which section defines what, so that an edit of one section can be checked against the others
-//! without reading them all again.
+//! An index of the section that defines each name.
+//!
+//! With it, an edit of one section is checked against the other sections without reading all of
+//! them again.
 
 use crate::{
     utils::{HashMap, Name},
@@ -10,7 +12,7 @@
     },
 };
 
-/// Something that one section only may define.
+/// Something that only one section may define.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Definition {
     Workspace(Name),
@@ -19,7 +21,7 @@
     Limits,
 }
 
-/// What the sections of a document define.
+/// The definitions of all sections of a document.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     defined_in: HashMap<Definition, Name>,
@@ -28,8 +30,8 @@
 }
 
 impl Index {
-    /// Adds what forbids to insert `section` beside the others. Where a section of this name was
-    /// inserted already, remove it first.
+    /// Adds a finding for each reason why `section` can't be inserted next to the other sections.
+    /// If a section of this name was inserted before, it has to be removed first.
     pub(super) fn check(&self, name: &Name, section: &Section, findings: &mut Findings) {
         let root = Place::Root("/sections");
         let place = root.key(name);
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Inserts what `section` defines.
+    /// Inserts the definitions of `section`.
     pub(super) fn insert(&mut self, name: &Name, section: &Section) {
         self.section_count += 1;
         self.item_count += section.items();
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Removes what `section` defines.
+    /// Removes the definitions of `section`.
     pub(super) fn remove(&mut self, section: &Section) {
         self.section_count -= 1;
         self.item_count -= section.items();
--- a/dragonflyrun/src/version/mod.rs
+++ b/dragonflyrun/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one version of the configuration.
+//! The configuration: its document, the checks of an edit, and the version in force.
 
 mod check;
 mod document;
--- a/dragonflyrun/src/version/parse.rs
+++ b/dragonflyrun/src/version/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a document or a section from JSON, and reports all mistakes with their places.
+//! Parses a document or a section from JSON and reports all mistakes with their places.
 
 use std::fmt;
 
@@ -20,24 +20,25 @@
     },
 };
 
-/// Bytes of a document or a section in JSON, at the most: what fits into a record of the log.
-/// Depth is bounded by the parser, at 128 nested values.
+/// The maximum size of a document or a section in JSON, in bytes: the size of a log record. The
+/// parser limits the depth to 128 nested values.
 pub const MAX_DOCUMENT_BYTES: usize = RECORD_BYTES;
 
-/// A section as an edit carries it, whose keys and types are yet to be checked.
+/// The content of a section in an edit, before its keys and types are checked.
 ///
-/// An edit may be written by a newer tool than the process that folds it. Were the record not
-/// readable then, this process would have no verdict on it, where others reject it.
+/// The tool that writes an edit may be newer than the process that reads it. If an unknown key made
+/// the whole record unreadable, this process would have no verdict on an edit that other processes
+/// reject.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct RawSection(Value);
 
 impl RawSection {
-    /// Returns the section, if its keys and types are right.
+    /// Returns the section if its keys and types match the schema.
     ///
     /// # Errors
     ///
-    /// All that is wrong with its shape, with places that begin at `pointer`.
+    /// All mismatches with the schema, with places that start with `pointer`.
     pub fn parse(&self, pointer: &str) -> Result<Section, Vec<Finding>> {
         let mut findings = Findings::default();
         schema::check_section(&self.0, Place::Root(pointer), &mut findings);
@@ -47,27 +48,28 @@
 
 impl From<&Section> for RawSection {
     fn from(section: &Section) -> Self {
-        // A section has only string keys and whole numbers, so this can't fail.
+        // This can't fail, as a section has only string keys and integers.
         Self(serde_json::to_value(section).unwrap_or_default())
     }
 }
 
-/// Reads a document from JSON.
+/// Parses a document from JSON.
 ///
 /// # Errors
 ///
-/// All that is wrong with its syntax and shape; what it says is for [`check`](super::check).
+/// The syntax error, or all mismatches with the schema. The values themselves are checked by
+/// [`check`](super::check).
 pub fn parse_document(bytes: &[u8]) -> Result<Document, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, "")?;
     schema::check_document(&value, Place::Root(""), &mut findings);
     deserialize_checked(&value, "", findings)
 }
 
-/// Reads the section that stands at `pointer` of a document from JSON.
+/// Parses a section from JSON, where `pointer` is the place of the section in the document.
 ///
 /// # Errors
 ///
-/// All that is wrong with its syntax and shape.
+/// The syntax error, or all mismatches with the schema.
 pub fn parse_section(bytes: &[u8], pointer: &str) -> Result<Section, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, pointer)?;
     schema::check_section(&value, Place::Root(pointer), &mut findings);
@@ -88,7 +90,7 @@
     })
 }
 
-/// Returns the value in `bytes`, with keys that stand twice as findings.
+/// Returns the JSON value in `bytes`, and a finding for each duplicate key.
 fn parse(bytes: &[u8], pointer: &str) -> Result<(Value, Findings), Vec<Finding>> {
     let root = Place::Root(pointer);
     let mut findings = Findings::default();
@@ -110,13 +112,13 @@
         place: root,
         findings: &mut findings,
     };
-    // The bytes were read once already, so the second reading can't fail.
+    // The bytes were parsed successfully above, so parsing them again can't fail.
     let _ = seed.deserialize(&mut serde_json::Deserializer::from_slice(bytes));
     Ok((value, findings))
 }
 
-/// Looks for keys that stand twice in an object. JSON readers keep one of the two silently, so an
-/// operator's section could be dropped without a word.
+/// Finds duplicate keys in JSON objects. JSON parsers silently keep one of the two values, so a
+/// section that an operator wrote could be lost without an error.
 struct DuplicateKeyCheck<'a, 'f> {
     place: Place<'a>,
     findings: &'f mut Findings,
--- a/dragonflyrun/src/version/schema.rs
+++ b/dragonflyrun/src/version/schema.rs
@@ -1,13 +1,13 @@
-//! The shape of a document in JSON: which keys there are, and of which type each is.
+//! The JSON schema of a document: its keys and their types.
 //!
-//! The types of `document.rs` would stop at the first mistake. An operator wants to see all of
-//! them with their places, so the shape is checked against this table first.
+//! Deserializing into the types of `document.rs` stops at the first mistake. Operators need to see
+//! all mistakes with their places, so the JSON value is checked against this schema first.
 
 use serde_json::Value;
 
 use crate::version::finding::{Findings, Place};
 
-/// What a value has to be.
+/// The expected type of a value.
 enum ValueKind {
     Text,
     Flag,
@@ -18,12 +18,12 @@
     Map(&'static ValueKind),
 }
 
-/// Whether a key has to be there.
+/// Whether a key is required.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Presence {
     Required,
     Optional,
-    /// It may be left out or be `null`.
+    /// The key may be missing, or its value `null`.
     Nullable,
 }
 
@@ -102,12 +102,12 @@
 const DOCUMENT: ValueKind =
     ValueKind::Object(&[field("sections", Optional, ValueKind::Map(&SECTION))]);
 
-/// Adds what is wrong with the shape of the document `value`.
+/// Adds a finding for each key and type in the document `value` that does not match the schema.
 pub(super) fn check_document(value: &Value, place: Place<'_>, findings: &mut Findings) {
     check(&DOCUMENT, value, place, findings);
 }
 
-/// Adds what is wrong with the shape of the section `value`.
+/// Adds a finding for each key and type in the section `value` that does not match the schema.
 pub(super) fn check_section(value: &Value, place: Place<'_>, findings: &mut Findings) {
     check(&SECTION, value, place, findings);
 }
--- a/dragonflyrun/src/version/tables.rs
+++ b/dragonflyrun/src/version/tables.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration with its effective tables.
+//! One version of the configuration with its lookup tables.
 
 use std::sync::OnceLock;
 
@@ -7,17 +7,18 @@
     version::{Document, FailureDomain, Limits, Service, Workspace},
 };
 
-/// One version of the configuration; immutable, shared by all that decide under it.
+/// One version of the configuration. It is immutable and shared by all components that use it.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// The offset after the edit that made it; 0 before the first. It only grows.
+    /// The offset after the edit that created this version, or 0 before the first edit. It only
+    /// grows.
     pub offset: u64,
-    /// The document.
+    /// The document of this version.
     pub document: Document,
     /// The limits in force.
     pub limits: Limits,
-    /// Built at the first look: a process that starts folds a day's edits in one go, and decides
-    /// nothing under any version but the last.
+    /// Built on first use: a process that starts may apply the edits of a whole day at once, and
+    /// uses only the last version.
     tables: OnceLock<Tables>,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl Version {
-    /// Returns the version that `document` makes as of `offset`.
+    /// Returns the version with `document` as of `offset`.
     pub fn new(offset: u64, document: Document) -> Self {
         let limits = document.sections.values().find_map(|s| s.limits);
         Self {
@@ -65,7 +66,7 @@
         self.tables().workspaces.get(name)
     }
 
-    /// Returns all workspaces, in no order.
+    /// Returns all workspaces in unspecified order.
     pub fn workspaces(&self) -> impl Iterator<Item = &Workspace> {
         self.tables().workspaces.values()
     }
@@ -75,20 +76,20 @@
         self.tables().services.get(name)
     }
 
-    /// Returns all services, in no order.
+    /// Returns all services in unspecified order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.tables().services.values()
     }
 
-    /// Returns all failure domains, in no order.
+    /// Returns all failure domains in unspecified order.
     pub fn failure_domains(&self) -> impl Iterator<Item = &FailureDomain> {
         self.tables().failure_domains.values()
     }
 
     /// Returns whether tasks and requests may start in the failure domain called `name`.
     ///
-    /// One that the document does not name is out of service: nothing may start on a worker whose
-    /// settings are mistaken, since no operator could take it out.
+    /// A failure domain that is missing from the document is out of service: operators could not
+    /// drain a worker whose settings name a wrong failure domain, so nothing may start on it.
     pub fn in_service(&self, name: &Name) -> bool {
         let failure_domain = self.tables().failure_domains.get(name);
         failure_domain.is_some_and(|d| d.in_service)
--- a/dragonflyrun/tests/document_checks.rs
+++ b/dragonflyrun/tests/document_checks.rs
@@ -1,5 +1,5 @@
-//! The checks of a document report all that is wrong, each with its place, and no input makes them
-//! panic.
+//! Tests that the checks of a document report all mistakes with their places, and that no input
+//! makes them panic.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -46,8 +46,8 @@
     assert_eq!(finding_lines(&findings), expected);
 }
 
-/// An operator pastes a whole document in place of a section, cuts a file off, or sends something
-/// that is no document at all. The answer says so, whatever its size or depth.
+/// Operators pass a whole document instead of a section, a truncated file, or bytes that are no
+/// document at all. The finding points to the mistake, regardless of the input's size or depth.
 #[test]
 fn input_that_is_no_document() {
     let place = |bytes: &[u8]| {
@@ -64,7 +64,7 @@
     assert!(place(long.as_bytes()).len() < 200);
 }
 
-/// A hostile section is made of nothing but mistakes; the list of findings ends all the same.
+/// The list of findings is limited even if a malicious section consists of nothing but mistakes.
 #[test]
 fn many_findings() {
     let names = vec!["not a name"; 5_000];
@@ -77,7 +77,7 @@
     assert!(findings.len() > 10 && findings.len() < 200);
 }
 
-/// Returns the value at `place` of the valid document with `value` in its place.
+/// Returns the valid document with the value at the JSON pointer `place` replaced by `value`.
 fn with_value(place: &str, value: Value) -> Document {
     let mut document: Value = serde_json::from_slice(VALID).unwrap();
     let (parent, key) = place.rsplit_once('/').unwrap();
@@ -179,7 +179,7 @@
 
 const NUMBERS: [u64; 7] = [0, 1, 8, 256, u32::MAX as u64, u32::MAX as u64 + 1, u64::MAX];
 
-/// Any JSON, mostly with keys that a document has.
+/// Generates any JSON value, mostly with keys of a document.
 fn any_value(u: &mut Unstructured<'_>, depth: u32) -> Result<Value> {
     let kinds = if depth == 0 { 4 } else { 8 };
     Ok(match u.int_in_range(0..=kinds)? {
@@ -204,7 +204,7 @@
     })
 }
 
-/// Replaces one value in `at` by any other.
+/// Replaces one value inside `target` by another one.
 fn mutate(u: &mut Unstructured<'_>, target: &mut Value) -> Result<()> {
     let descend = u.ratio(9, 10)?;
     match target {
@@ -236,8 +236,8 @@
     Ok(document)
 }
 
-/// Operators and strangers send anything. The answer is a list of findings or a document, and the
-/// table of keys and types agrees with the types that the rest of the program uses.
+/// Any JSON value yields either findings or a document, and the schema accepts exactly what the
+/// types of the document accept.
 #[test]
 fn any_document() {
     let (mut valid, mut invalid) = (0, 0);
@@ -252,7 +252,7 @@
         let typed = serde_json::from_slice::<Document>(&bytes);
         match (&parsed, &typed) {
             (Ok(document), typed) => assert_eq!(Some(document), typed.as_ref().ok()),
-            // The types would take an object's values in a list as well, without their keys.
+            // The types also accept an object as a list of its values without keys.
             (Err(findings), Ok(_)) => {
                 let is_list_for_object =
                     |f: &Finding| f.what == "It has to be an object, and is a list.";
@@ -295,10 +295,10 @@
     );
 }
 
-/// Bytes that are nearly a document, cut, doubled or overwritten.
+/// Documents with overwritten, duplicated or truncated bytes cause no panic.
 #[test]
 fn any_bytes() {
-    // Added up without care, these would overflow.
+    // The sum of these guarantees overflows `u64` unless it saturates.
     let gang = json!({ "tasks": u32::MAX, "accelerators": u32::MAX });
     let place = "/sections/log-yard-scaling/workspaces/0/guarantees";
     assert_eq!(check(&with_value(place, json!([gang, gang]))).len(), 5);
@@ -322,8 +322,9 @@
     });
 }
 
-/// The fold checks an edited section against an index of the others. Its verdict has to be that of
-/// the checks of the whole document, or it would put in force what nobody can carry on from.
+/// The fold checks an edited section against an index of the other sections. Its verdict has to
+/// agree with the check of the whole document, or an invalid document would be put in force, and no
+/// later edit could build on it.
 #[test]
 fn fold_agrees_with_check() {
     let root: Name = "root".into();
--- a/dragonflyrun/tests/operator_edits.rs
+++ b/dragonflyrun/tests/operator_edits.rs
@@ -1,4 +1,5 @@
-//! Operators race one another, and lose the answers to their appends; what they are told is true.
+//! Tests that operators are told the true outcome of their edits, despite concurrent edits and lost
+//! answers to appends.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -19,22 +20,22 @@
 
 const SECRET: &str = "a secret of the deployment";
 
-/// What happens to one call.
+/// A fault of one call to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
-    /// Nothing.
+    /// The call succeeds.
     None,
-    /// It is refused and has no effect.
+    /// The call is refused and has no effect.
     Refused,
-    /// It has no effect, and no answer comes.
+    /// The call has no effect, and no answer arrives.
     Dropped,
-    /// It takes effect, and the answer is lost.
+    /// The call takes effect, but the answer is lost.
     AnswerLost,
-    /// It takes effect after the next call, and no answer comes.
+    /// The call takes effect after the next call, and no answer arrives.
     Delayed,
 }
 
-/// A log in memory, with the faults of the next calls; after them all go well, or none.
+/// A log in memory with faults for the next calls, and a default fault for the calls after them.
 #[derive(Default)]
 struct FaultyLog {
     state: RefCell<State>,
@@ -58,14 +59,14 @@
 }
 
 impl FaultyLog {
-    /// Sets the faults of the next calls in their order, and of all calls after them.
+    /// Sets the faults of the next calls in their order, and the fault of all calls after them.
     fn set_faults(&self, faults: &[Fault], default_fault: Fault) {
         let mut state = self.state.borrow_mut();
         state.faults = faults.iter().rev().copied().collect();
         state.default_fault = Some(default_fault);
     }
 
-    /// Ends all faults; what was on its way arrives.
+    /// Clears all faults; delayed appends arrive.
     fn clear_faults(&self) {
         let mut state = self.state.borrow_mut();
         state.faults.clear();
@@ -150,7 +151,7 @@
     }
 }
 
-/// Publishes an edit with enough patience for all faults to pass, or with none.
+/// Publishes an edit, either with enough time to outlast all faults or with a single attempt.
 fn publish(log: &FaultyLog, editor: &str, edit: &Edit, patient: bool) -> Published {
     let patience = if patient {
         Duration::from_secs(60)
@@ -170,7 +171,7 @@
     }
 }
 
-/// A log on which `root` administers, and `alice` owns the section `north`.
+/// Returns a log where `root` is the administrator and `alice` owns the section `north`.
 fn log_with_section() -> FaultyLog {
     let log = FaultyLog::default();
     let owned = |owner| Some(json!({ "owners": [owner] }));
@@ -186,8 +187,8 @@
     Some(json!({ "owners": [owner], "failure_domains": domains }))
 }
 
-/// Two operators load the same section, and both send it back. The second would undo the first
-/// one's change without having seen it.
+/// Two operators edit the same version of a section. The second edit is rejected as stale, as it
+/// would undo the first one, which its editor has not seen.
 #[test]
 fn concurrent_edits() {
     let log = log_with_section();
@@ -200,8 +201,8 @@
     assert!(!log.ledger().history.current().in_service(&"murau".into()));
 }
 
-/// Two operators begin a new deployment at the same time, on a log that is empty. What one of them
-/// wrote must not be lost without notice, though it stands at the very first offset.
+/// Two operators set up a new deployment on an empty log at the same time. The edit at offset 0 must
+/// not be overwritten silently, so the second one is stale.
 #[test]
 fn concurrent_first_edits() {
     let log = FaultyLog::default();
@@ -218,8 +219,8 @@
     );
 }
 
-/// Somebody edits a section that is another team's, gives it to others, or makes itself an
-/// administrator.
+/// Editors can't change another team's section, change the owners of a section, or make themselves
+/// administrators.
 #[test]
 fn owner_permissions() {
     let log = log_with_section();
@@ -265,7 +266,7 @@
     assert_eq!(log.version_of("south"), 0);
 }
 
-/// Somebody seals an edit with a key of another editor's name that it has made up.
+/// An edit in another editor's name that is sealed with a wrong key has no effect.
 #[test]
 fn forged_editor() {
     let log = log_with_section();
@@ -280,9 +281,9 @@
     assert_eq!(log.ledger().history.current().document, before);
 }
 
-/// The answer to the append is lost after it took effect, and the edit is in force. Sent again as
-/// another edit it would be stale, and the operator would be told "rejected" of a drain that is in
-/// force.
+/// The answer to the append is lost after it took effect, so the edit is in force. If it were sent
+/// again as a new edit, it would be stale, and the operator would be told that the drain was
+/// rejected although it is in force.
 #[test]
 fn lost_answer() {
     let log = log_with_section();
@@ -299,7 +300,7 @@
     assert_eq!(log.state.borrow().records.len(), 3, "sent twice");
 }
 
-/// The append itself was lost, so it has to be sent again.
+/// An append that did not reach the log is sent again.
 #[test]
 fn lost_append() {
     let log = log_with_section();
@@ -312,8 +313,8 @@
     assert_eq!(verdict(&log, "alice", &drain), Verdict::Accepted);
 }
 
-/// The append arrives after it has been sent a second time, and after another operator's edit. The
-/// first copy counts, and the second changes nothing.
+/// An append arrives only after it was sent a second time, and another copy arrives after another
+/// edit. The first copy counts, and later copies have no effect.
 #[test]
 fn delayed_append() {
     let log = log_with_section();
@@ -329,8 +330,8 @@
     assert!(log.ledger().history.current().in_service(&"murau".into()));
 }
 
-/// The log is down and stays down. Refused calls took no effect, so "not sent" is true. A lost
-/// answer says nothing: the edit may be there, and the operator must not be told that it is not.
+/// The log stays down. Refused calls had no effect, so the outcome is "not sent". After a lost
+/// answer the edit may be on the log, so the outcome must be "unknown".
 #[test]
 fn permanent_outage() {
     let log = log_with_section();
@@ -352,8 +353,8 @@
     }
 }
 
-/// Whatever befalls the calls, an editor is told "accepted" only of what is in force, and "not
-/// sent" or "rejected" only of what never will be.
+/// Whichever calls fail, an editor is told "accepted" only if the edit is in force, and "not sent"
+/// or "rejected" only if it never will be.
 #[test]
 fn reported_outcome_is_true() {
     let faults = [
