--- a/dragonflyrun/src/bin/dragonflyrun.rs
+++ b/dragonflyrun/src/bin/dragonflyrun.rs
@@ -22,7 +22,7 @@
         println!("{}", help(&cli));
         return Exit::Done.into();
     }
-    let json = cli.command.as_ref().is_some_and(Command::json);
+    let json = cli.command.as_ref().is_some_and(Command::wants_json);
     match run(&cli) {
         Ok(printed) if json => {
             println!("{}", printed.json);
--- a/dragonflyrun/src/tool/commands/document.rs
+++ b/dragonflyrun/src/tool/commands/document.rs
@@ -8,7 +8,7 @@
     tool::{
         Exit, Log, LogReader, Printed, ToolError, ToolSettings,
         commands::read_file,
-        entries::statuses,
+        entries::query_statuses,
         options::{CheckOptions, ShowOptions},
     },
     utils::Name,
@@ -97,7 +97,7 @@
 /// the standard output can be edited and passed back with `--base`.
 pub(super) fn show(settings: &ToolSettings, options: &ShowOptions) -> Result<Printed, ToolError> {
     let mut reader = LogReader::new(settings.log()?, settings.opener());
-    let history = read(settings, &mut reader)?;
+    let history = read_history(settings, &mut reader)?;
     let document = &history.current().document;
     let Some(name) = &options.section else {
         let answer = ShowAnswer {
@@ -138,7 +138,7 @@
 /// Explains the document in force.
 pub(super) fn explain_in_force(settings: &ToolSettings) -> Result<Printed, ToolError> {
     let mut reader = LogReader::new(settings.log()?, settings.opener());
-    let history = read(settings, &mut reader)?;
+    let history = read_history(settings, &mut reader)?;
     Ok(Printed::new(
         &explain(&history.current().document),
         Exit::Done,
@@ -146,21 +146,21 @@
 }
 
 /// Reads the log and returns the configuration.
-fn read<'a, L: Log>(
+fn read_history<'a, L: Log>(
     settings: &ToolSettings,
     reader: &'a mut LogReader<L>,
 ) -> Result<&'a History, ToolError> {
     reader
         .catch_up(drop)
         .map_err(|e| ToolError::NotKnown(e.to_string()))?;
-    known(settings, &reader.ledger().history)
+    require_complete(settings, &reader.ledger().history)
 }
 
 /// Returns `history`, if it knows the whole configuration.
 ///
 /// The tool always begins with what the log still keeps. Where that shows no configuration, the
 /// entries may know one all the same, and an edit made without it would be refused by them.
-pub(super) fn known<'a>(
+pub(super) fn require_complete<'a>(
     settings: &ToolSettings,
     history: &'a History,
 ) -> Result<&'a History, ToolError> {
@@ -173,7 +173,7 @@
                     since; try again when it has";
         return Err(ToolError::NotKnown(what.to_owned()));
     }
-    if history.is_presumed_complete() && !is_confirmed(settings) {
+    if history.is_presumed_complete() && !entries_confirm_new_deployment(settings) {
         let what = "the log has dropped its first records, and no entry confirms that there was no \
                     configuration among them";
         return Err(ToolError::NotKnown(what.to_owned()));
@@ -182,8 +182,8 @@
 }
 
 /// Returns whether all entries that answer have no configuration, and one does answer.
-fn is_confirmed(settings: &ToolSettings) -> bool {
-    let answers = statuses(settings.entries(), settings.timeout);
+fn entries_confirm_new_deployment(settings: &ToolSettings) -> bool {
+    let answers = query_statuses(settings.entries(), settings.timeout);
     let mut versions = answers
         .iter()
         .filter_map(|a| a.status.as_ref().ok())
--- a/dragonflyrun/src/tool/commands/edit.rs
+++ b/dragonflyrun/src/tool/commands/edit.rs
@@ -11,7 +11,7 @@
     connection::Edit,
     tool::{
         Exit, InForce, LogReader, Opener, Printed, Published, Publisher, ToolError, ToolSettings,
-        commands::{document::known, read_file},
+        commands::{document::require_complete, read_file},
         in_force,
         options::{EditOptions, RemoveOptions},
     },
@@ -153,7 +153,7 @@
     let bytes = read_file(&options.file, MAX_DOCUMENT_BYTES)?;
     let pointer = format!("/sections/{}", options.section);
     let content = parse_section(&bytes, &pointer).map_err(ToolError::Findings)?;
-    change(settings, &options.section, options.base, Some(&content))
+    publish_change(settings, &options.section, options.base, Some(&content))
 }
 
 /// Removes a section.
@@ -161,10 +161,10 @@
     settings: &ToolSettings,
     options: &RemoveOptions,
 ) -> Result<Printed, ToolError> {
-    change(settings, &options.section, options.base, None)
+    publish_change(settings, &options.section, options.base, None)
 }
 
-fn change(
+fn publish_change(
     settings: &ToolSettings,
     section: &Name,
     base: Option<u64>,
@@ -174,7 +174,7 @@
     let mut reader = LogReader::new(settings.log()?, settings.opener());
     let mut publisher = Publisher::new(&mut reader, key, settings.patience);
     let history = match publisher.history() {
-        Ok(history) => known(settings, history)?,
+        Ok(history) => require_complete(settings, history)?,
         Err(error) => {
             let (section, reason) = (section.clone(), error.to_string());
             return Ok(EditAnswer::NotSent { section, reason }.printed());
@@ -191,7 +191,7 @@
         content: content.map(RawSection::from),
     };
     // What would be rejected now is not worth a record on the log.
-    match publisher.foresee(&edit) {
+    match publisher.predict_verdict(&edit) {
         Some(Verdict::Accepted) | None => {}
         Some(verdict) => {
             let section = section.clone();
@@ -199,17 +199,17 @@
         }
     }
     let published = publisher.publish(&edit);
-    Ok(answer(settings, section, published).printed())
+    Ok(edit_answer(settings, section, published).printed())
 }
 
-fn answer(settings: &ToolSettings, section: &Name, published: Published) -> EditAnswer {
+fn edit_answer(settings: &ToolSettings, section: &Name, published: Published) -> EditAnswer {
     let section = section.clone();
     match published {
-        Published::Judged {
+        Published::Decided {
             version,
             verdict: Verdict::Accepted,
         } => accepted(settings, section, version),
-        Published::Judged { verdict, .. } => EditAnswer::Rejected { section, verdict },
+        Published::Decided { verdict, .. } => EditAnswer::Rejected { section, verdict },
         Published::NotSent { reason } => EditAnswer::NotSent { section, reason },
         Published::Unknown { id, reason } => EditAnswer::Unknown {
             section,
@@ -245,11 +245,11 @@
     (!entries.is_empty()).then(|| in_force::wait(version, entries, settings.timeout))
 }
 
-/// A failure domain's place in the document, with what its section would be after a change.
+/// A failure domain's index in the document, with what its section would be after a change.
 struct DomainEdit {
     section: Name,
     version: u64,
-    changed: Option<Section>,
+    new_content: Option<Section>,
 }
 
 /// Takes a failure domain out of service or returns it.
@@ -270,8 +270,8 @@
             let what = format!("not sent, nothing has changed: {error}");
             ToolError::NotKnown(what)
         })?;
-        let found = domain_edit(known(settings, history)?, domain, in_service)?;
-        let Some(changed) = &found.changed else {
+        let found = domain_edit(require_complete(settings, history)?, domain, in_service)?;
+        let Some(new_content) = &found.new_content else {
             let answer = EditAnswer::Unchanged {
                 section: found.section,
                 version: found.version,
@@ -282,10 +282,10 @@
         let edit = Edit {
             section: found.section.clone(),
             base: found.version,
-            content: Some(RawSection::from(changed)),
+            content: Some(RawSection::from(new_content)),
         };
         if let Some(verdict @ (Verdict::NotOwner | Verdict::Invalid { .. })) =
-            publisher.foresee(&edit)
+            publisher.predict_verdict(&edit)
         {
             let section = found.section;
             return Ok(EditAnswer::Rejected { section, verdict }.printed());
@@ -293,13 +293,13 @@
         let published = publisher.publish(&edit);
         let stale = matches!(
             published,
-            Published::Judged {
+            Published::Decided {
                 verdict: Verdict::Stale { .. },
                 ..
             }
         );
         if !stale || Instant::now() >= end {
-            return Ok(answer(settings, &found.section, published).printed());
+            return Ok(edit_answer(settings, &found.section, published).printed());
         }
     }
 }
@@ -312,15 +312,15 @@
     let document = &history.current().document;
     for (name, section) in &document.sections {
         let domains = &section.failure_domains;
-        let Some(place) = domains.iter().position(|d| d.name == *domain) else {
+        let Some(index) = domains.iter().position(|d| d.name == *domain) else {
             continue;
         };
-        let mut changed = Section::clone(section);
-        changed.failure_domains[place].in_service = in_service;
+        let mut new_content = Section::clone(section);
+        new_content.failure_domains[index].in_service = in_service;
         return Ok(DomainEdit {
             section: name.clone(),
             version: history.section_versions().get(name).copied().unwrap_or(0),
-            changed: (domains[place].in_service != in_service).then_some(changed),
+            new_content: (domains[index].in_service != in_service).then_some(new_content),
         });
     }
     let domains = document.sections.values().flat_map(|s| &s.failure_domains);
--- a/dragonflyrun/src/tool/commands/job.rs
+++ b/dragonflyrun/src/tool/commands/job.rs
@@ -14,7 +14,7 @@
     tool::{
         Exit, Printed, ToolError, ToolSettings,
         commands::{read_file, steps},
-        entries::{Call, CallError, Header, nobody},
+        entries::{Call, CallError, Header, no_entry_reached},
         options::SubmitOptions,
         publisher::new_id,
     },
@@ -23,7 +23,7 @@
 };
 
 /// Bytes of a file that describes a job, at the most.
-const SPEC_BYTES: usize = 64 << 10;
+const MAX_SPEC_BYTES: usize = 64 << 10;
 
 /// Submits a job.
 ///
@@ -33,7 +33,7 @@
     settings: &ToolSettings,
     options: &SubmitOptions,
 ) -> Result<Printed, ToolError> {
-    let bytes = read_file(&options.file, SPEC_BYTES)?;
+    let bytes = read_file(&options.file, MAX_SPEC_BYTES)?;
     if steps::is_steps(&bytes) {
         let job = options.id.clone().unwrap_or_else(new_id);
         check_id(&job)?;
@@ -52,26 +52,26 @@
         name: "idempotency-key",
         value: job.to_string(),
     }];
-    change(settings, Method::POST, "/v1/jobs", headers, body, &job)
+    send_change(settings, Method::POST, "/v1/jobs", headers, body, &job)
 }
 
 /// Cancels a job.
 pub(super) fn cancel(settings: &ToolSettings, job: &Name) -> Result<Printed, ToolError> {
     check_id(job)?;
     let path = format!("/v1/jobs/{job}");
-    change(settings, Method::DELETE, &path, Vec::new(), Vec::new(), job)
+    send_change(settings, Method::DELETE, &path, Vec::new(), Vec::new(), job)
 }
 
 /// Shows one job.
 pub(super) fn job(settings: &ToolSettings, job: &Name) -> Result<Printed, ToolError> {
     check_id(job)?;
-    let status: JobStatus = look(settings, &format!("/v1/jobs/{job}"))?;
+    let status: JobStatus = get_from_any_entry(settings, &format!("/v1/jobs/{job}"))?;
     Ok(Printed::new(&ShownJob(status), Exit::Done))
 }
 
 /// Lists the live jobs.
 pub(super) fn jobs(settings: &ToolSettings) -> Result<Printed, ToolError> {
-    let answer: JobsAnswer = look(settings, "/v1/jobs")?;
+    let answer: JobsAnswer = get_from_any_entry(settings, "/v1/jobs")?;
     Ok(Printed::new(&ShownJobs(answer), Exit::Done))
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// Returns the headers that prove on whose behalf a call is made.
-fn proof(settings: &ToolSettings) -> Result<[Header; 2], ToolError> {
+fn author_headers(settings: &ToolSettings) -> Result<[Header; 2], ToolError> {
     Ok([
         Header {
             name: EDITOR_HEADER,
@@ -97,7 +97,7 @@
 }
 
 /// Makes a call that changes something and may be made again, at one entry after the other.
-fn change(
+fn send_change(
     settings: &ToolSettings,
     method: Method,
     path: &str,
@@ -105,7 +105,7 @@
     body: Vec<u8>,
     job: &Name,
 ) -> Result<Printed, ToolError> {
-    headers.extend(proof(settings)?);
+    headers.extend(author_headers(settings)?);
     let call = Call {
         method,
         path: path.to_owned(),
@@ -116,19 +116,19 @@
     let mut uncertain = false;
     let mut refused = None;
     let mut errors = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address).and_then(|a| a.json::<JobAnswer>()) {
+    for address in settings.require_entries()? {
+        match call.send(*address).and_then(|a| a.json::<JobAnswer>()) {
             Ok(answer @ JobAnswer::Accepted { .. }) => return Ok(ShownAnswer(answer).printed()),
             Ok(JobAnswer::Unknown { .. }) => uncertain = true,
             Ok(answer @ JobAnswer::NotRun { .. }) => {
-                let elsewhere = may_go_elsewhere(&answer);
+                let retry_elsewhere = may_retry_elsewhere(&answer);
                 refused = Some(answer);
-                if !elsewhere {
+                if !retry_elsewhere {
                     break;
                 }
             }
             Err(error) => {
-                uncertain |= matches!(error, CallError::Lost(_));
+                uncertain |= matches!(error, CallError::AnswerLost(_));
                 errors.push((*address, error));
             }
         }
@@ -142,13 +142,13 @@
         Some(answer) => Ok(ShownAnswer(answer).printed()),
         None => Err(ToolError::NotKnown(format!(
             "nothing was sent: {}",
-            nobody(&errors)
+            no_entry_reached(&errors)
         ))),
     }
 }
 
 /// Returns whether another entry may take what this one refused.
-fn may_go_elsewhere(answer: &JobAnswer) -> bool {
+fn may_retry_elsewhere(answer: &JobAnswer) -> bool {
     let JobAnswer::NotRun { reason, .. } = answer else {
         return false;
     };
@@ -159,14 +159,17 @@
 }
 
 /// Asks one entry after the other until one answers.
-fn look<T: DeserializeOwned>(settings: &ToolSettings, path: &str) -> Result<T, ToolError> {
+fn get_from_any_entry<T: DeserializeOwned>(
+    settings: &ToolSettings,
+    path: &str,
+) -> Result<T, ToolError> {
     let call = Call {
-        headers: proof(settings)?.into(),
+        headers: author_headers(settings)?.into(),
         ..Call::get(path, settings.timeout)
     };
     let mut errors: Vec<(SocketAddr, CallError)> = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address) {
+    for address in settings.require_entries()? {
+        match call.send(*address) {
             Ok(answer) if answer.status == StatusCode::FORBIDDEN => {
                 let what = describe(&JobRefusal::Forbidden);
                 return Err(ToolError::Refused(what));
@@ -182,7 +185,7 @@
             Err(error) => errors.push((*address, error)),
         }
     }
-    Err(ToolError::NotKnown(nobody(&errors)))
+    Err(ToolError::NotKnown(no_entry_reached(&errors)))
 }
 
 #[derive(Serialize)]
--- a/dragonflyrun/src/tool/commands/mod.rs
+++ b/dragonflyrun/src/tool/commands/mod.rs
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads `file`, or the standard input where it is `-`, up to `most` bytes.
-fn read_file(file: &str, most: usize) -> Result<Vec<u8>, ToolError> {
+/// Reads `file`, or the standard input where it is `-`, up to `max_bytes` bytes.
+fn read_file(file: &str, max_bytes: usize) -> Result<Vec<u8>, ToolError> {
     let failed = |e: std::io::Error| ToolError::Usage(format!("can't read {file}: {e}"));
     let mut bytes = Vec::new();
-    let limit = most as u64 + 1;
+    let limit = max_bytes as u64 + 1;
     if file == "-" {
         let stdin = std::io::stdin().lock();
         stdin.take(limit).read_to_end(&mut bytes).map_err(failed)?;
@@ -57,8 +57,8 @@
         let open = fs::File::open(file).map_err(failed)?;
         open.take(limit).read_to_end(&mut bytes).map_err(failed)?;
     }
-    if bytes.len() > most {
-        let what = format!("{file} is longer than {most} bytes");
+    if bytes.len() > max_bytes {
+        let what = format!("{file} is longer than {max_bytes} bytes");
         return Err(ToolError::Refused(what));
     }
     Ok(bytes)
--- a/dragonflyrun/src/tool/commands/request.rs
+++ b/dragonflyrun/src/tool/commands/request.rs
@@ -9,18 +9,18 @@
     tool::{
         Exit, Printed, ToolError, ToolSettings,
         commands::read_file,
-        entries::{Answer, Call, CallError, Header, nobody},
+        entries::{Answer, Call, CallError, Header, no_entry_reached},
         options::RequestOptions,
     },
     version::is_name,
 };
 
 /// Bytes of a request's body, at the most; the document's limit may be lower.
-const BODY_BYTES: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// How long a request may take where the command line states no deadline: that of the service is
 /// at most an hour.
-const LONGEST: Duration = Duration::from_secs(3_600);
+const MAX_SERVICE_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// What became of a request.
 #[derive(Serialize)]
@@ -59,7 +59,7 @@
 
     /// Reads the outcome that the entry states. An answer without one, as from a balancer, says
     /// nothing of whether the request ran.
-    fn read(answer: &Answer) -> Self {
+    fn from_answer(answer: &Answer) -> Self {
         let status = answer.status;
         match answer.outcome.as_deref() {
             Some("done") => Self::Done {
@@ -118,7 +118,7 @@
         return Err(ToolError::Usage(format!("`{service}` is not a name")));
     }
     let body = match &options.file {
-        Some(file) => read_file(file, BODY_BYTES)?,
+        Some(file) => read_file(file, MAX_BODY_BYTES)?,
         None => Vec::new(),
     };
     let mut headers = vec![Header {
@@ -137,25 +137,27 @@
         name: "dragonfly-urgency",
         value,
     }));
-    let wait = options.deadline_ms.map_or(LONGEST, Duration::from_millis);
+    let max_wait = options
+        .deadline_ms
+        .map_or(MAX_SERVICE_DEADLINE, Duration::from_millis);
     let call = Call {
         method: Method::POST,
         path: format!("/v1/services/{service}/requests"),
         headers,
         body,
-        timeout: wait + settings.timeout,
+        timeout: max_wait + settings.timeout,
     };
     let mut errors = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address) {
-            Ok(answer) => return Ok(RequestAnswer::read(&answer).printed()),
-            Err(CallError::Lost(reason)) => {
+    for address in settings.require_entries()? {
+        match call.send(*address) {
+            Ok(answer) => return Ok(RequestAnswer::from_answer(&answer).printed()),
+            Err(CallError::AnswerLost(reason)) => {
                 return Ok(RequestAnswer::Unknown { reason }.printed());
             }
             Err(error) => errors.push((*address, error)),
         }
     }
-    let reason = nobody(&errors);
+    let reason = no_entry_reached(&errors);
     let retry_after_ms = None;
     Ok(RequestAnswer::NotRun {
         reason,
--- a/dragonflyrun/src/tool/commands/status.rs
+++ b/dragonflyrun/src/tool/commands/status.rs
@@ -8,7 +8,7 @@
     process::StatusAnswer,
     tool::{
         Exit, InForce, Printed, ToolError, ToolSettings,
-        entries::{nobody, statuses},
+        entries::{no_entry_reached, query_statuses},
     },
 };
 
@@ -21,7 +21,7 @@
 
 /// Shows the system as the entries see it.
 pub(super) fn status(settings: &ToolSettings) -> Result<Printed, ToolError> {
-    let answers = statuses(settings.some_entries()?, settings.timeout);
+    let answers = query_statuses(settings.require_entries()?, settings.timeout);
     let newest = answers
         .iter()
         .filter_map(|a| a.status.as_ref().ok())
@@ -30,7 +30,9 @@
     let Some(newest) = newest else {
         let errors = answers.into_iter();
         let errors = errors.filter_map(|a| a.status.err().map(|e| (a.address, e)));
-        return Err(ToolError::NotKnown(nobody(&errors.collect::<Vec<_>>())));
+        return Err(ToolError::NotKnown(no_entry_reached(
+            &errors.collect::<Vec<_>>(),
+        )));
     };
     let answer = SystemStatus {
         in_force: InForce::new(newest, &answers),
@@ -138,12 +140,12 @@
     let guaranteed = entry.workspaces.iter().map(|w| w.guaranteed_accelerators);
     let guaranteed: u32 = guaranteed.sum();
     let domains = entry.failure_domains.iter().filter(|d| d.in_service);
-    let there: u32 = domains.map(|d| d.accelerators).sum();
+    let available: u32 = domains.map(|d| d.accelerators).sum();
     write!(
         f,
-        "\nguaranteed {guaranteed} of the {there} accelerators in service"
+        "\nguaranteed {guaranteed} of the {available} accelerators in service"
     )?;
-    if guaranteed > there {
+    if guaranteed > available {
         write!(f, ": NOT ALL GUARANTEES CAN BE HONOURED")?;
     }
     Ok(())
--- a/dragonflyrun/src/tool/commands/steps.rs
+++ b/dragonflyrun/src/tool/commands/steps.rs
@@ -9,7 +9,7 @@
     process::on_store::{ApiError, DeploymentView, StepJobFile, StepJobView, WORKSPACE_KEY_HEADER},
     tool::{
         Exit, Printed, ToolError, ToolSettings,
-        entries::{Answer, Call, CallError, Header, nobody},
+        entries::{Answer, Call, CallError, Header, no_entry_reached},
         options::SubmitOptions,
     },
     utils::Name,
@@ -18,7 +18,7 @@
 
 /// Times longer than the tool's timeout that a hand-in may take, since the entry may try the store
 /// several times.
-const HAND_IN_FACTOR: u32 = 2;
+const SUBMIT_TIMEOUT_FACTOR: u32 = 2;
 
 /// Returns whether a file describes a job of steps.
 pub(super) fn is_steps(bytes: &[u8]) -> bool {
@@ -46,23 +46,23 @@
         path: format!("/v1/jobs/{job}"),
         headers: workspace_key(options)?,
         body,
-        timeout: settings.timeout * HAND_IN_FACTOR,
+        timeout: settings.timeout * SUBMIT_TIMEOUT_FACTOR,
     };
     let mut uncertain = false;
     let mut refused = None;
     let mut errors = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address) {
+    for address in settings.require_entries()? {
+        match call.send(*address) {
             Ok(answer) if answer.status == StatusCode::OK => {
                 return Ok(Printed::new(&Accepted { job: job.clone() }, Exit::Done));
             }
             Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-                refused = Some(not_done(&answer));
+                refused = Some(failure_reason(&answer));
             }
             Ok(answer) if answer.status == StatusCode::GATEWAY_TIMEOUT => uncertain = true,
-            Ok(answer) => return Err(ToolError::Refused(not_done(&answer))),
+            Ok(answer) => return Err(ToolError::Refused(failure_reason(&answer))),
             Err(error) => {
-                uncertain |= matches!(error, CallError::Lost(_));
+                uncertain |= matches!(error, CallError::AnswerLost(_));
                 errors.push((*address, error));
             }
         }
@@ -75,7 +75,7 @@
     }
     match refused {
         Some(why) => Err(ToolError::Refused(why)),
-        None => Err(ToolError::NotKnown(nobody(&errors))),
+        None => Err(ToolError::NotKnown(no_entry_reached(&errors))),
     }
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// Says why an entry did not do what it was asked.
-fn not_done(answer: &Answer) -> String {
+fn failure_reason(answer: &Answer) -> String {
     match answer.json::<ApiError>() {
         Ok(ApiError {
             reason,
@@ -106,7 +106,8 @@
 /// Shows a job of steps and what it waits for. The planner's entry knows the latter, so all entries
 /// are asked until it has answered.
 pub(super) fn why(settings: &ToolSettings, job: &Name) -> Result<Printed, ToolError> {
-    let views: Vec<(SocketAddr, StepJobView)> = ask_all(settings, &format!("/v1/why/{job}"))?;
+    let views: Vec<(SocketAddr, StepJobView)> =
+        query_all_entries(settings, &format!("/v1/why/{job}"))?;
     let by_planner = views.iter().find(|(_, v)| v.waits_for.is_some());
     let Some((_, view)) = by_planner.or(views.first()) else {
         let what = "there is no such job, or its end is no longer remembered";
@@ -117,23 +118,23 @@
 
 /// Shows the deployment as each entry sees it.
 pub(super) fn deployment(settings: &ToolSettings) -> Result<Printed, ToolError> {
-    let views = ask_all(settings, "/v1/deployment")?;
+    let views = query_all_entries(settings, "/v1/deployment")?;
     let views = views.into_iter().map(|(_, view)| view).collect();
     Ok(Printed::new(&ShownDeployment(views), Exit::Done))
 }
 
 /// Returns the answers of all entries that know one; an error where none could be asked.
-fn ask_all<T: DeserializeOwned>(
+fn query_all_entries<T: DeserializeOwned>(
     settings: &ToolSettings,
     path: &str,
 ) -> Result<Vec<(SocketAddr, T)>, ToolError> {
     let call = Call::get(path, settings.timeout);
     let mut found = Vec::new();
     let mut errors = Vec::new();
-    let mut asked = false;
-    for address in settings.some_entries()? {
-        match call.make(*address) {
-            Ok(answer) if answer.status == StatusCode::NOT_FOUND => asked = true,
+    let mut not_found = false;
+    for address in settings.require_entries()? {
+        match call.send(*address) {
+            Ok(answer) if answer.status == StatusCode::NOT_FOUND => not_found = true,
             Ok(answer) => match answer.json() {
                 Ok(view) => found.push((*address, view)),
                 Err(error) => errors.push((*address, error)),
@@ -141,8 +142,8 @@
             Err(error) => errors.push((*address, error)),
         }
     }
-    if found.is_empty() && !asked {
-        return Err(ToolError::NotKnown(nobody(&errors)));
+    if found.is_empty() && !not_found {
+        return Err(ToolError::NotKnown(no_entry_reached(&errors)));
     }
     Ok(found)
 }
--- a/dragonflyrun/src/tool/entries.rs
+++ b/dragonflyrun/src/tool/entries.rs
@@ -16,7 +16,7 @@
 use crate::{process::StatusAnswer, utils::Name};
 
 /// Bytes of an answer's body, at the most.
-const ANSWER_BYTES: u64 = 32 << 20;
+const MAX_ANSWER_BYTES: u64 = 32 << 20;
 
 quick_error! {
     /// Why a call got no whole answer.
@@ -27,7 +27,7 @@
             display("not reached: {reason}")
         }
         /// It may have been made.
-        Lost(reason: String) {
+        AnswerLost(reason: String) {
             display("the answer was lost: {reason}")
         }
     }
@@ -43,8 +43,9 @@
 impl Answer {
     /// Returns the body as JSON.
     pub(super) fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
-        serde_json::from_slice(&self.body)
-            .map_err(|e| CallError::Lost(format!("status {}, not understood: {e}", self.status)))
+        serde_json::from_slice(&self.body).map_err(|e| {
+            CallError::AnswerLost(format!("status {}, not understood: {e}", self.status))
+        })
     }
 }
 
@@ -75,7 +76,7 @@
     }
 
     /// Makes the call at the entry at `address`.
-    pub(super) fn make(&self, address: SocketAddr) -> Result<Answer, CallError> {
+    pub(super) fn send(&self, address: SocketAddr) -> Result<Answer, CallError> {
         let not_sent = |e: &dyn std::fmt::Display| CallError::NotSent(e.to_string());
         let uri: Uri = format!("http://{address}{}", self.path)
             .parse()
@@ -92,30 +93,30 @@
             if e.kind() == io::ErrorKind::ConnectionRefused {
                 not_sent(&e)
             } else {
-                CallError::Lost(e.to_string())
+                CallError::AnswerLost(e.to_string())
             }
         })?;
-        whole(answer)
+        read_answer(answer)
     }
 }
 
 /// Reads an answer to its end. A connection that breaks in the middle of a body may look like its
 /// end, so the length is compared with the one announced.
-fn whole(answer: Response<Body>) -> Result<Answer, CallError> {
+fn read_answer(answer: Response<Body>) -> Result<Answer, CallError> {
     let status = answer.status();
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = answer.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
-    let outcome = text(OUTCOME_HEADER);
-    let length: Option<u64> = text(CONTENT_LENGTH.as_str()).and_then(|l| l.parse().ok());
+    let outcome = header(OUTCOME_HEADER);
+    let length: Option<u64> = header(CONTENT_LENGTH.as_str()).and_then(|l| l.parse().ok());
     let mut body = Vec::new();
-    let mut reader = answer.into_body().take(ANSWER_BYTES);
+    let mut reader = answer.into_body().take(MAX_ANSWER_BYTES);
     reader
         .read_to_end(&mut body)
-        .map_err(|e| CallError::Lost(e.to_string()))?;
+        .map_err(|e| CallError::AnswerLost(e.to_string()))?;
     if length.is_some_and(|length| length != body.len() as u64) {
-        return Err(CallError::Lost("the body was cut off".to_owned()));
+        return Err(CallError::AnswerLost("the body was cut off".to_owned()));
     }
     Ok(Answer {
         status,
@@ -134,30 +135,30 @@
 }
 
 /// Asks all entries at once, so that one that does not answer costs no more than its timeout.
-pub(super) fn statuses(entries: &[SocketAddr], timeout: Duration) -> Vec<EntryStatus> {
-    let ask = |address: SocketAddr| {
-        let answer = Call::get("/v1/status", timeout).make(address);
+pub(super) fn query_statuses(entries: &[SocketAddr], timeout: Duration) -> Vec<EntryStatus> {
+    let query = |address: SocketAddr| {
+        let answer = Call::get("/v1/status", timeout).send(address);
         let status = answer.and_then(|a| a.json());
         EntryStatus { address, status }
     };
-    let asked = crossbeam::thread::scope(|s| {
+    let statuses = crossbeam::thread::scope(|s| {
         let threads: Vec<_> = entries
             .iter()
-            .map(|address| s.spawn(move |_| ask(*address)))
+            .map(|address| s.spawn(move |_| query(*address)))
             .collect();
         threads.into_iter().filter_map(|t| t.join().ok()).collect()
     });
-    asked.unwrap_or_default()
+    statuses.unwrap_or_default()
 }
 
 /// Says why no entry could be asked.
-pub(super) fn nobody(errors: &[(SocketAddr, CallError)]) -> String {
+pub(super) fn no_entry_reached(errors: &[(SocketAddr, CallError)]) -> String {
     let errors: Vec<String> = errors.iter().map(|(a, e)| format!("{a}: {e}")).collect();
     format!("no entry could be asked ({})", errors.join("; "))
 }
 
 /// Returns the names as they are listed in a sentence.
-pub(super) fn listed<'a>(names: impl IntoIterator<Item = &'a Name>) -> String {
+pub(super) fn comma_separated<'a>(names: impl IntoIterator<Item = &'a Name>) -> String {
     let names: Vec<&str> = names.into_iter().map(|n| &**n).collect();
     names.join(", ")
 }
--- a/dragonflyrun/src/tool/in_force.rs
+++ b/dragonflyrun/src/tool/in_force.rs
@@ -12,15 +12,15 @@
 
 use crate::{
     connection::Role,
-    tool::entries::{CallError, EntryStatus, listed, statuses},
+    tool::entries::{CallError, EntryStatus, comma_separated, query_statuses},
     utils::Name,
 };
 
 /// Time within which an edit is in force in every process.
-pub(super) const IN_FORCE: Duration = Duration::from_secs(6);
+pub(super) const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Pause before the entries are asked again.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The version that a process has in force, as the entries know it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
@@ -79,7 +79,7 @@
                     }
                 }
                 Err(CallError::NotSent(_)) => stopped.push(answer.address),
-                Err(CallError::Lost(_)) => unanswered.push(answer.address),
+                Err(CallError::AnswerLost(_)) => unanswered.push(answer.address),
             }
         }
         Self {
@@ -119,12 +119,12 @@
 }
 
 /// Several entries may know the same process; what was heard last counts, and versions only grow.
-fn merge(processes: &mut BTreeMap<Name, ProcessVersion>, heard: ProcessVersion) {
+fn merge(processes: &mut BTreeMap<Name, ProcessVersion>, reported: ProcessVersion) {
     let process = processes
-        .entry(heard.name.clone())
-        .or_insert_with(|| heard.clone());
-    process.version = process.version.max(heard.version);
-    process.live |= heard.live;
+        .entry(reported.name.clone())
+        .or_insert_with(|| reported.clone());
+    process.version = process.version.max(reported.version);
+    process.live |= reported.live;
 }
 
 impl fmt::Display for InForce {
@@ -138,11 +138,11 @@
         )?;
         let behind: Vec<&Name> = self.behind().map(|p| &p.name).collect();
         if !behind.is_empty() {
-            write!(f, "\nnot in force yet in {}", listed(behind))?;
+            write!(f, "\nnot in force yet in {}", comma_separated(behind))?;
         }
         let silent: Vec<&Name> = self.silent().map(|p| &p.name).collect();
         if !silent.is_empty() {
-            let names = listed(silent);
+            let names = comma_separated(silent);
             write!(f, "\nnot heard, and so starting nothing: {names}")?;
         }
         for address in &self.unanswered {
@@ -158,15 +158,15 @@
     }
 }
 
-/// Asks `entries` until `version` is in force everywhere, or [`IN_FORCE`] has passed.
+/// Asks `entries` until `version` is in force everywhere, or [`PROPAGATION_TIMEOUT`] has passed.
 pub(super) fn wait(version: u64, entries: &[SocketAddr], timeout: Duration) -> InForce {
-    let end = Instant::now() + IN_FORCE;
+    let end = Instant::now() + PROPAGATION_TIMEOUT;
     loop {
-        let answers = statuses(entries, timeout);
+        let answers = query_statuses(entries, timeout);
         let in_force = InForce::new(version, &answers);
         if in_force.is_everywhere() || Instant::now() >= end {
             return in_force;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/dragonflyrun/src/tool/log_reader.rs
+++ b/dragonflyrun/src/tool/log_reader.rs
@@ -9,7 +9,7 @@
 };
 
 /// Records of one read, at the most.
-const PAGE_RECORDS: usize = 1_000;
+const MAX_PAGE_RECORDS: usize = 1_000;
 
 /// The operations of the platform's log that the tool uses.
 pub trait Log {
@@ -81,11 +81,11 @@
     /// # Errors
     ///
     /// Any [`LogError`] of a read; what was folded before it stays folded.
-    pub fn catch_up(&mut self, mut see: impl FnMut(Folded)) -> Result<(), LogError> {
+    pub fn catch_up(&mut self, mut on_folded: impl FnMut(Folded)) -> Result<(), LogError> {
         let mut head = None;
         loop {
             let from = self.ledger.next_offset();
-            let page = self.log.read(from, PAGE_RECORDS)?;
+            let page = self.log.read(from, MAX_PAGE_RECORDS)?;
             let head = *head.get_or_insert(page.head);
             self.ledger.skip_to(page.first);
             for raw in &page.records {
@@ -93,7 +93,7 @@
                     Opener::Checked(secret) => self.ledger.fold(raw, secret),
                     Opener::Unchecked => self.ledger.fold_with(raw, open_unchecked),
                 };
-                folded.into_iter().for_each(&mut see);
+                folded.into_iter().for_each(&mut on_folded);
             }
             let next = self.ledger.next_offset();
             if next >= head {
--- a/dragonflyrun/src/tool/options.rs
+++ b/dragonflyrun/src/tool/options.rs
@@ -68,7 +68,7 @@
 
 impl Command {
     /// Returns whether the command prints for machines.
-    pub fn json(&self) -> bool {
+    pub fn wants_json(&self) -> bool {
         match self {
             Self::Check(o) => o.json,
             Self::Edit(o) => o.json,
--- a/dragonflyrun/src/tool/publisher.rs
+++ b/dragonflyrun/src/tool/publisher.rs
@@ -14,13 +14,13 @@
 };
 
 /// Pause before the log is tried again, unless set otherwise.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What became of an edit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Published {
     /// It is on the log, and every process reaches this verdict.
-    Judged {
+    Decided {
         /// The version that it makes if it is accepted.
         version: u64,
         /// The verdict.
@@ -42,13 +42,13 @@
 
 /// How far an append has got.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Sent {
+enum AppendState {
     /// Each try was refused.
-    Not,
+    NotAppended,
     /// The answer to a try was lost.
-    Perhaps,
+    Uncertain,
     /// The log has said that it is there.
-    Yes,
+    Appended,
 }
 
 /// Publishes edits of one editor.
@@ -56,7 +56,7 @@
     reader: &'a mut LogReader<L>,
     key: &'a AuthorKey,
     patience: Duration,
-    pause: Duration,
+    retry_delay: Duration,
 }
 
 impl<'a, L: Log> Publisher<'a, L> {
@@ -66,13 +66,16 @@
             reader,
             key,
             patience,
-            pause: PAUSE,
+            retry_delay: RETRY_DELAY,
         }
     }
 
-    /// Sets the pause before the log is tried again.
-    pub fn pause(self, pause: Duration) -> Self {
-        Self { pause, ..self }
+    /// Sets the retry_delay before the log is tried again.
+    pub fn retry_delay(self, retry_delay: Duration) -> Self {
+        Self {
+            retry_delay,
+            ..self
+        }
     }
 
     /// Reads the log to its head and returns the configuration.
@@ -86,14 +89,14 @@
             match self.reader.catch_up(drop) {
                 Ok(()) => return Ok(&self.reader.ledger().history),
                 Err(error) if Instant::now() >= end => return Err(error),
-                Err(_) => thread::sleep(self.pause),
+                Err(_) => thread::sleep(self.retry_delay),
             }
         }
     }
 
     /// Returns the verdict that `edit` would get if nothing else came before it; none where the
     /// configuration is not known.
-    pub fn foresee(&self, edit: &Edit) -> Option<Verdict> {
+    pub fn predict_verdict(&self, edit: &Edit) -> Option<Verdict> {
         let ledger = self.reader.ledger();
         let author = self.key.author();
         ledger.history.clone().fold(&LoggedEdit {
@@ -118,23 +121,23 @@
             return Published::NotSent { reason };
         }
         let end = Instant::now() + self.patience;
-        let mut sent = Sent::Not;
+        let mut append_state = AppendState::NotAppended;
         let mut is_absent = true;
         let mut reason = String::new();
         loop {
-            if sent != Sent::Yes && is_absent {
+            if append_state != AppendState::Appended && is_absent {
                 match self.reader.log().append(std::slice::from_ref(&record)) {
-                    Ok(_) => sent = Sent::Yes,
+                    Ok(_) => append_state = AppendState::Appended,
                     Err(error) => {
                         if matches!(error, LogError::Uncertain(_)) {
-                            sent = Sent::Perhaps;
+                            append_state = AppendState::Uncertain;
                         }
                         reason = error.to_string();
                     }
                 }
             }
-            if sent != Sent::Not {
-                match self.look_up(&id) {
+            if append_state != AppendState::NotAppended {
+                match self.find_edit(&id) {
                     Ok(Some(published)) => return published,
                     Ok(None) => is_absent = true,
                     Err(error) => {
@@ -144,17 +147,19 @@
                 }
             }
             if Instant::now() >= end {
-                return match sent {
-                    Sent::Not => Published::NotSent { reason },
-                    Sent::Perhaps | Sent::Yes => Published::Unknown { id, reason },
+                return match append_state {
+                    AppendState::NotAppended => Published::NotSent { reason },
+                    AppendState::Uncertain | AppendState::Appended => {
+                        Published::Unknown { id, reason }
+                    }
                 };
             }
-            thread::sleep(self.pause);
+            thread::sleep(self.retry_delay);
         }
     }
 
     /// Reads the log to its head and returns what became of the edit with this id, if it is there.
-    fn look_up(&mut self, id: &Name) -> Result<Option<Published>, LogError> {
+    fn find_edit(&mut self, id: &Name) -> Result<Option<Published>, LogError> {
         let author = self.key.author();
         let mut first: Option<Folded> = None;
         let read = self.reader.catch_up(|folded| {
@@ -170,7 +175,7 @@
                 ..
             }) => {
                 let version = offset + 1;
-                Ok(Some(Published::Judged { version, verdict }))
+                Ok(Some(Published::Decided { version, verdict }))
             }
             Some(_) => Ok(Some(Published::Unknown {
                 id: id.clone(),
--- a/dragonflyrun/src/tool/settings.rs
+++ b/dragonflyrun/src/tool/settings.rs
@@ -17,7 +17,7 @@
 };
 
 /// The settings file where the command line names none.
-const DEFAULT_FILE: &str = "dragonflyrun.json";
+const DEFAULT_SETTINGS_FILE: &str = "dragonflyrun.json";
 
 const DEFAULT_TIMEOUT_MS: u64 = 2_000;
 const DEFAULT_PATIENCE_MS: u64 = 10_000;
@@ -63,7 +63,7 @@
     ///
     /// All findings at once.
     pub fn load(cli: &Cli) -> Result<Self, ToolError> {
-        let mut cfg = read(cli.config.as_deref())?;
+        let mut cfg = read_settings_file(cli.config.as_deref())?;
         if let Some(file) = &cli.key_file {
             let key = fs::read_to_string(file)
                 .map_err(|e| ToolError::Usage(format!("can't read {file}: {e}")))?;
@@ -139,7 +139,7 @@
     ///
     /// Where no address is set.
     pub fn log(&self) -> Result<LogClient, ToolError> {
-        let log = self.log.ok_or_else(|| missing("log", "--log"))?;
+        let log = self.log.ok_or_else(|| missing_setting("log", "--log"))?;
         Ok(LogClient::new(&log.to_string(), self.timeout))
     }
 
@@ -153,9 +153,9 @@
     /// # Errors
     ///
     /// Where none is set.
-    pub fn some_entries(&self) -> Result<&[SocketAddr], ToolError> {
+    pub fn require_entries(&self) -> Result<&[SocketAddr], ToolError> {
         if self.entries.is_empty() {
-            return Err(missing("entries", "--entry"));
+            return Err(missing_setting("entries", "--entry"));
         }
         Ok(&self.entries)
     }
@@ -167,7 +167,7 @@
     /// Where none is set.
     pub fn editor(&self) -> Result<&Name, ToolError> {
         let editor = self.editor.as_ref();
-        editor.ok_or_else(|| missing("editor", "--editor"))
+        editor.ok_or_else(|| missing_setting("editor", "--editor"))
     }
 
     /// Returns the editor's key.
@@ -178,7 +178,7 @@
     pub fn key(&self) -> Result<&AuthorKey, ToolError> {
         self.editor()?;
         let key = self.key.as_ref();
-        key.ok_or_else(|| missing("key", "--key-file"))
+        key.ok_or_else(|| missing_setting("key", "--key-file"))
     }
 
     /// Returns the deployment's secret.
@@ -200,26 +200,26 @@
     }
 }
 
-fn missing(key: &str, option: &str) -> ToolError {
+fn missing_setting(key: &str, option: &str) -> ToolError {
     ToolError::Usage(format!(
         "`{key}` is needed: set it in the settings file or by {option}"
     ))
 }
 
-fn read(file: Option<&str>) -> Result<ToolConfig, ToolError> {
-    let bytes = match fs::read(file.unwrap_or(DEFAULT_FILE)) {
+fn read_settings_file(file: Option<&str>) -> Result<ToolConfig, ToolError> {
+    let bytes = match fs::read(file.unwrap_or(DEFAULT_SETTINGS_FILE)) {
         Ok(bytes) => bytes,
         Err(e) if file.is_none() && e.kind() == io::ErrorKind::NotFound => {
             return Ok(ToolConfig::default());
         }
         Err(e) => {
-            let file = file.unwrap_or(DEFAULT_FILE);
+            let file = file.unwrap_or(DEFAULT_SETTINGS_FILE);
             return Err(ToolError::Usage(format!("can't read {file}: {e}")));
         }
     };
     serde_json::from_slice(&bytes).map_err(|e| {
         ToolError::Settings(vec![Finding {
-            place: file.unwrap_or(DEFAULT_FILE).to_owned(),
+            place: file.unwrap_or(DEFAULT_SETTINGS_FILE).to_owned(),
             what: format!("{e}."),
         }])
     })
--- a/dragonflyrun/tests/operator_edits.rs
+++ b/dragonflyrun/tests/operator_edits.rs
@@ -152,8 +152,8 @@
 }
 
 /// Publishes an edit, either with enough time to outlast all faults or with a single attempt.
-fn publish(log: &FaultyLog, editor: &str, edit: &Edit, patient: bool) -> Published {
-    let patience = if patient {
+fn publish(log: &FaultyLog, editor: &str, edit: &Edit, keep_trying: bool) -> Published {
+    let patience = if keep_trying {
         Duration::from_secs(60)
     } else {
         Duration::ZERO
@@ -161,12 +161,12 @@
     let mut reader = LogReader::new(log, Opener::Checked(SECRET.into()));
     let key = key(editor);
     let publisher = Publisher::new(&mut reader, &key, patience);
-    publisher.pause(Duration::ZERO).publish(edit)
+    publisher.retry_delay(Duration::ZERO).publish(edit)
 }
 
 fn verdict(log: &FaultyLog, editor: &str, edit: &Edit) -> Verdict {
     match publish(log, editor, edit, true) {
-        Published::Judged { verdict, .. } => verdict,
+        Published::Decided { verdict, .. } => verdict,
         other => panic!("{other:?}"),
     }
 }
@@ -364,12 +364,12 @@
         Fault::AnswerLost,
         Fault::Delayed,
     ];
-    let (mut judged, mut unknown) = (0, 0);
+    let (mut decided, mut unknown) = (0, 0);
     each_seed(50, 128, |u| {
         let log = log_with_section();
         while !u.is_empty() {
             let chosen = any_faults(u, &faults)?;
-            let (patient, default_fault) = if u.ratio(1, 2)? {
+            let (keep_trying, default_fault) = if u.ratio(1, 2)? {
                 (true, Fault::None)
             } else {
                 (false, *u.choose(&faults)?)
@@ -383,12 +383,12 @@
             let name = format!("domain-{}", log.state.borrow().records.len());
             log.set_faults(&chosen, default_fault);
             let change = edit("north", base, with_domain("alice", &name, true));
-            let published = publish(&log, "alice", &change, patient);
+            let published = publish(&log, "alice", &change, keep_trying);
             log.clear_faults();
             let is_in_force = log.ledger().history.current().in_service(&Name::from(name));
             match published {
-                Published::Judged { verdict, .. } => {
-                    judged += 1;
+                Published::Decided { verdict, .. } => {
+                    decided += 1;
                     assert_eq!(is_in_force, verdict == Verdict::Accepted);
                 }
                 Published::NotSent { .. } => assert!(!is_in_force),
@@ -398,8 +398,8 @@
         Ok(())
     });
     assert!(
-        judged > 100 && unknown > 30,
-        "{judged} judged, {unknown} unknown"
+        decided > 100 && unknown > 30,
+        "{decided} decided, {unknown} unknown"
     );
 }
 
--- a/dragonflyrun/tests/tool_output.rs
+++ b/dragonflyrun/tests/tool_output.rs
@@ -124,9 +124,9 @@
         assert!(printed.err.starts_with("dragonflyrun: "), "{arguments:?}");
         assert_eq!(printed.out, "", "{arguments:?}");
     }
-    let all = run(cases[9]).err;
+    let errors = run(cases[9]).err;
     for place in ["/log", "/entries/0", "/editor"] {
-        assert!(all.contains(place), "{all}");
+        assert!(errors.contains(place), "{errors}");
     }
     let help = run(&["--help"]);
     assert!(help.exit == 0 && help.out.contains("issue-key"));
@@ -164,8 +164,8 @@
         let printed = run_in(&dir, &[arguments, &["--json"]].concat());
         assert_eq!(printed.exit, exit, "{arguments:?}: {}", printed.out);
         let answer = json_of(&printed);
-        let told = answer["outcome"].as_str().unwrap_or("error");
-        assert_eq!(told, outcome, "{arguments:?}: {answer}");
+        let reported = answer["outcome"].as_str().unwrap_or("error");
+        assert_eq!(reported, outcome, "{arguments:?}: {answer}");
     }
     std::fs::remove_dir_all(&dir).unwrap();
 }
