--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -363,7 +363,7 @@
             .membership
             .state_to_repeat()
             .map(RepeatedState::Membership),
-        Item::Configuration => ledger.history.carried(term, ledger.next_offset()),
+        Item::Configuration => ledger.history.state_to_repeat(term, ledger.next_offset()),
         Item::Job(job) => ledger.jobs.live(job).map(|live| RepeatedState::Job {
             term,
             job: Box::new(live.clone()),
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -115,7 +115,7 @@
             self.gaps += 1;
             self.saw_planner = false;
             self.kept.clear();
-            self.history.gap(first);
+            self.history.mark_incomplete(first);
             self.membership.mark_incomplete();
             self.jobs = JobTable::default();
         }
@@ -132,13 +132,13 @@
         if !self.membership.is_complete() && !self.saw_planner && knows_nothing {
             log::info!(offset = self.next_offset; "new_deployment");
             self.membership.mark_complete();
-            self.history.begin();
+            self.history.presume_complete();
         }
     }
 
     /// Returns whether no record is missing that may have changed the tables.
     pub fn is_complete(&self) -> bool {
-        self.membership.is_complete() && self.history.is_whole()
+        self.membership.is_complete() && self.history.is_complete()
     }
 
     /// Returns the number of gaps after which the tables were reset.
--- a/dragonflyrun/src/request/entry_table/admission.rs
+++ b/dragonflyrun/src/request/entry_table/admission.rs
@@ -78,7 +78,7 @@
             return Err(Refusal::new(NotRun::TooLarge, MAX_RETRY_AFTER_MS));
         }
         // A grant must be used or expired long before the owner removes the key.
-        let max_deadline_ms = service.longest_deadline_ms();
+        let max_deadline_ms = service.max_deadline_ms();
         let deadline_ms = req
             .deadline_ms
             .unwrap_or(max_deadline_ms)
--- a/dragonflyrun/src/tool/commands/document.rs
+++ b/dragonflyrun/src/tool/commands/document.rs
@@ -8,18 +8,18 @@
     tool::{
         Exit, Log, LogReader, Printed, ToolError, ToolSettings,
         commands::read_file,
-        entries::statuses,
+        entries::query_statuses,
         options::{CheckOptions, ShowOptions},
     },
     utils::Name,
     version::{
-        DOCUMENT_BYTES,
         Document,
         Finding,
         History,
+        MAX_DOCUMENT_BYTES,
         Section,
         check as check_document,
-        check_alone,
+        check_single_section,
         explain,
         parse_document,
         parse_section, //
@@ -44,10 +44,10 @@
 
 /// Checks a document, or one section of it.
 pub(super) fn check(options: &CheckOptions) -> Result<Printed, ToolError> {
-    let bytes = read_file(&options.file, DOCUMENT_BYTES)?;
+    let bytes = read_file(&options.file, MAX_DOCUMENT_BYTES)?;
     let findings = match &options.section {
         Some(name) => match parse_section(&bytes, &format!("/sections/{name}")) {
-            Ok(section) => check_alone(name, &section),
+            Ok(section) => check_single_section(name, &section),
             Err(findings) => findings,
         },
         None => match parse_document(&bytes) {
@@ -87,22 +87,22 @@
 }
 
 fn pretty<T: Serialize>(value: &T) -> String {
-    // The types of a document have only string keys and whole numbers, so this can't fail.
+    // This can't fail, as a document has only string keys and integers.
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
 
 /// Prints the document in force, or one section of it.
 ///
-/// The text is what `edit` reads; the version goes to the standard error, so that a file made from
-/// the standard output can be edited and passed back with `--base`.
+/// The text is the input of `edit`. The version goes to the standard error, so that the standard
+/// output can be saved to a file, edited, and passed back with `--base`.
 pub(super) fn show(settings: &ToolSettings, options: &ShowOptions) -> Result<Printed, ToolError> {
     let mut reader = LogReader::new(settings.log()?, settings.opener());
-    let history = read(settings, &mut reader)?;
+    let history = read_history(settings, &mut reader)?;
     let document = &history.current().document;
     let Some(name) = &options.section else {
         let answer = ShowAnswer {
             version: history.current().offset,
-            sections: history.sections(),
+            sections: history.section_versions(),
             document,
         };
         eprintln!("version {}", answer.version);
@@ -114,7 +114,7 @@
     };
     let answer = ShowSectionAnswer {
         section: name,
-        version: history.sections().get(name).copied().unwrap_or(0),
+        version: history.section_versions().get(name).copied().unwrap_or(0),
         content,
     };
     eprintln!(
@@ -126,7 +126,7 @@
 
 /// Explains the document in a file.
 pub(super) fn explain_file(file: &str) -> Result<Printed, ToolError> {
-    let bytes = read_file(file, DOCUMENT_BYTES)?;
+    let bytes = read_file(file, MAX_DOCUMENT_BYTES)?;
     let document = parse_document(&bytes).map_err(ToolError::Findings)?;
     let findings = check_document(&document);
     if !findings.is_empty() {
@@ -138,29 +138,29 @@
 /// Explains the document in force.
 pub(super) fn explain_in_force(settings: &ToolSettings) -> Result<Printed, ToolError> {
     let mut reader = LogReader::new(settings.log()?, settings.opener());
-    let history = read(settings, &mut reader)?;
+    let history = read_history(settings, &mut reader)?;
     Ok(Printed::new(
         &explain(&history.current().document),
         Exit::Done,
     ))
 }
 
-/// Reads the log and returns the configuration.
-fn read<'a, L: Log>(
+/// Reads the log and returns the history of the configuration.
+fn read_history<'a, L: Log>(
     settings: &ToolSettings,
     reader: &'a mut LogReader<L>,
 ) -> Result<&'a History, ToolError> {
     reader
         .catch_up(drop)
         .map_err(|e| ToolError::NotKnown(e.to_string()))?;
-    known(settings, &reader.ledger().history)
+    require_complete(settings, &reader.ledger().history)
 }
 
-/// Returns `history`, if it knows the whole configuration.
+/// Returns `history` if it is complete.
 ///
-/// The tool always begins with what the log still keeps. Where that shows no configuration, the
-/// entries may know one all the same, and an edit made without it would be refused by them.
-pub(super) fn known<'a>(
+/// The tool starts with the records that the log still keeps. If these contain no configuration,
+/// the entries may still know one, and would reject an edit that is not based on it.
+pub(super) fn require_complete<'a>(
     settings: &ToolSettings,
     history: &'a History,
 ) -> Result<&'a History, ToolError> {
@@ -168,12 +168,12 @@
         let what = format!("the document is in format {format}; use a newer tool");
         return Err(ToolError::NotKnown(what));
     }
-    if !history.is_whole() {
+    if !history.is_complete() {
         let what = "the log has dropped edits, and the planner has not repeated the configuration \
                     since; try again when it has";
         return Err(ToolError::NotKnown(what.to_owned()));
     }
-    if history.is_presumed() && !is_confirmed(settings) {
+    if history.is_presumed_complete() && !entries_confirm_new_deployment(settings) {
         let what = "the log has dropped its first records, and no entry confirms that there was no \
                     configuration among them";
         return Err(ToolError::NotKnown(what.to_owned()));
@@ -181,9 +181,9 @@
     Ok(history)
 }
 
-/// Returns whether all entries that answer have no configuration, and one does answer.
-fn is_confirmed(settings: &ToolSettings) -> bool {
-    let answers = statuses(settings.entries(), settings.timeout);
+/// Returns whether at least one entry answers, and none of those that answer has a configuration.
+fn entries_confirm_new_deployment(settings: &ToolSettings) -> bool {
+    let answers = query_statuses(settings.entries(), settings.timeout);
     let mut versions = answers
         .iter()
         .filter_map(|a| a.status.as_ref().ok())
--- a/dragonflyrun/src/tool/commands/edit.rs
+++ b/dragonflyrun/src/tool/commands/edit.rs
@@ -11,15 +11,15 @@
     connection::Edit,
     tool::{
         Exit, InForce, LogReader, Opener, Printed, Published, Publisher, ToolError, ToolSettings,
-        commands::{document::known, read_file},
+        commands::{document::require_complete, read_file},
         in_force,
         options::{EditOptions, RemoveOptions},
     },
     utils::Name,
     version::{
-        DOCUMENT_BYTES,
         Finding,
         History,
+        MAX_DOCUMENT_BYTES,
         RawSection,
         Section,
         Verdict,
@@ -27,7 +27,7 @@
     },
 };
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 enum EditAnswer {
@@ -52,7 +52,7 @@
     },
     Unknown {
         section: Name,
-        /// The id of its record, where that is in doubt.
+        /// The id of the edit's record if it is uncertain whether the log has it.
         id: Option<Name>,
         reason: String,
     },
@@ -148,12 +148,12 @@
     }
 }
 
-/// Replaces a section by the content of a file.
+/// Replaces a section with the content of a file.
 pub(super) fn edit(settings: &ToolSettings, options: &EditOptions) -> Result<Printed, ToolError> {
-    let bytes = read_file(&options.file, DOCUMENT_BYTES)?;
+    let bytes = read_file(&options.file, MAX_DOCUMENT_BYTES)?;
     let pointer = format!("/sections/{}", options.section);
     let content = parse_section(&bytes, &pointer).map_err(ToolError::Findings)?;
-    change(settings, &options.section, options.base, Some(&content))
+    publish_change(settings, &options.section, options.base, Some(&content))
 }
 
 /// Removes a section.
@@ -161,10 +161,10 @@
     settings: &ToolSettings,
     options: &RemoveOptions,
 ) -> Result<Printed, ToolError> {
-    change(settings, &options.section, options.base, None)
+    publish_change(settings, &options.section, options.base, None)
 }
 
-fn change(
+fn publish_change(
     settings: &ToolSettings,
     section: &Name,
     base: Option<u64>,
@@ -174,20 +174,24 @@
     let mut reader = LogReader::new(settings.log()?, settings.opener());
     let mut publisher = Publisher::new(&mut reader, key, settings.patience);
     let history = match publisher.history() {
-        Ok(history) => known(settings, history)?,
+        Ok(history) => require_complete(settings, history)?,
         Err(error) => {
             let (section, reason) = (section.clone(), error.to_string());
             return Ok(EditAnswer::NotSent { section, reason }.printed());
         }
     };
-    let current = history.sections().get(section).copied().unwrap_or(0);
+    let current = history
+        .section_versions()
+        .get(section)
+        .copied()
+        .unwrap_or(0);
     let edit = Edit {
         section: section.clone(),
         base: base.unwrap_or(current),
         content: content.map(RawSection::from),
     };
-    // What would be rejected now is not worth a record on the log.
-    match publisher.foresee(&edit) {
+    // An edit that would be rejected now is not appended to the log.
+    match publisher.predict_verdict(&edit) {
         Some(Verdict::Accepted) | None => {}
         Some(verdict) => {
             let section = section.clone();
@@ -195,17 +199,17 @@
         }
     }
     let published = publisher.publish(&edit);
-    Ok(answer(settings, section, published).printed())
+    Ok(edit_answer(settings, section, published).printed())
 }
 
-fn answer(settings: &ToolSettings, section: &Name, published: Published) -> EditAnswer {
+fn edit_answer(settings: &ToolSettings, section: &Name, published: Published) -> EditAnswer {
     let section = section.clone();
     match published {
-        Published::Judged {
+        Published::Decided {
             version,
             verdict: Verdict::Accepted,
         } => accepted(settings, section, version),
-        Published::Judged { verdict, .. } => EditAnswer::Rejected { section, verdict },
+        Published::Decided { verdict, .. } => EditAnswer::Rejected { section, verdict },
         Published::NotSent { reason } => EditAnswer::NotSent { section, reason },
         Published::Unknown { id, reason } => EditAnswer::Unknown {
             section,
@@ -215,10 +219,10 @@
     }
 }
 
-/// Reports an edit that the tool's own fold has accepted.
+/// Returns the outcome of an edit that the tool's own fold has accepted.
 ///
-/// Without the secret the tool can't check seals, its own no more than others'. With a mistaken
-/// key it would accept its own edit, which every process skips. So a process has to confirm it.
+/// Without the secret the tool can't check any seals, not even its own. With a wrong key it would
+/// accept its own edit while every process ignores it, so a process has to confirm the edit.
 fn accepted(settings: &ToolSettings, section: Name, version: u64) -> EditAnswer {
     let in_force = in_force_of(settings, version);
     let confirmed = in_force.as_ref().is_some_and(|i| i.has_any());
@@ -241,17 +245,17 @@
     (!entries.is_empty()).then(|| in_force::wait(version, entries, settings.timeout))
 }
 
-/// A failure domain's place in the document, with what its section would be after a change.
+/// The section that defines a failure domain, with its new content if the change has an effect.
 struct DomainEdit {
     section: Name,
     version: u64,
-    changed: Option<Section>,
+    new_content: Option<Section>,
 }
 
-/// Takes a failure domain out of service or returns it.
+/// Takes a failure domain out of service or returns it to service.
 ///
-/// Another edit of the same section may come in between. The change is a small one that fits on
-/// any version of the section, so it is made again on the new one.
+/// If another edit of the same section precedes this one, the change is repeated on the new version
+/// of the section, as it can be applied to any version.
 pub(super) fn set_in_service(
     settings: &ToolSettings,
     domain: &Name,
@@ -266,8 +270,8 @@
             let what = format!("not sent, nothing has changed: {error}");
             ToolError::NotKnown(what)
         })?;
-        let found = domain_edit(known(settings, history)?, domain, in_service)?;
-        let Some(changed) = &found.changed else {
+        let found = domain_edit(require_complete(settings, history)?, domain, in_service)?;
+        let Some(new_content) = &found.new_content else {
             let answer = EditAnswer::Unchanged {
                 section: found.section,
                 version: found.version,
@@ -278,10 +282,10 @@
         let edit = Edit {
             section: found.section.clone(),
             base: found.version,
-            content: Some(RawSection::from(changed)),
+            content: Some(RawSection::from(new_content)),
         };
         if let Some(verdict @ (Verdict::NotOwner | Verdict::Invalid { .. })) =
-            publisher.foresee(&edit)
+            publisher.predict_verdict(&edit)
         {
             let section = found.section;
             return Ok(EditAnswer::Rejected { section, verdict }.printed());
@@ -289,13 +293,13 @@
         let published = publisher.publish(&edit);
         let stale = matches!(
             published,
-            Published::Judged {
+            Published::Decided {
                 verdict: Verdict::Stale { .. },
                 ..
             }
         );
         if !stale || Instant::now() >= end {
-            return Ok(answer(settings, &found.section, published).printed());
+            return Ok(edit_answer(settings, &found.section, published).printed());
         }
     }
 }
@@ -308,15 +312,15 @@
     let document = &history.current().document;
     for (name, section) in &document.sections {
         let domains = &section.failure_domains;
-        let Some(place) = domains.iter().position(|d| d.name == *domain) else {
+        let Some(index) = domains.iter().position(|d| d.name == *domain) else {
             continue;
         };
-        let mut changed = Section::clone(section);
-        changed.failure_domains[place].in_service = in_service;
+        let mut new_content = Section::clone(section);
+        new_content.failure_domains[index].in_service = in_service;
         return Ok(DomainEdit {
             section: name.clone(),
-            version: history.sections().get(name).copied().unwrap_or(0),
-            changed: (domains[place].in_service != in_service).then_some(changed),
+            version: history.section_versions().get(name).copied().unwrap_or(0),
+            new_content: (domains[index].in_service != in_service).then_some(new_content),
         });
     }
     let domains = document.sections.values().flat_map(|s| &s.failure_domains);
--- a/dragonflyrun/src/tool/commands/request.rs
+++ b/dragonflyrun/src/tool/commands/request.rs
@@ -9,20 +9,20 @@
     tool::{
         Exit, Printed, ToolError, ToolSettings,
         commands::read_file,
-        entries::{Answer, Call, CallError, Header, nobody},
+        entries::{Answer, Call, CallError, Header, no_entry_reached},
         options::RequestOptions,
     },
     version::is_name,
 };
 
-/// Bytes of a request's body, at the most; the document's limit may be lower.
-const BODY_BYTES: usize = 16 << 20;
+/// The maximum size of a request's body, in bytes; the limit in the document may be lower.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How long a request may take where the command line states no deadline: that of the service is
+/// How long a request may take if the command line states no deadline: the deadline of a service is
 /// at most an hour.
-const LONGEST: Duration = Duration::from_secs(3_600);
+const MAX_SERVICE_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 enum RequestAnswer {
@@ -39,7 +39,7 @@
     },
 }
 
-/// What an entry says of a request that did not run.
+/// The body of an entry's answer to a request that did not run.
 #[derive(Deserialize)]
 struct NotRunBody {
     reason: String,
@@ -57,9 +57,9 @@
         Printed::new(self, exit)
     }
 
-    /// Reads the outcome that the entry states. An answer without one, as from a balancer, says
-    /// nothing of whether the request ran.
-    fn read(answer: &Answer) -> Self {
+    /// Returns the outcome that the entry states. An answer without an outcome, such as one from a
+    /// load balancer, does not tell whether the request ran.
+    fn from_answer(answer: &Answer) -> Self {
         let status = answer.status;
         match answer.outcome.as_deref() {
             Some("done") => Self::Done {
@@ -107,8 +107,8 @@
 
 /// Sends a request to a service.
 ///
-/// It goes to the next entry only where the one before was not reached. Whether to try again after
-/// "not run" is the caller's choice, with the same attempt number.
+/// The next entry is tried only if the previous one could not be reached. After "not run" the
+/// caller decides whether to retry, with the same attempt number.
 pub(super) fn request(
     settings: &ToolSettings,
     options: &RequestOptions,
@@ -118,7 +118,7 @@
         return Err(ToolError::Usage(format!("`{service}` is not a name")));
     }
     let body = match &options.file {
-        Some(file) => read_file(file, BODY_BYTES)?,
+        Some(file) => read_file(file, MAX_BODY_BYTES)?,
         None => Vec::new(),
     };
     let mut headers = vec![Header {
@@ -137,25 +137,27 @@
         name: "dragonfly-urgency",
         value,
     }));
-    let wait = options.deadline_ms.map_or(LONGEST, Duration::from_millis);
+    let max_wait = options
+        .deadline_ms
+        .map_or(MAX_SERVICE_DEADLINE, Duration::from_millis);
     let call = Call {
         method: Method::POST,
         path: format!("/v1/services/{service}/requests"),
         headers,
         body,
-        timeout: wait + settings.timeout,
+        timeout: max_wait + settings.timeout,
     };
     let mut errors = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address) {
-            Ok(answer) => return Ok(RequestAnswer::read(&answer).printed()),
-            Err(CallError::Lost(reason)) => {
+    for address in settings.require_entries()? {
+        match call.send(*address) {
+            Ok(answer) => return Ok(RequestAnswer::from_answer(&answer).printed()),
+            Err(CallError::AnswerLost(reason)) => {
                 return Ok(RequestAnswer::Unknown { reason }.printed());
             }
             Err(error) => errors.push((*address, error)),
         }
     }
-    let reason = nobody(&errors);
+    let reason = no_entry_reached(&errors);
     let retry_after_ms = None;
     Ok(RequestAnswer::NotRun {
         reason,
--- a/dragonflyrun/src/tool/commands/status.rs
+++ b/dragonflyrun/src/tool/commands/status.rs
@@ -8,20 +8,20 @@
     process::StatusAnswer,
     tool::{
         Exit, InForce, Printed, ToolError, ToolSettings,
-        entries::{nobody, statuses},
+        entries::{no_entry_reached, query_statuses},
     },
 };
 
 #[derive(Serialize)]
 struct SystemStatus {
-    /// The newest version that any process has, and who does not have it.
+    /// The newest version in force in any process, and the processes that lack it.
     in_force: InForce,
     entries: Vec<StatusAnswer>,
 }
 
-/// Shows the system as the entries see it.
+/// Shows the state of the system as reported by the entries.
 pub(super) fn status(settings: &ToolSettings) -> Result<Printed, ToolError> {
-    let answers = statuses(settings.some_entries()?, settings.timeout);
+    let answers = query_statuses(settings.require_entries()?, settings.timeout);
     let newest = answers
         .iter()
         .filter_map(|a| a.status.as_ref().ok())
@@ -30,7 +30,9 @@
     let Some(newest) = newest else {
         let errors = answers.into_iter();
         let errors = errors.filter_map(|a| a.status.err().map(|e| (a.address, e)));
-        return Err(ToolError::NotKnown(nobody(&errors.collect::<Vec<_>>())));
+        return Err(ToolError::NotKnown(no_entry_reached(
+            &errors.collect::<Vec<_>>(),
+        )));
     };
     let answer = SystemStatus {
         in_force: InForce::new(newest, &answers),
@@ -46,7 +48,8 @@
             fmt_entry(entry, f)?;
         }
         fmt_processes(self, f)?;
-        // The entries agree on these but for a moment, and each has a queue of its own.
+        // Each entry has its own queues. Entries agree on the other tables except for short
+        // periods, so those of the first entry are shown.
         for entry in &self.entries {
             fmt_services(entry, f)?;
         }
@@ -133,17 +136,17 @@
     Ok(())
 }
 
-/// Compares what the document promises with what there is, which the document alone can't tell.
+/// Compares the guaranteed accelerators with those in service, which the document does not tell.
 fn fmt_guarantees(entry: &StatusAnswer, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let guaranteed = entry.workspaces.iter().map(|w| w.guaranteed_accelerators);
     let guaranteed: u32 = guaranteed.sum();
     let domains = entry.failure_domains.iter().filter(|d| d.in_service);
-    let there: u32 = domains.map(|d| d.accelerators).sum();
+    let available: u32 = domains.map(|d| d.accelerators).sum();
     write!(
         f,
-        "\nguaranteed {guaranteed} of the {there} accelerators in service"
+        "\nguaranteed {guaranteed} of the {available} accelerators in service"
     )?;
-    if guaranteed > there {
+    if guaranteed > available {
         write!(f, ": NOT ALL GUARANTEES CAN BE HONOURED")?;
     }
     Ok(())
--- a/dragonflyrun/src/tool/commands/steps.rs
+++ b/dragonflyrun/src/tool/commands/steps.rs
@@ -1,4 +1,5 @@
-//! `deployment`, `why`, and `submit` for jobs of steps: entries that keep their state on the store.
+//! `deployment`, `why`, and `submit` for jobs of steps, which need entries that keep their state on
+//! the store.
 
 use std::{fmt, fs, net::SocketAddr};
 
@@ -9,16 +10,16 @@
     process::on_store::{ApiError, DeploymentView, StepJobFile, StepJobView, WORKSPACE_KEY_HEADER},
     tool::{
         Exit, Printed, ToolError, ToolSettings,
-        entries::{Answer, Call, CallError, Header, nobody},
+        entries::{Answer, Call, CallError, Header, no_entry_reached},
         options::SubmitOptions,
     },
     utils::Name,
     version::Finding,
 };
 
-/// Times longer than the tool's timeout that a hand-in may take, since the entry may try the store
+/// The timeout of a submission as a multiple of the tool's timeout: the entry may try the store
 /// several times.
-const HAND_IN_FACTOR: u32 = 2;
+const SUBMIT_TIMEOUT_FACTOR: u32 = 2;
 
 /// Returns whether a file describes a job of steps.
 pub(super) fn is_steps(bytes: &[u8]) -> bool {
@@ -26,8 +27,8 @@
     value.is_ok_and(|v| v.get("steps").is_some())
 }
 
-/// Submits a job of steps. Its name is chosen here, and one name is accepted once, so the job goes
-/// to the next entry where the answer of one was lost.
+/// Submits a job of steps. The tool chooses the name of the job, and a name is accepted only once.
+/// So if the answer of an entry is lost, the job is submitted to the next one.
 pub(super) fn submit(
     settings: &ToolSettings,
     options: &SubmitOptions,
@@ -46,28 +47,28 @@
         path: format!("/v1/jobs/{job}"),
         headers: workspace_key(options)?,
         body,
-        timeout: settings.timeout * HAND_IN_FACTOR,
+        timeout: settings.timeout * SUBMIT_TIMEOUT_FACTOR,
     };
     let mut uncertain = false;
     let mut refused = None;
     let mut errors = Vec::new();
-    for address in settings.some_entries()? {
-        match call.make(*address) {
+    for address in settings.require_entries()? {
+        match call.send(*address) {
             Ok(answer) if answer.status == StatusCode::OK => {
                 return Ok(Printed::new(&Accepted { job: job.clone() }, Exit::Done));
             }
             Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => {
-                refused = Some(not_done(&answer));
+                refused = Some(failure_reason(&answer));
             }
             Ok(answer) if answer.status == StatusCode::GATEWAY_TIMEOUT => uncertain = true,
-            Ok(answer) => return Err(ToolError::Refused(not_done(&answer))),
+            Ok(answer) => return Err(ToolError::Refused(failure_reason(&answer))),
             Err(error) => {
-                uncertain |= matches!(error, CallError::Lost(_));
+                uncertain |= matches!(error, CallError::AnswerLost(_));
                 errors.push((*address, error));
             }
         }
     }
-    // A refusal at one entry says nothing of a call whose answer another entry lost.
+    // A refusal by one entry says nothing about a call to another entry whose answer was lost.
     if uncertain {
         return Err(ToolError::NotKnown(format!(
             "job {job} may be accepted; submitting it again with --id {job} does no harm"
@@ -75,7 +76,7 @@
     }
     match refused {
         Some(why) => Err(ToolError::Refused(why)),
-        None => Err(ToolError::NotKnown(nobody(&errors))),
+        None => Err(ToolError::NotKnown(no_entry_reached(&errors))),
     }
 }
 
@@ -91,8 +92,8 @@
     }])
 }
 
-/// Says why an entry did not do what it was asked.
-fn not_done(answer: &Answer) -> String {
+/// Describes why an entry refused a submission.
+fn failure_reason(answer: &Answer) -> String {
     match answer.json::<ApiError>() {
         Ok(ApiError {
             reason,
@@ -103,10 +104,11 @@
     }
 }
 
-/// Shows a job of steps and what it waits for. The planner's entry knows the latter, so all entries
-/// are asked until it has answered.
+/// Shows a job of steps and what it waits for. Only the planner's entry knows the latter, so all
+/// entries are queried.
 pub(super) fn why(settings: &ToolSettings, job: &Name) -> Result<Printed, ToolError> {
-    let views: Vec<(SocketAddr, StepJobView)> = ask_all(settings, &format!("/v1/why/{job}"))?;
+    let views: Vec<(SocketAddr, StepJobView)> =
+        query_all_entries(settings, &format!("/v1/why/{job}"))?;
     let by_planner = views.iter().find(|(_, v)| v.waits_for.is_some());
     let Some((_, view)) = by_planner.or(views.first()) else {
         let what = "there is no such job, or its end is no longer remembered";
@@ -115,25 +117,25 @@
     Ok(Printed::new(&ShownJob(view.clone()), Exit::Done))
 }
 
-/// Shows the deployment as each entry sees it.
+/// Shows the deployment as reported by each entry.
 pub(super) fn deployment(settings: &ToolSettings) -> Result<Printed, ToolError> {
-    let views = ask_all(settings, "/v1/deployment")?;
+    let views = query_all_entries(settings, "/v1/deployment")?;
     let views = views.into_iter().map(|(_, view)| view).collect();
     Ok(Printed::new(&ShownDeployment(views), Exit::Done))
 }
 
-/// Returns the answers of all entries that know one; an error where none could be asked.
-fn ask_all<T: DeserializeOwned>(
+/// Returns the answers of all entries that have one. It is an error if no entry could be reached.
+fn query_all_entries<T: DeserializeOwned>(
     settings: &ToolSettings,
     path: &str,
 ) -> Result<Vec<(SocketAddr, T)>, ToolError> {
     let call = Call::get(path, settings.timeout);
     let mut found = Vec::new();
     let mut errors = Vec::new();
-    let mut asked = false;
-    for address in settings.some_entries()? {
-        match call.make(*address) {
-            Ok(answer) if answer.status == StatusCode::NOT_FOUND => asked = true,
+    let mut not_found = false;
+    for address in settings.require_entries()? {
+        match call.send(*address) {
+            Ok(answer) if answer.status == StatusCode::NOT_FOUND => not_found = true,
             Ok(answer) => match answer.json() {
                 Ok(view) => found.push((*address, view)),
                 Err(error) => errors.push((*address, error)),
@@ -141,8 +143,8 @@
             Err(error) => errors.push((*address, error)),
         }
     }
-    if found.is_empty() && !asked {
-        return Err(ToolError::NotKnown(nobody(&errors)));
+    if found.is_empty() && !not_found {
+        return Err(ToolError::NotKnown(no_entry_reached(&errors)));
     }
     Ok(found)
 }
--- a/dragonflyrun/src/tool/publisher.rs
+++ b/dragonflyrun/src/tool/publisher.rs
@@ -1,4 +1,4 @@
-//! Puts an edit on the log and learns its verdict, though answers may be lost.
+//! Appends an edit to the log and finds out its verdict, even if answers are lost.
 
 use std::{
     thread,
@@ -13,42 +13,42 @@
     version::{History, LoggedEdit, Verdict},
 };
 
-/// Pause before the log is tried again, unless set otherwise.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The default delay before the log is called again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What became of an edit.
+/// The outcome of publishing an edit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Published {
-    /// It is on the log, and every process reaches this verdict.
-    Judged {
-        /// The version that it makes if it is accepted.
+    /// The edit is on the log, and every process reaches this verdict.
+    Decided {
+        /// The version that the edit creates if it is accepted.
         version: u64,
-        /// The verdict.
+        /// The verdict on the edit.
         verdict: Verdict,
     },
-    /// It is not on the log and will not be.
+    /// The edit is not on the log and never will be.
     NotSent {
-        /// What the log said last.
+        /// The last error of the log.
         reason: String,
     },
-    /// It may be on the log, now or later.
+    /// The edit may be on the log, now or later.
     Unknown {
-        /// The id of its record.
+        /// The id of the edit's record.
         id: Name,
-        /// What the log said last.
+        /// The last error of the log.
         reason: String,
     },
 }
 
-/// How far an append has got.
+/// What is known about the append of an edit.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Sent {
-    /// Each try was refused.
-    Not,
-    /// The answer to a try was lost.
-    Perhaps,
-    /// The log has said that it is there.
-    Yes,
+enum AppendState {
+    /// All attempts were refused.
+    NotAppended,
+    /// The answer to an attempt was lost.
+    Uncertain,
+    /// The log has confirmed the append.
+    Appended,
 }
 
 /// Publishes edits of one editor.
@@ -56,44 +56,47 @@
     reader: &'a mut LogReader<L>,
     key: &'a AuthorKey,
     patience: Duration,
-    pause: Duration,
+    retry_delay: Duration,
 }
 
 impl<'a, L: Log> Publisher<'a, L> {
-    /// Returns a publisher that tries for about `patience`.
+    /// Returns a publisher that keeps trying for about `patience`.
     pub fn new(reader: &'a mut LogReader<L>, key: &'a AuthorKey, patience: Duration) -> Self {
         Self {
             reader,
             key,
             patience,
-            pause: PAUSE,
+            retry_delay: RETRY_DELAY,
         }
     }
 
-    /// Sets the pause before the log is tried again.
-    pub fn pause(self, pause: Duration) -> Self {
-        Self { pause, ..self }
+    /// Sets the delay before the log is called again.
+    pub fn retry_delay(self, retry_delay: Duration) -> Self {
+        Self {
+            retry_delay,
+            ..self
+        }
     }
 
-    /// Reads the log to its head and returns the configuration.
+    /// Reads the log up to its head and returns the history of the configuration.
     ///
     /// # Errors
     ///
-    /// What the log said last; nothing has been sent.
+    /// The last error of the log; nothing has been sent.
     pub fn history(&mut self) -> Result<&History, LogError> {
         let end = Instant::now() + self.patience;
         loop {
             match self.reader.catch_up(drop) {
                 Ok(()) => return Ok(&self.reader.ledger().history),
                 Err(error) if Instant::now() >= end => return Err(error),
-                Err(_) => thread::sleep(self.pause),
+                Err(_) => thread::sleep(self.retry_delay),
             }
         }
     }
 
-    /// Returns the verdict that `edit` would get if nothing else came before it; none where the
-    /// configuration is not known.
-    pub fn foresee(&self, edit: &Edit) -> Option<Verdict> {
+    /// Returns the verdict that `edit` would get if no other record preceded it, or `None` if the
+    /// configuration is unknown.
+    pub fn predict_verdict(&self, edit: &Edit) -> Option<Verdict> {
         let ledger = self.reader.ledger();
         let author = self.key.author();
         ledger.history.clone().fold(&LoggedEdit {
@@ -106,10 +109,10 @@
 
     /// Publishes `edit` and waits for its verdict.
     ///
-    /// Where the answer to an append is lost, the edit may be on the log. Sent again as a new edit
-    /// it would be stale, and its editor would be told "refused" of what is in force. So the id is
-    /// looked up first. What is sent again has the same id, as the first copy may still be on its
-    /// way; every process drops a second copy.
+    /// If the answer to an append is lost, the edit may be on the log. Sent again as a new edit, it
+    /// would be stale, and its editor would be told that it was rejected although it is in force.
+    /// So the publisher first looks for the id on the log. It sends the edit again with the same
+    /// id, as the first copy may still arrive; every process ignores a second copy.
     pub fn publish(&mut self, edit: &Edit) -> Published {
         let id = new_id();
         let record = self.key.seal(&id, &RecordBody::Edit(edit.clone()));
@@ -118,23 +121,23 @@
             return Published::NotSent { reason };
         }
         let end = Instant::now() + self.patience;
-        let mut sent = Sent::Not;
+        let mut append_state = AppendState::NotAppended;
         let mut is_absent = true;
         let mut reason = String::new();
         loop {
-            if sent != Sent::Yes && is_absent {
+            if append_state != AppendState::Appended && is_absent {
                 match self.reader.log().append(std::slice::from_ref(&record)) {
-                    Ok(_) => sent = Sent::Yes,
+                    Ok(_) => append_state = AppendState::Appended,
                     Err(error) => {
                         if matches!(error, LogError::Uncertain(_)) {
-                            sent = Sent::Perhaps;
+                            append_state = AppendState::Uncertain;
                         }
                         reason = error.to_string();
                     }
                 }
             }
-            if sent != Sent::Not {
-                match self.look_up(&id) {
+            if append_state != AppendState::NotAppended {
+                match self.find_edit(&id) {
                     Ok(Some(published)) => return published,
                     Ok(None) => is_absent = true,
                     Err(error) => {
@@ -144,17 +147,19 @@
                 }
             }
             if Instant::now() >= end {
-                return match sent {
-                    Sent::Not => Published::NotSent { reason },
-                    Sent::Perhaps | Sent::Yes => Published::Unknown { id, reason },
+                return match append_state {
+                    AppendState::NotAppended => Published::NotSent { reason },
+                    AppendState::Uncertain | AppendState::Appended => {
+                        Published::Unknown { id, reason }
+                    }
                 };
             }
-            thread::sleep(self.pause);
+            thread::sleep(self.retry_delay);
         }
     }
 
-    /// Reads the log to its head and returns what became of the edit with this id, if it is there.
-    fn look_up(&mut self, id: &Name) -> Result<Option<Published>, LogError> {
+    /// Reads the log up to its head and returns the outcome of the edit with this id, if found.
+    fn find_edit(&mut self, id: &Name) -> Result<Option<Published>, LogError> {
         let author = self.key.author();
         let mut first: Option<Folded> = None;
         let read = self.reader.catch_up(|folded| {
@@ -170,7 +175,7 @@
                 ..
             }) => {
                 let version = offset + 1;
-                Ok(Some(Published::Judged { version, verdict }))
+                Ok(Some(Published::Decided { version, verdict }))
             }
             Some(_) => Ok(Some(Published::Unknown {
                 id: id.clone(),
@@ -180,7 +185,7 @@
     }
 }
 
-/// Returns an id that no other record has.
+/// Returns a random id, which no other record has.
 pub(super) fn new_id() -> Name {
     let number: u128 = rand::random();
     format!("{number:032x}").into()
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -97,12 +97,12 @@
     }
 
     fn version_of(&self, section: &str) -> u64 {
-        let sections = self.reference.history.sections();
+        let sections = self.reference.history.section_versions();
         sections.get(section).copied().unwrap_or(0)
     }
 
     fn state_to_repeat(&self) -> RepeatedState {
-        self.reference.history.carried(1, self.head()).unwrap()
+        self.reference.history.state_to_repeat(1, self.head()).unwrap()
     }
 
     fn repeat(&mut self, state: RepeatedState) {
@@ -135,10 +135,10 @@
 
     fn assert_agrees(&self, ledger: &Ledger) {
         let (ours, theirs) = (&self.reference.history, &ledger.history);
-        assert!(theirs.is_whole());
+        assert!(theirs.is_complete());
         assert_eq!(theirs.current().offset, ours.current().offset);
         assert_eq!(theirs.current().document, ours.current().document);
-        assert_eq!(theirs.sections(), ours.sections());
+        assert_eq!(theirs.section_versions(), ours.section_versions());
     }
 }
 
@@ -169,7 +169,7 @@
     let verdict = world.edit("mallory", "administration", 0, administration(&["mallory"]));
     assert!(matches!(verdict, Some(Verdict::Stale { .. })));
     let mut late_reader = world.late_reader();
-    assert!(!late_reader.history.is_whole());
+    assert!(!late_reader.history.is_complete());
     assert_eq!(late_reader.history.current().document, Document::default());
     world.repeat(world.state_to_repeat());
     world.fold_to_head(&mut late_reader);
@@ -200,7 +200,7 @@
     world.first = world.head();
     world.repeat(state);
     let mut late_reader = world.late_reader();
-    assert!(!late_reader.history.is_whole());
+    assert!(!late_reader.history.is_complete());
     world.repeat(world.state_to_repeat());
     world.fold_to_head(&mut late_reader);
     world.assert_agrees(&late_reader);
@@ -222,7 +222,7 @@
     world.edit("root", "administration", base, domain(false));
     world.first = world.head();
     world.fold_to_head(&mut frozen);
-    assert!(!frozen.history.is_whole());
+    assert!(!frozen.history.is_complete());
     world.repeat(world.state_to_repeat());
     world.fold_to_head(&mut frozen);
     world.assert_agrees(&frozen);
@@ -247,7 +247,7 @@
     world.first = world.head();
     world.fold_to_head(&mut frozen);
     frozen.reached_head();
-    assert!(!frozen.history.is_whole());
+    assert!(!frozen.history.is_complete());
     assert!(!frozen.membership.is_complete());
     world.repeat(world.state_to_repeat());
     world.fold_to_head(&mut frozen);
@@ -263,7 +263,7 @@
     let mut world = with_dropped_start();
     let mut late_reader = world.late_reader();
     late_reader.reached_head();
-    assert!(late_reader.history.is_presumed());
+    assert!(late_reader.history.is_presumed_complete());
     world.edit("mallory", "administration", 0, administration(&["mallory"]));
     world.edit("root", "team", 0, administration(&["root"]));
     world.repeat(world.state_to_repeat());
@@ -272,7 +272,7 @@
         late_reader.fold(&world.raw(late_reader.next_offset()), SECRET);
     }
     world.assert_agrees(&late_reader);
-    assert!(!late_reader.history.is_presumed());
+    assert!(!late_reader.history.is_presumed_complete());
 }
 
 /// A log that was used for something else before has dropped its first records, and all processes
@@ -294,7 +294,7 @@
     world.repeat(world.state_to_repeat());
     world.fold_to_head(&mut late_reader);
     world.assert_agrees(&late_reader);
-    assert!(!world.reference.history.is_presumed());
+    assert!(!world.reference.history.is_presumed_complete());
 }
 
 /// An append gets no answer and the edit is sent a second time with the same id. The first copy is
@@ -338,7 +338,7 @@
     });
     let key = AuthorKey::of_editor(SECRET, &"mallory".into());
     world.write(&key, &RecordBody::RepeatedState(forged));
-    assert!(!world.late_reader().history.is_whole());
+    assert!(!world.late_reader().history.is_complete());
     world.repeat(world.state_to_repeat());
     world.assert_agrees(&world.late_reader());
 }
@@ -367,15 +367,21 @@
     let raise = |format| Some(json!({ "owners": ["root"], "format": format }));
     let mistaken = world.edit("root", "administration", base, raise(FORMAT + 7));
     assert!(matches!(mistaken, Some(Verdict::Invalid { .. })));
-    assert!(world.reference.history.is_whole());
+    assert!(world.reference.history.is_complete());
     let raised = world.edit("root", "administration", base, raise(FORMAT + 1));
     assert_eq!(raised, None);
-    assert!(!world.reference.history.is_whole());
+    assert!(!world.reference.history.is_complete());
     assert_eq!(
         world.reference.history.unsupported_format(),
         Some(FORMAT + 1)
     );
-    assert!(world.reference.history.carried(1, world.head()).is_none());
+    assert!(
+        world
+            .reference
+            .history
+            .state_to_repeat(1, world.head())
+            .is_none()
+    );
 }
 
 const EDITORS: [&str; 4] = ["root", "alice", "bob", "mallory"];
@@ -498,7 +504,7 @@
                 deliver(u, &world, &mut others[chosen])?;
             }
             for other in others.iter().filter(|o| o.next_offset() == world.head()) {
-                if other.history.is_whole() {
+                if other.history.is_complete() {
                     world.assert_agrees(other);
                     compared += 1;
                 }
--- a/dragonflyrun/tests/operator_edits.rs
+++ b/dragonflyrun/tests/operator_edits.rs
@@ -1,4 +1,5 @@
-//! Operators race one another, and lose the answers to their appends; what they are told is true.
+//! Tests that operators are told the true outcome of their edits, despite concurrent edits and lost
+//! answers to appends.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -19,22 +20,22 @@
 
 const SECRET: &str = "a secret of the deployment";
 
-/// What happens to one call.
+/// A fault of one call to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
-    /// Nothing.
+    /// The call succeeds.
     None,
-    /// It is refused and has no effect.
+    /// The call is refused and has no effect.
     Refused,
-    /// It has no effect, and no answer comes.
+    /// The call has no effect, and no answer arrives.
     Dropped,
-    /// It takes effect, and the answer is lost.
+    /// The call takes effect, but the answer is lost.
     AnswerLost,
-    /// It takes effect after the next call, and no answer comes.
-    Late,
+    /// The call takes effect after the next call, and no answer arrives.
+    Delayed,
 }
 
-/// A log in memory, with the faults of the next calls; after them all go well, or none.
+/// A log in memory with faults for the next calls, and a default fault for the calls after them.
 #[derive(Default)]
 struct FaultyLog {
     state: RefCell<State>,
@@ -43,32 +44,35 @@
 #[derive(Default)]
 struct State {
     records: Vec<String>,
-    late: Vec<String>,
+    delayed: Vec<String>,
     faults: Vec<Fault>,
-    then: Option<Fault>,
+    default_fault: Option<Fault>,
 }
 
 impl State {
     fn next_fault(&mut self) -> Fault {
-        self.faults.pop().or(self.then).unwrap_or(Fault::None)
+        self.faults
+            .pop()
+            .or(self.default_fault)
+            .unwrap_or(Fault::None)
     }
 }
 
 impl FaultyLog {
-    /// Sets the faults of the next calls in their order, and of all calls after them.
-    fn fail(&self, faults: &[Fault], then: Fault) {
+    /// Sets the faults of the next calls in their order, and the fault of all calls after them.
+    fn set_faults(&self, faults: &[Fault], default_fault: Fault) {
         let mut state = self.state.borrow_mut();
         state.faults = faults.iter().rev().copied().collect();
-        state.then = Some(then);
+        state.default_fault = Some(default_fault);
     }
 
-    /// Ends all faults; what was on its way arrives.
-    fn heal(&self) {
+    /// Clears all faults; delayed appends arrive.
+    fn clear_faults(&self) {
         let mut state = self.state.borrow_mut();
         state.faults.clear();
-        state.then = None;
-        let late = std::mem::take(&mut state.late);
-        state.records.extend(late);
+        state.default_fault = None;
+        let delayed = std::mem::take(&mut state.delayed);
+        state.records.extend(delayed);
     }
 
     fn ledger(&self) -> Ledger {
@@ -82,31 +86,36 @@
 
     fn version_of(&self, section: &str) -> u64 {
         let ledger = self.ledger();
-        ledger.history.sections().get(section).copied().unwrap_or(0)
+        ledger
+            .history
+            .section_versions()
+            .get(section)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
-fn lost<T>() -> Result<T, LogError> {
+fn uncertain<T>() -> Result<T, LogError> {
     Err(LogError::Uncertain("cut off".to_owned()))
 }
 
 impl Log for &FaultyLog {
     fn append(&self, records: &[String]) -> Result<u64, LogError> {
         let mut state = self.state.borrow_mut();
-        let late = std::mem::take(&mut state.late);
+        let delayed = std::mem::take(&mut state.delayed);
         let fault = state.next_fault();
         let first = state.records.len() as u64;
         if matches!(fault, Fault::None | Fault::AnswerLost) {
             state.records.extend_from_slice(records);
         }
-        state.records.extend(late);
+        state.records.extend(delayed);
         match fault {
             Fault::None => Ok(first),
             Fault::Refused => Err(LogError::Refused("status 503".to_owned())),
-            Fault::Dropped | Fault::AnswerLost => lost(),
-            Fault::Late => {
-                state.late.extend_from_slice(records);
-                lost()
+            Fault::Dropped | Fault::AnswerLost => uncertain(),
+            Fault::Delayed => {
+                state.delayed.extend_from_slice(records);
+                uncertain()
             }
         }
     }
@@ -114,7 +123,7 @@
     fn read(&self, from: u64, limit: usize) -> Result<LogPage, LogError> {
         let mut state = self.state.borrow_mut();
         if state.next_fault() != Fault::None {
-            return lost();
+            return uncertain();
         }
         let from = usize::try_from(from).unwrap();
         let records = state.records.iter().enumerate().skip(from).take(limit);
@@ -142,9 +151,9 @@
     }
 }
 
-/// Publishes an edit with enough patience for all faults to pass, or with none.
-fn publish(log: &FaultyLog, editor: &str, edit: &Edit, patient: bool) -> Published {
-    let patience = if patient {
+/// Publishes an edit, either with enough time to outlast all faults or with a single attempt.
+fn publish(log: &FaultyLog, editor: &str, edit: &Edit, keep_trying: bool) -> Published {
+    let patience = if keep_trying {
         Duration::from_secs(60)
     } else {
         Duration::ZERO
@@ -152,18 +161,18 @@
     let mut reader = LogReader::new(log, Opener::Checked(SECRET.into()));
     let key = key(editor);
     let publisher = Publisher::new(&mut reader, &key, patience);
-    publisher.pause(Duration::ZERO).publish(edit)
+    publisher.retry_delay(Duration::ZERO).publish(edit)
 }
 
 fn verdict(log: &FaultyLog, editor: &str, edit: &Edit) -> Verdict {
     match publish(log, editor, edit, true) {
-        Published::Judged { verdict, .. } => verdict,
+        Published::Decided { verdict, .. } => verdict,
         other => panic!("{other:?}"),
     }
 }
 
-/// A log on which `root` administers, and `alice` owns the section `north`.
-fn started() -> FaultyLog {
+/// Returns a log where `root` is the administrator and `alice` owns the section `north`.
+fn log_with_section() -> FaultyLog {
     let log = FaultyLog::default();
     let owned = |owner| Some(json!({ "owners": [owner] }));
     let first = edit("administration", 0, owned("root"));
@@ -178,11 +187,11 @@
     Some(json!({ "owners": [owner], "failure_domains": domains }))
 }
 
-/// Two operators load the same section, and both send it back. The second would undo the first
-/// one's change without having seen it.
+/// Two operators edit the same version of a section. The second edit is rejected as stale, as it
+/// would undo the first one, which its editor has not seen.
 #[test]
-fn racing_editors() {
-    let log = started();
+fn concurrent_edits() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let first = edit("north", base, with_domain("alice", "murau", false));
     let second = edit("north", base, with_domain("alice", "murau", true));
@@ -192,10 +201,10 @@
     assert!(!log.ledger().history.current().in_service(&"murau".into()));
 }
 
-/// Two operators begin a new deployment at the same time, on a log that is empty. What one of them
-/// wrote must not be lost without notice, though it stands at the very first offset.
+/// Two operators set up a new deployment on an empty log at the same time. The edit at offset 0
+/// must not be overwritten silently, so the second one is stale.
 #[test]
-fn racing_start() {
+fn concurrent_first_edits() {
     let log = FaultyLog::default();
     let first = edit(
         "administration",
@@ -210,11 +219,11 @@
     );
 }
 
-/// Somebody edits a section that is another team's, gives it to others, or makes itself an
-/// administrator.
+/// Editors can't change another team's section, change the owners of a section, or make themselves
+/// administrators.
 #[test]
-fn rights_of_owners() {
-    let log = started();
+fn owner_permissions() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let owned = |owners: &[&str]| Some(json!({ "owners": owners }));
     let administration = log.version_of("administration");
@@ -257,10 +266,10 @@
     assert_eq!(log.version_of("south"), 0);
 }
 
-/// Somebody seals an edit with a key of another editor's name that it has made up.
+/// An edit in another editor's name that is sealed with a wrong key has no effect.
 #[test]
 fn forged_editor() {
-    let log = started();
+    let log = log_with_section();
     let before = log.ledger().history.current().document.clone();
     let body = RecordBody::Edit(edit("north", log.version_of("north"), None));
     for key in [
@@ -272,18 +281,18 @@
     assert_eq!(log.ledger().history.current().document, before);
 }
 
-/// The answer to the append is lost after it took effect, and the edit is in force. Sent again as
-/// another edit it would be stale, and the operator would be told "rejected" of a drain that is in
-/// force.
+/// The answer to the append is lost after it took effect, so the edit is in force. If it were sent
+/// again as a new edit, it would be stale, and the operator would be told that the drain was
+/// rejected although it is in force.
 #[test]
 fn lost_answer() {
-    let log = started();
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(
+    log.set_faults(
         &[Fault::AnswerLost, Fault::Dropped, Fault::AnswerLost],
         Fault::None,
     );
@@ -291,27 +300,27 @@
     assert_eq!(log.state.borrow().records.len(), 3, "sent twice");
 }
 
-/// The append itself was lost, so it has to be sent again.
+/// An append that did not reach the log is sent again.
 #[test]
 fn lost_append() {
-    let log = started();
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(&[Fault::Dropped, Fault::None, Fault::Refused], Fault::None);
+    log.set_faults(&[Fault::Dropped, Fault::None, Fault::Refused], Fault::None);
     assert_eq!(verdict(&log, "alice", &drain), Verdict::Accepted);
 }
 
-/// The append arrives after it has been sent a second time, and after another operator's edit. The
-/// first copy counts, and the second changes nothing.
+/// An append arrives only after it was sent a second time, and another copy arrives after another
+/// edit. The first copy counts, and later copies have no effect.
 #[test]
-fn late_append() {
-    let log = started();
+fn delayed_append() {
+    let log = log_with_section();
     let base = log.version_of("north");
     let drain = edit("north", base, with_domain("alice", "murau", false));
-    log.fail(&[Fault::Late, Fault::None], Fault::None);
+    log.set_faults(&[Fault::Delayed, Fault::None], Fault::None);
     assert_eq!(verdict(&log, "alice", &drain), Verdict::Accepted);
     let version = log.version_of("north");
     let back = edit("north", version, with_domain("alice", "murau", true));
@@ -321,43 +330,46 @@
     assert!(log.ledger().history.current().in_service(&"murau".into()));
 }
 
-/// The log is down and stays down. Refused calls took no effect, so "not sent" is true. A lost
-/// answer says nothing: the edit may be there, and the operator must not be told that it is not.
+/// The log stays down. Refused calls had no effect, so the outcome is "not sent". After a lost
+/// answer the edit may be on the log, so the outcome must be "unknown".
 #[test]
-fn lasting_outage() {
-    let log = started();
+fn permanent_outage() {
+    let log = log_with_section();
     let drain = edit(
         "north",
         log.version_of("north"),
         with_domain("alice", "murau", false),
     );
-    log.fail(&[], Fault::Refused);
+    log.set_faults(&[], Fault::Refused);
     let refused = publish(&log, "alice", &drain, false);
     assert!(matches!(refused, Published::NotSent { .. }), "{refused:?}");
-    for fault in [Fault::AnswerLost, Fault::Dropped, Fault::Late] {
-        log.fail(&[fault], Fault::Refused);
-        let lost = publish(&log, "alice", &drain, false);
-        assert!(matches!(lost, Published::Unknown { .. }), "{lost:?}");
+    for fault in [Fault::AnswerLost, Fault::Dropped, Fault::Delayed] {
+        log.set_faults(&[fault], Fault::Refused);
+        let uncertain = publish(&log, "alice", &drain, false);
+        assert!(
+            matches!(uncertain, Published::Unknown { .. }),
+            "{uncertain:?}"
+        );
     }
 }
 
-/// Whatever befalls the calls, an editor is told "accepted" only of what is in force, and "not
-/// sent" or "rejected" only of what never will be.
+/// Whichever calls fail, an editor is told "accepted" only if the edit is in force, and "not sent"
+/// or "rejected" only if it never will be.
 #[test]
-fn true_answers() {
+fn reported_outcome_is_true() {
     let faults = [
         Fault::None,
         Fault::Refused,
         Fault::Dropped,
         Fault::AnswerLost,
-        Fault::Late,
+        Fault::Delayed,
     ];
-    let (mut judged, mut open) = (0, 0);
+    let (mut decided, mut unknown) = (0, 0);
     each_seed(50, 128, |u| {
-        let log = started();
+        let log = log_with_section();
         while !u.is_empty() {
-            let chosen = some_faults(u, &faults)?;
-            let (patient, then) = if u.ratio(1, 2)? {
+            let chosen = any_faults(u, &faults)?;
+            let (keep_trying, default_fault) = if u.ratio(1, 2)? {
                 (true, Fault::None)
             } else {
                 (false, *u.choose(&faults)?)
@@ -369,26 +381,29 @@
                 base
             };
             let name = format!("domain-{}", log.state.borrow().records.len());
-            log.fail(&chosen, then);
+            log.set_faults(&chosen, default_fault);
             let change = edit("north", base, with_domain("alice", &name, true));
-            let published = publish(&log, "alice", &change, patient);
-            log.heal();
-            let is_in = log.ledger().history.current().in_service(&Name::from(name));
+            let published = publish(&log, "alice", &change, keep_trying);
+            log.clear_faults();
+            let is_in_force = log.ledger().history.current().in_service(&Name::from(name));
             match published {
-                Published::Judged { verdict, .. } => {
-                    judged += 1;
-                    assert_eq!(is_in, verdict == Verdict::Accepted);
+                Published::Decided { verdict, .. } => {
+                    decided += 1;
+                    assert_eq!(is_in_force, verdict == Verdict::Accepted);
                 }
-                Published::NotSent { .. } => assert!(!is_in),
-                Published::Unknown { .. } => open += 1,
+                Published::NotSent { .. } => assert!(!is_in_force),
+                Published::Unknown { .. } => unknown += 1,
             }
         }
         Ok(())
     });
-    assert!(judged > 100 && open > 30, "{judged} judged, {open} unknown");
+    assert!(
+        decided > 100 && unknown > 30,
+        "{decided} decided, {unknown} unknown"
+    );
 }
 
-fn some_faults(u: &mut Unstructured<'_>, faults: &[Fault]) -> ArbResult<Vec<Fault>> {
+fn any_faults(u: &mut Unstructured<'_>, faults: &[Fault]) -> ArbResult<Vec<Fault>> {
     let length = u.int_in_range(0..=6)?;
     (0..length).map(|_| u.choose(faults).copied()).collect()
 }
--- a/dragonflyrun/tests/tool_output.rs
+++ b/dragonflyrun/tests/tool_output.rs
@@ -1,4 +1,4 @@
-//! What the command-line tool prints, and the exit codes it ends with, without a log or an entry.
+//! Tests the output and the exit codes of the command-line tool without a log or an entry.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -51,14 +51,14 @@
 fn check_prints() {
     let valid = run(&["check", "murtal.json"]);
     assert_eq!((valid.exit, &*valid.err), (0, ""), "{}", valid.out);
-    let broken = run(&["check", "broken.json"]);
-    assert_eq!(broken.exit, 1);
+    let invalid = run(&["check", "invalid.json"]);
+    assert_eq!(invalid.exit, 1);
     assert_eq!(
-        broken.out,
-        std::fs::read_to_string(data("broken-findings.txt")).unwrap()
+        invalid.out,
+        std::fs::read_to_string(data("invalid-findings.txt")).unwrap()
     );
-    let broken = run(&["check", "--json", "broken.json"]);
-    let findings = json_of(&broken);
+    let invalid = run(&["check", "--json", "invalid.json"]);
+    let findings = json_of(&invalid);
     assert_eq!(findings["valid"], json!(false));
     let places = findings["findings"].as_array().unwrap();
     assert!(
@@ -72,7 +72,7 @@
     assert_eq!(document.exit, 1, "{}", document.out);
 }
 
-/// The explanation is compared whole: operators rely on each sentence of it.
+/// The explanation is compared as a whole, as operators rely on each sentence of it.
 #[test]
 fn explain_prints() {
     let explained = run(&["explain", "murtal.json"]);
@@ -87,15 +87,15 @@
         "/sections/murtal-cluster/failure_domains/2"
     );
     assert_eq!(leoben["kind"], "failure_domain");
-    let broken = run(&["explain", "--json", "broken.json"]);
+    let invalid = run(&["explain", "--json", "invalid.json"]);
     assert_eq!(
-        (broken.exit, &json_of(&broken)["error"]),
+        (invalid.exit, &json_of(&invalid)["error"]),
         (1, &json!("findings"))
     );
 }
 
-/// Operators mistype commands, leave settings out, or name a file that is not there. Nothing is
-/// tried, and the exit code differs from a refusal.
+/// Wrong commands, missing settings and missing files are usage errors. Nothing is attempted, and
+/// the exit code differs from that of a refusal.
 #[test]
 fn wrong_usage() {
     let cases: [&[&str]; 10] = [
@@ -107,7 +107,7 @@
         &["edit", "a", "section.json"],
         &["status"],
         &["--config", "no-such-file.json", "status"],
-        &["--config", "broken.json", "status"],
+        &["--config", "invalid.json", "status"],
         &[
             "--log",
             "localhost",
@@ -124,16 +124,16 @@
         assert!(printed.err.starts_with("dragonflyrun: "), "{arguments:?}");
         assert_eq!(printed.out, "", "{arguments:?}");
     }
-    let all = run(cases[9]).err;
+    let errors = run(cases[9]).err;
     for place in ["/log", "/entries/0", "/editor"] {
-        assert!(all.contains(place), "{all}");
+        assert!(errors.contains(place), "{errors}");
     }
     let help = run(&["--help"]);
     assert!(help.exit == 0 && help.out.contains("issue-key"));
 }
 
-/// Nothing listens at the log and the entries. A read is not known, and a call that was not made
-/// is said to be so.
+/// If nothing listens at the log and the entries, the outcome of a read is unknown, and a call that
+/// was not made is reported as not made.
 #[test]
 fn nothing_listens() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -164,13 +164,13 @@
         let printed = run_in(&dir, &[arguments, &["--json"]].concat());
         assert_eq!(printed.exit, exit, "{arguments:?}: {}", printed.out);
         let answer = json_of(&printed);
-        let told = answer["outcome"].as_str().unwrap_or("error");
-        assert_eq!(told, outcome, "{arguments:?}: {answer}");
+        let reported = answer["outcome"].as_str().unwrap_or("error");
+        assert_eq!(reported, outcome, "{arguments:?}: {answer}");
     }
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// An editor's key proves who the editor is, and no other editor or process can be played with it.
+/// An editor's key authenticates that editor only, and no other editor or process.
 #[test]
 fn issued_keys() {
     let secret = "a secret of the deployment";
