--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -102,7 +102,10 @@
     }
 
     fn state_to_repeat(&self) -> RepeatedState {
-        self.reference.history.state_to_repeat(1, self.head()).unwrap()
+        self.reference
+            .history
+            .state_to_repeat(1, self.head())
+            .unwrap()
     }
 
     fn repeat(&mut self, state: RepeatedState) {
