--- a/standins/benches/path.rs
+++ b/standins/benches/path.rs
@@ -1,7 +1,7 @@
 //! Measures what the path through an entry and an agent costs: the same request straight to the
 //! backend server, through the system, and through the system with a key, side by side in one run.
 //!
-//! Run with `cargo bench -p standins --bench path`. The figures that count are the ratios: all
+//! Run with `cargo bench -p standins --bench path`. The measurement that count are the ratios: all
 //! ways share the machine and one process, so what else runs slows all of them.
 
 use std::{
@@ -32,26 +32,26 @@
 const DEADLINE: Duration = Duration::from_secs(10);
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The longest time that is told from a longer one.
-const MOST_US: u64 = 60_000_000;
+const MAX_RECORDED_US: u64 = 60_000_000;
 const SLOTS: u32 = 64;
-const CALLS: usize = 2_000;
+const CALLS_PER_ROUTE: usize = 2_000;
 const CALLERS: [usize; 3] = [1, 8, 32];
 const BODY: &[u8] = br#"{"work_ms":0,"answer_bytes":1000}"#;
 
 /// How a request gets to the backend server.
 #[derive(Clone, Copy)]
-enum Way {
-    Straight,
+enum Route {
+    Direct,
     Routed,
     Keyed,
 }
 
-impl Way {
-    const ALL: [Self; 3] = [Self::Straight, Self::Routed, Self::Keyed];
+impl Route {
+    const ALL: [Self; 3] = [Self::Direct, Self::Routed, Self::Keyed];
 
     fn name(self) -> &'static str {
         match self {
-            Self::Straight => "straight",
+            Self::Direct => "direct",
             Self::Routed => "routed",
             Self::Keyed => "routed with key",
         }
@@ -65,7 +65,7 @@
     backends: Vec<Backend>,
 }
 
-struct Figures {
+struct Measurement {
     rate: f64,
     median_us: u64,
     p99_us: u64,
@@ -76,23 +76,23 @@
     bench.wait_until_ready()?;
     println!(
         "{:<18} {:>8} {:>12} {:>11} {:>9} {:>16}",
-        "way", "callers", "requests/s", "median us", "99% us", "median/straight"
+        "route", "callers", "requests/s", "median us", "99% us", "median/direct"
     );
     for callers in CALLERS {
-        let mut straight_us = 1;
-        for way in Way::ALL {
-            let figures = bench.measure(way, callers);
-            if matches!(way, Way::Straight) {
-                straight_us = figures.median_us.max(1);
+        let mut direct_us = 1;
+        for route in Route::ALL {
+            let measurement = bench.measure(route, callers);
+            if matches!(route, Route::Direct) {
+                direct_us = measurement.median_us.max(1);
             }
             println!(
                 "{:<18} {:>8} {:>12.0} {:>11} {:>9} {:>16.2}",
-                way.name(),
+                route.name(),
                 callers,
-                figures.rate,
-                figures.median_us,
-                figures.p99_us,
-                figures.median_us as f64 / straight_us as f64,
+                measurement.rate,
+                measurement.median_us,
+                measurement.p99_us,
+                measurement.median_us as f64 / direct_us as f64,
             );
         }
     }
@@ -108,14 +108,14 @@
         let entry = start_daemon(Config {
             role: Some(Role::Entry),
             peers: Some(ANY_PORT.to_owned()),
-            ..common("entry-1", &log)
+            ..base_config("entry-1", &log)
         })?;
         let agent = start_daemon(Config {
             role: Some(Role::Agent),
             failure_domain: Some(DOMAIN.into()),
             rack: Some("murau-a".into()),
             entries: Some(entry.peers_addr().iter().map(ToString::to_string).collect()),
-            ..common("worker-1", &log)
+            ..base_config("worker-1", &log)
         })?;
         let backends = ["plain", "keyed"].map(|service| {
             let name = format!("{service}-server");
@@ -166,7 +166,7 @@
 
     fn wait_until_ready(&self) -> io::Result<()> {
         let start = Instant::now();
-        while !(self.call(Way::Routed) && self.call(Way::Keyed)) {
+        while !(self.call(Route::Routed) && self.call(Route::Keyed)) {
             if start.elapsed() > READY_TIMEOUT {
                 return Err(io::Error::other("the deployment did not become ready"));
             }
@@ -176,17 +176,17 @@
     }
 
     /// Sends one request and returns whether it was answered well.
-    fn call(&self, way: Way) -> bool {
+    fn call(&self, route: Route) -> bool {
         let caller = Caller::new(self.entry.http_addr());
-        match way {
-            Way::Straight => {
+        match route {
+            Route::Direct => {
                 let backend = self.backends[0].address();
                 let body = BODY.to_vec();
                 http::call(backend, Method::POST, "/v1/run", &[], body, DEADLINE)
                     .is_ok_and(|answer| answer.status.is_success())
             }
-            Way::Routed => caller.request("plain", None, 1, DEADLINE, BODY).is_done(),
-            Way::Keyed => {
+            Route::Routed => caller.request("plain", None, 1, DEADLINE, BODY).is_done(),
+            Route::Keyed => {
                 let key = unique("key");
                 caller
                     .request("keyed", Some(&key), 1, DEADLINE, BODY)
@@ -195,11 +195,11 @@
         }
     }
 
-    fn measure(&self, way: Way, callers: usize) -> Figures {
+    fn measure(&self, route: Route, callers: usize) -> Measurement {
         let start = Instant::now();
         let times: Vec<Duration> = thread::scope(|scope| {
             let threads: Vec<_> = (0..callers)
-                .map(|_| scope.spawn(move || self.call_many(way, CALLS / callers)))
+                .map(|_| scope.spawn(move || self.time_calls(route, CALLS_PER_ROUTE / callers)))
                 .collect();
             let times = threads
                 .into_iter()
@@ -207,22 +207,22 @@
             times.collect()
         });
         let elapsed = start.elapsed();
-        let mut histogram = Histogram::<u64>::new_with_bounds(1, MOST_US, 3)
+        let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, 3)
             .unwrap_or_else(|e| panic!("the histogram's bounds: {e}"));
         for time in &times {
             histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
         }
-        Figures {
+        Measurement {
             rate: times.len() as f64 / elapsed.as_secs_f64(),
             median_us: histogram.value_at_quantile(0.5),
             p99_us: histogram.value_at_quantile(0.99),
         }
     }
 
-    fn call_many(&self, way: Way, calls: usize) -> Vec<Duration> {
+    fn time_calls(&self, route: Route, calls: usize) -> Vec<Duration> {
         let timed = |_| {
             let start = Instant::now();
-            assert!(self.call(way), "a request was not answered well");
+            assert!(self.call(route), "a request was not answered well");
             start.elapsed()
         };
         (0..calls).map(timed).collect()
@@ -240,7 +240,7 @@
     }
 }
 
-fn common(name: &str, log: &LogService) -> Config {
+fn base_config(name: &str, log: &LogService) -> Config {
     Config {
         name: Some(name.into()),
         http: Some(ANY_PORT.to_owned()),
--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -22,13 +22,13 @@
 use crate::http::{self, Refusal};
 
 /// Time between two announcements.
-const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time that the agent has for an answer to an announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bytes of an answer, at the most.
-const MOST_ANSWER_BYTES: usize = 32 << 20;
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
 /// What a backend server is.
 #[derive(Clone, Debug)]
@@ -200,13 +200,13 @@
         self.shared.lock().record.clone()
     }
 
-    /// Announces that it is leaving and waits until no request has run for `quiet`.
-    pub fn leave(&self, quiet: Duration) {
+    /// Announces that it is leaving and waits until no request has run for `quiet_time`.
+    pub fn leave(&self, quiet_time: Duration) {
         self.control(BackendControl {
             leaving: Some(true),
             ..BackendControl::default()
         });
-        self.shared.wait_until_idle(quiet);
+        self.shared.wait_until_idle(quiet_time);
     }
 }
 
@@ -242,10 +242,10 @@
                 log::debug!(agent:% = agent, error:% = error; "announcement_failed");
             }
             let state = self.lock();
-            let pending = |s: &mut State| s.leaving == leaving && s.silent == silent;
+            let unchanged = |s: &mut State| s.leaving == leaving && s.silent == silent;
             let waited = self
                 .changed
-                .wait_timeout_while(state, ANNOUNCE_PAUSE, pending);
+                .wait_timeout_while(state, ANNOUNCE_INTERVAL, unchanged);
             drop(waited.unwrap_or_else(PoisonError::into_inner));
         }
     }
@@ -297,12 +297,12 @@
     fn run(&self, req: &mut Request<Body>) -> Result<Response<Body>, Refusal> {
         let body = http::read_body(req)?;
         let work = serde_json::from_slice(&body).unwrap_or(self.settings.work);
-        let Some((number, delay)) = self.begin(req, &body) else {
+        let Some((number, delay)) = self.start_run(req, &body) else {
             let reason = "the server takes no request";
             return Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason));
         };
         thread::sleep(Duration::from_millis(work.work_ms) + delay);
-        let mode = self.end(number);
+        let mode = self.end_run(number);
         let answer = answer_to(&body, work.answer_bytes);
         match mode {
             BackendMode::Failing => {
@@ -319,7 +319,7 @@
     }
 
     /// Takes note that a run begins; returns its number and its delay.
-    fn begin(&self, req: &Request<Body>, body: &[u8]) -> Option<(usize, Duration)> {
+    fn start_run(&self, req: &Request<Body>, body: &[u8]) -> Option<(usize, Duration)> {
         let mut state = self.lock();
         if state.mode == BackendMode::Refusing {
             state.record.refused += 1;
@@ -339,7 +339,7 @@
         Some((record.runs.len() - 1, state.delay))
     }
 
-    fn end(&self, number: usize) -> BackendMode {
+    fn end_run(&self, number: usize) -> BackendMode {
         let mut state = self.lock();
         state.record.running -= 1;
         state.record.runs[number].ended_unix_ms = Some(unix_ms());
@@ -347,14 +347,14 @@
         state.mode
     }
 
-    fn wait_until_idle(&self, quiet: Duration) {
+    fn wait_until_idle(&self, quiet_time: Duration) {
         let mut state = self.lock();
         loop {
             let seen = (state.record.running, state.record.runs.len());
             let unchanged = |s: &mut State| (s.record.running, s.record.runs.len()) == seen;
             let (next, waited) = self
                 .changed
-                .wait_timeout_while(state, quiet, unchanged)
+                .wait_timeout_while(state, quiet_time, unchanged)
                 .unwrap_or_else(PoisonError::into_inner);
             if waited.timed_out() && seen.0 == 0 {
                 return;
@@ -372,17 +372,17 @@
 }
 
 /// Returns the answer to a request with `body`: `bytes` bytes that depend on the whole of it, and
-/// each on its place, so that a missing, doubled or swapped piece shows.
+/// each on its chunk, so that a missing, doubled or swapped piece shows.
 pub fn answer_to(body: &[u8], bytes: usize) -> Vec<u8> {
     let seed = digest(body);
-    let bytes = bytes.min(MOST_ANSWER_BYTES);
+    let bytes = bytes.min(MAX_ANSWER_BYTES);
     let mut answer = Vec::with_capacity(bytes + 16);
-    let mut place = 0_u64;
+    let mut chunk = 0_u64;
     while answer.len() < bytes {
         let mut hasher = DefaultHasher::new();
-        (seed, place).hash(&mut hasher);
+        (seed, chunk).hash(&mut hasher);
         answer.extend_from_slice(format!("{:016x}", hasher.finish()).as_bytes());
-        place += 1;
+        chunk += 1;
     }
     answer.truncate(bytes);
     answer
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -19,10 +19,10 @@
 use crate::http::{self, Answer};
 
 /// Time added to a request's deadline before its caller gives the connection up.
-const GRACE: Duration = Duration::from_secs(10);
+const DEADLINE_GRACE: Duration = Duration::from_secs(10);
 
 /// Time that a question has for an answer.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A final answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -75,7 +75,7 @@
 
     /// Returns whether this attempt did not run for certain: the answer says so, or there was no
     /// connection to send it on.
-    pub fn is_surely_not_run(&self) -> bool {
+    pub fn certainly_not_run(&self) -> bool {
         match self {
             Self::Broken(error) => error.kind() == io::ErrorKind::ConnectionRefused,
             Self::Final(_) => self.is_not_run(),
@@ -89,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct Refused {
+struct RefusalBody {
     reason: NotRun,
     retry_after_ms: u64,
 }
@@ -139,7 +139,7 @@
             ("Dragonfly-Deadline-Ms", deadline_ms.as_str()),
         ];
         headers.extend(key.map(|key| ("Idempotency-Key", key)));
-        let timeout = deadline + GRACE;
+        let timeout = deadline + DEADLINE_GRACE;
         http::call(
             self.entry,
             Method::POST,
@@ -159,7 +159,7 @@
     pub fn submit(&self, job: &str, spec: &JobSpec) -> io::Result<JobAnswer> {
         let body = serde_json::to_vec(spec)?;
         let name = [("Idempotency-Key", job)];
-        self.ask(Method::POST, "/v1/jobs", &name, body)?.json()
+        self.send(Method::POST, "/v1/jobs", &name, body)?.json()
     }
 
     /// Cancels a job.
@@ -169,7 +169,7 @@
     /// Where no whole answer came.
     pub fn cancel(&self, job: &str) -> io::Result<JobAnswer> {
         let path = format!("/v1/jobs/{job}");
-        self.ask(Method::DELETE, &path, &[], Vec::new())?.json()
+        self.send(Method::DELETE, &path, &[], Vec::new())?.json()
     }
 
     /// Asks after a job.
@@ -179,7 +179,7 @@
     /// Where no whole answer came, or the entry does not know the job.
     pub fn job(&self, job: &str) -> io::Result<JobStatus> {
         let path = format!("/v1/jobs/{job}");
-        self.ask(Method::GET, &path, &[], Vec::new())?.json()
+        self.send(Method::GET, &path, &[], Vec::new())?.json()
     }
 
     /// Asks the entry for its view of the system.
@@ -188,23 +188,24 @@
     ///
     /// Where no whole answer came.
     pub fn status(&self) -> io::Result<StatusAnswer> {
-        self.ask(Method::GET, "/v1/status", &[], Vec::new())?.json()
+        self.send(Method::GET, "/v1/status", &[], Vec::new())?
+            .json()
     }
 
-    fn ask(
+    fn send(
         &self,
         method: Method,
         path: &str,
-        more: &[(&str, &str)],
+        extra_headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> io::Result<Answer> {
         let mut headers = vec![("Content-Type", "application/json")];
-        headers.extend(more);
+        headers.extend(extra_headers);
         if let Some((editor, token)) = &self.key {
             headers.push(("Dragonfly-Editor", editor));
             headers.push(("Dragonfly-Token", token));
         }
-        http::call(self.entry, method, path, &headers, body, QUESTION_TIMEOUT)
+        http::call(self.entry, method, path, &headers, body, QUERY_TIMEOUT)
     }
 }
 
@@ -215,7 +216,7 @@
             status: answer.status.as_u16(),
             body: answer.body.clone(),
         },
-        Some("not-run") => match answer.json::<Refused>() {
+        Some("not-run") => match answer.json::<RefusalBody>() {
             Ok(refused) => RequestOutcome::NotRun {
                 reason: refused.reason,
                 retry_after_ms: refused.retry_after_ms,
--- a/standins/src/editor.rs
+++ b/standins/src/editor.rs
@@ -16,7 +16,7 @@
 };
 
 /// Time that the log has for an answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const LOG_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Records of one read of the log.
 const PAGE_RECORDS: usize = 1_000;
@@ -33,7 +33,7 @@
     /// Returns the editor called `name` of the deployment with `secret` whose log is at `log`.
     pub fn new(log: SocketAddr, name: &str, secret: &str) -> Self {
         Self {
-            client: LogClient::new(&log.to_string(), TIMEOUT),
+            client: LogClient::new(&log.to_string(), LOG_TIMEOUT),
             name: Name::from(name),
             secret: Name::from(secret),
         }
@@ -98,15 +98,15 @@
         let ledger = self.ledger()?;
         let sections = &ledger.history.current().document.sections;
         let found = sections.iter().find_map(|(name, section)| {
-            let place = section
+            let index = section
                 .failure_domains
                 .iter()
                 .position(|d| *d.name == *domain)?;
-            Some((name, section, place))
+            Some((name, section, index))
         });
-        let (name, section, place) = found.ok_or_else(|| io::Error::other("unknown domain"))?;
+        let (name, section, index) = found.ok_or_else(|| io::Error::other("unknown domain"))?;
         let mut section = Section::clone(section);
-        section.failure_domains[place].in_service = in_service;
+        section.failure_domains[index].in_service = in_service;
         self.edit(name, section)
     }
 }
--- a/standins/src/harness/child.rs
+++ b/standins/src/harness/child.rs
@@ -12,7 +12,7 @@
 
 use crossbeam::channel::{Receiver, unbounded};
 
-use crate::harness::{PATIENCE, wait_for};
+use crate::harness::{WAIT_TIMEOUT, wait_for};
 
 /// A signal to a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -82,7 +82,7 @@
     /// Where it prints none or ends.
     pub fn first_line(&self) -> String {
         loop {
-            match self.lines.recv_timeout(PATIENCE) {
+            match self.lines.recv_timeout(WAIT_TIMEOUT) {
                 Ok(line) if line.starts_with("listening ") => return line,
                 // Its log goes to standard output too.
                 Ok(_) => {}
--- a/standins/src/harness/daemon.rs
+++ b/standins/src/harness/daemon.rs
@@ -13,7 +13,7 @@
 };
 
 /// Time that a stand-in has for an answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A daemon with its place in the deployment.
 pub struct Daemon {
@@ -53,7 +53,7 @@
             peer_link,
             config,
         };
-        daemon.keep_addresses(&line);
+        daemon.reuse_addresses(&line);
         daemon
     }
 
@@ -68,11 +68,11 @@
         let name = self.child.name().to_owned();
         self.child = start_process(&name, &self.config, dir);
         let line = self.child.first_line();
-        self.keep_addresses(&line);
+        self.reuse_addresses(&line);
     }
 
     /// Has the daemon listen at the same addresses after a restart.
-    fn keep_addresses(&mut self, line: &str) {
+    fn reuse_addresses(&mut self, line: &str) {
         self.http = address_in(line, "http=");
         self.config.http = Some(self.http.to_string());
         if let Some(peer_link) = &self.peer_link {
@@ -92,16 +92,29 @@
     }
 
     pub(super) fn control(&self, control: &impl Serialize) {
-        let answer = http::call_json(self.address, Method::POST, "/control", control, TIMEOUT);
+        let answer = http::call_json(
+            self.address,
+            Method::POST,
+            "/control",
+            control,
+            CALL_TIMEOUT,
+        );
         if let Err(error) = answer {
             panic!("{}: {error}", self.child.name());
         }
     }
 
-    pub(super) fn ask<T: DeserializeOwned>(&self, path: &str) -> Option<T> {
-        http::call(self.address, Method::GET, path, &[], Vec::new(), TIMEOUT)
-            .and_then(|answer| answer.json())
-            .ok()
+    pub(super) fn get<T: DeserializeOwned>(&self, path: &str) -> Option<T> {
+        http::call(
+            self.address,
+            Method::GET,
+            path,
+            &[],
+            Vec::new(),
+            CALL_TIMEOUT,
+        )
+        .and_then(|answer| answer.json())
+        .ok()
     }
 }
 
--- a/standins/src/harness/deployment.rs
+++ b/standins/src/harness/deployment.rs
@@ -42,9 +42,9 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Keys that are tried before a deployment counts as ready, so that each owner is asked.
-const PROBED_KEYS: usize = 8;
+const READINESS_KEYS: usize = 8;
 
-const PROBE_DEADLINE: Duration = Duration::from_secs(5);
+const READINESS_DEADLINE: Duration = Duration::from_secs(5);
 
 /// What is to be started.
 #[derive(Clone, Debug)]
@@ -130,7 +130,7 @@
     }
 
     fn start_log(builder: DeploymentBuilder) -> Self {
-        let permit = Permit::take();
+        let permit = Permit::acquire();
         let dir = scratch_dir();
         let log = StandIn::start("log", &["log"], &dir);
         Self {
@@ -278,10 +278,10 @@
                     s.version >= version && s.fresh && live.count() >= peers && known >= slots
                 })
             });
-            for _ in 0..PROBED_KEYS {
+            for _ in 0..READINESS_KEYS {
                 wait_until("the owners of the keys", || {
                     let key = unique("probe");
-                    let reply = caller.request(SERVICE, Some(&key), 1, PROBE_DEADLINE, b"{}");
+                    let reply = caller.request(SERVICE, Some(&key), 1, READINESS_DEADLINE, b"{}");
                     reply.is_done()
                 });
             }
--- a/standins/src/harness/document.rs
+++ b/standins/src/harness/document.rs
@@ -10,14 +10,14 @@
 /// Returns the sections in the order in which they are put.
 pub(super) fn sections(domains: &[&str], repeatable: bool) -> [(&'static str, Section); 4] {
     [
-        ("administration", owned()),
+        ("administration", operator_section()),
         ("failure-domains", failure_domains(domains)),
         ("services", services(repeatable)),
         ("workspaces", workspaces()),
     ]
 }
 
-fn owned() -> Section {
+fn operator_section() -> Section {
     Section {
         owners: vec![Name::from(EDITOR)],
         ..Section::default()
@@ -35,7 +35,7 @@
     });
     Section {
         failure_domains: failure_domains.collect(),
-        ..owned()
+        ..operator_section()
     }
 }
 
@@ -50,7 +50,7 @@
     };
     Section {
         services: vec![service],
-        ..owned()
+        ..operator_section()
     }
 }
 
@@ -67,6 +67,6 @@
     };
     Section {
         workspaces: vec![workspace],
-        ..owned()
+        ..operator_section()
     }
 }
--- a/standins/src/harness/gang.rs
+++ b/standins/src/harness/gang.rs
@@ -14,7 +14,7 @@
 
 use crate::harness::{
     Deployment,
-    PATIENCE,
+    WAIT_TIMEOUT,
     WORKSPACE,
     longest_partial,
     overlapping,
@@ -24,7 +24,7 @@
 };
 
 /// Pause before a job that was not accepted is submitted again.
-const RESUBMIT_PAUSE: Duration = Duration::from_millis(100);
+const RESUBMIT_DELAY: Duration = Duration::from_millis(100);
 
 /// A job for test deployments.
 pub fn job(tasks: u32, accelerators: u32, program: &str) -> JobSpec {
@@ -47,14 +47,14 @@
     /// Where none does.
     #[track_caller]
     pub fn submit(&self, name: &str, spec: &JobSpec) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         for caller in self.callers().iter().cycle() {
             let answer = caller.submit(name, spec);
             if matches!(answer, Ok(JobAnswer::Accepted { .. })) {
                 return;
             }
             assert!(Instant::now() < until, "{name}: {answer:?}");
-            thread::sleep(RESUBMIT_PAUSE);
+            thread::sleep(RESUBMIT_DELAY);
         }
     }
 
--- a/standins/src/harness/load.rs
+++ b/standins/src/harness/load.rs
@@ -18,10 +18,10 @@
     harness::{SERVICE, wait_until},
 };
 
-/// Longest pause of a caller that was told to come back.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause of a caller that was replies to come back.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What the callers ask for.
+/// What the callers send_until_done for.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadShape {
     /// Callers that each have one request under way.
@@ -48,9 +48,9 @@
     }
 }
 
-/// One request with all that its caller was told.
+/// One request with all that its caller was replies.
 #[derive(Debug)]
-pub struct Asked {
+pub struct TrackedRequest {
     /// Its key.
     pub key: Name,
     /// The answer that is right.
@@ -59,7 +59,7 @@
     pub replies: Vec<Reply>,
 }
 
-impl Asked {
+impl TrackedRequest {
     /// Returns whether it got a good answer.
     pub fn is_done(&self) -> bool {
         self.replies.iter().any(Reply::is_done)
@@ -67,21 +67,21 @@
 
     /// Returns whether a connection broke after it had been accepted, or the outcome is unknown.
     pub fn was_cut_off(&self) -> bool {
-        let ends_well = |reply: &Reply| reply.is_done() || reply.is_surely_not_run();
-        !self.replies.iter().all(ends_well)
+        let is_certain = |reply: &Reply| reply.is_done() || reply.certainly_not_run();
+        !self.replies.iter().all(is_certain)
     }
 
-    /// Returns what its caller was told, in short.
-    pub fn story(&self) -> String {
-        let told: Vec<String> = self.replies.iter().map(Reply::to_string).collect();
-        format!("{}: {}", self.key, told.join(", "))
+    /// Returns what its caller was replies, in short.
+    pub fn summary(&self) -> String {
+        let replies: Vec<String> = self.replies.iter().map(Reply::to_string).collect();
+        format!("{}: {}", self.key, replies.join(", "))
     }
 
-    fn is_surely_not_run(&self) -> bool {
-        self.replies.iter().all(Reply::is_surely_not_run)
+    fn certainly_not_run(&self) -> bool {
+        self.replies.iter().all(Reply::certainly_not_run)
     }
 
-    fn has_wrong_answer(&self) -> bool {
+    fn has_wrong_body(&self) -> bool {
         self.replies.iter().any(|reply| match reply {
             Reply::Final(RequestOutcome::Done { status: 200, body }) => *body != self.answer,
             _ => false,
@@ -92,7 +92,7 @@
 /// A running load. Each request goes to one entry after another until it is done.
 pub struct Load {
     shared: Arc<Shared>,
-    threads: Vec<JoinHandle<Vec<Asked>>>,
+    threads: Vec<JoinHandle<Vec<TrackedRequest>>>,
 }
 
 struct Shared {
@@ -114,7 +114,7 @@
         let threads = (0..shape.callers)
             .map(|number| {
                 let shared = shared.clone();
-                thread::spawn(move || shared.ask_on(number))
+                thread::spawn(move || shared.run_caller(number))
             })
             .collect();
         Self { shared, threads }
@@ -124,7 +124,7 @@
     ///
     /// # Panics
     ///
-    /// Where they are not within [`PATIENCE`](crate::harness::PATIENCE).
+    /// Where they are not within [`WAIT_TIMEOUT`](crate::harness::WAIT_TIMEOUT).
     #[track_caller]
     pub fn wait_for_done(&self, more: usize) {
         let wanted = self.shared.done.load(Ordering::Relaxed) + more;
@@ -133,31 +133,31 @@
         });
     }
 
-    /// Lets each caller finish its request and returns all that were asked.
+    /// Lets each caller finish its request and returns all that were requests.
     ///
     /// # Panics
     ///
     /// Where a caller got an answer that no entry may give.
-    pub fn stop(self) -> Vec<Asked> {
+    pub fn stop(self) -> Vec<TrackedRequest> {
         self.shared.stopping.store(true, Ordering::Relaxed);
-        let asked = self.threads.into_iter().map(|thread| match thread.join() {
-            Ok(asked) => asked,
+        let requests = self.threads.into_iter().map(|thread| match thread.join() {
+            Ok(requests) => requests,
             Err(panic) => std::panic::resume_unwind(panic),
         });
-        asked.flatten().collect()
+        requests.flatten().collect()
     }
 }
 
 impl Shared {
-    fn ask_on(&self, number: usize) -> Vec<Asked> {
-        let mut asked = Vec::new();
+    fn run_caller(&self, number: usize) -> Vec<TrackedRequest> {
+        let mut requests = Vec::new();
         while !self.stopping.load(Ordering::Relaxed) {
-            asked.push(self.ask(number, asked.len()));
+            requests.push(self.send_until_done(number, requests.len()));
         }
-        asked
+        requests
     }
 
-    fn ask(&self, caller: usize, number: usize) -> Asked {
+    fn send_until_done(&self, caller: usize, number: usize) -> TrackedRequest {
         let shape = &self.shape;
         let key = Name::from(format!("ticket-{caller}-{number}"));
         let body = format!(
@@ -171,17 +171,17 @@
             let entry = &self.callers[entry % self.callers.len()];
             let deadline = Duration::from_millis(shape.deadline_ms);
             let reply = entry.request(SERVICE, Some(&key), attempt, deadline, body.as_bytes());
-            let pause = pause_after(&reply);
+            let delay = retry_delay(&reply);
             // By the interface, an attempt that did not run for certain is not counted.
-            attempt += u32::from(!reply.is_surely_not_run());
+            attempt += u32::from(!reply.certainly_not_run());
             replies.push(reply);
-            let Some(pause) = pause else {
+            let Some(delay) = delay else {
                 self.done.fetch_add(1, Ordering::Relaxed);
                 break;
             };
-            thread::sleep(pause);
+            thread::sleep(delay);
         }
-        Asked {
+        TrackedRequest {
             key,
             answer: answer_to(body.as_bytes(), shape.answer_bytes),
             replies,
@@ -190,19 +190,19 @@
 }
 
 /// Returns how long a caller waits before it asks again; none where it has its answer.
-fn pause_after(reply: &Reply) -> Option<Duration> {
+fn retry_delay(reply: &Reply) -> Option<Duration> {
     match reply {
         Reply::Final(RequestOutcome::Done { .. }) => None,
         Reply::Final(RequestOutcome::NotRun { retry_after_ms, .. }) => {
-            Some(Duration::from_millis(*retry_after_ms).min(LONGEST_PAUSE))
+            Some(Duration::from_millis(*retry_after_ms).min(MAX_RETRY_DELAY))
         }
-        Reply::Final(RequestOutcome::Unknown) | Reply::Broken(_) => Some(LONGEST_PAUSE),
+        Reply::Final(RequestOutcome::Unknown) | Reply::Broken(_) => Some(MAX_RETRY_DELAY),
     }
 }
 
 /// Returns each answer that the backend servers' records contradict: one that is not the request's
 /// own, "done" without a run, and "not run" for each attempt with a run.
-pub fn untrue_answers(asked: &[Asked], records: &[BackendRecord]) -> Vec<String> {
+pub fn contradicted_answers(requests: &[TrackedRequest], records: &[BackendRecord]) -> Vec<String> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for key in records
         .iter()
@@ -211,20 +211,20 @@
     {
         *runs.entry(key).or_default() += 1;
     }
-    let untrue = asked.iter().filter_map(|asked| {
-        let ran = runs.contains_key(&*asked.key);
-        if asked.has_wrong_answer() {
-            Some(format!("{}: the answer to another request", asked.key))
-        } else if asked.is_done() && !ran {
-            Some(format!("{}: done, but never ran", asked.key))
-        } else if asked.is_surely_not_run() && ran {
+    let contradicted = requests.iter().filter_map(|request| {
+        let ran = runs.contains_key(&*request.key);
+        if request.has_wrong_body() {
+            Some(format!("{}: the answer to another request", request.key))
+        } else if request.is_done() && !ran {
+            Some(format!("{}: done, but never ran", request.key))
+        } else if request.certainly_not_run() && ran {
             Some(format!(
                 "{}: not run, but ran: {:?}",
-                asked.key, asked.replies
+                request.key, request.replies
             ))
         } else {
             None
         }
     });
-    untrue.collect()
+    contradicted.collect()
 }
--- a/standins/src/harness/mod.rs
+++ b/standins/src/harness/mod.rs
@@ -18,7 +18,9 @@
 pub use daemon::{Daemon, StandIn};
 pub use deployment::{Deployment, DeploymentBuilder, EDITOR, SECRET, SERVICE, WORKSPACE};
 pub use gang::job;
-pub use load::{Asked, Load, LoadShape, untrue_answers};
+pub use load::{Load, LoadShape, TrackedRequest, contradicted_answers};
 pub use platform::unix_ms;
-pub use records::{Doubled, Span, doubled_keys, in_domain_after, longest_partial, overlapping};
-pub use wait::{PATIENCE, wait_for, wait_until};
+pub use records::{
+    RepeatedKey, Span, longest_partial, overlapping, repeated_keys, starts_in_domain_after,
+};
+pub use wait::{WAIT_TIMEOUT, wait_for, wait_until};
--- a/standins/src/harness/permit.rs
+++ b/standins/src/harness/permit.rs
@@ -4,19 +4,19 @@
 
 /// Deployments of one test program that run at once, at the most. More would only slow each other
 /// down.
-const DEPLOYMENTS: usize = 2;
+const MAX_DEPLOYMENTS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static DEPLOYMENT_ENDED: Condvar = Condvar::new();
 
 /// The right to run a deployment.
 pub(super) struct Permit;
 
 impl Permit {
     /// Waits for the right to run one.
-    pub(super) fn take() -> Self {
+    pub(super) fn acquire() -> Self {
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let running = ENDED.wait_while(running, |running| *running >= DEPLOYMENTS);
+        let running = DEPLOYMENT_ENDED.wait_while(running, |running| *running >= MAX_DEPLOYMENTS);
         *running.unwrap_or_else(PoisonError::into_inner) += 1;
         Self
     }
@@ -25,6 +25,6 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        DEPLOYMENT_ENDED.notify_one();
     }
 }
--- a/standins/src/harness/platform.rs
+++ b/standins/src/harness/platform.rs
@@ -1,4 +1,4 @@
-//! What tests ask the platform of a deployment, and the faults that they set in it.
+//! What tests get the platform of a deployment, and the faults that they set in it.
 
 use std::{
     thread,
@@ -16,15 +16,15 @@
 };
 
 /// Time that the log has for an answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Records that the log keeps at the least; see `docs/GANGS.md`, retention.
 const KEPT_RECORDS: usize = 4_500;
 
 /// Records of one append of somebody else, and how many appends follow each other.
-const FILLER_RECORDS: usize = 250;
-const FILLERS: usize = 36;
-const FILLER_PAUSE: Duration = Duration::from_millis(150);
+const RECORDS_PER_FILLER: usize = 250;
+const FILLER_APPENDS: usize = 36;
+const FILLER_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Deployment {
     /// Returns the operator of the deployment.
@@ -51,14 +51,14 @@
     ///
     /// Where the log does not take them.
     pub fn drop_old_records(&self) -> u64 {
-        let client = LogClient::new(&self.log.address.to_string(), TIMEOUT);
-        let filler = vec!["not a record of the system".to_owned(); FILLER_RECORDS];
+        let client = LogClient::new(&self.log.address.to_string(), LOG_TIMEOUT);
+        let filler = vec!["not a record of the system".to_owned(); RECORDS_PER_FILLER];
         let mut head = 0;
-        for _ in 0..FILLERS {
+        for _ in 0..FILLER_APPENDS {
             let first = client.append(&filler);
-            head = first.unwrap_or_else(|e| panic!("the log: {e}")) + FILLER_RECORDS as u64;
+            head = first.unwrap_or_else(|e| panic!("the log: {e}")) + RECORDS_PER_FILLER as u64;
             // The planner repeats states as it reads on.
-            thread::sleep(FILLER_PAUSE);
+            thread::sleep(FILLER_INTERVAL);
         }
         self.log.control(&LogControl {
             keep: Some(KEPT_RECORDS),
@@ -112,7 +112,7 @@
     pub fn intervals(&self) -> Vec<Interval> {
         let records = self.workers.iter();
         records
-            .filter_map(|w| w.ask::<Vec<Interval>>("/v1/record"))
+            .filter_map(|w| w.get::<Vec<Interval>>("/v1/record"))
             .flatten()
             .chain(self.lost_intervals.iter().cloned())
             .collect()
@@ -135,7 +135,7 @@
     /// Kills a worker with its tasks. Its record up to now is kept.
     pub fn kill_worker(&mut self, number: usize) {
         let worker = &mut self.workers[number];
-        let record: Vec<Interval> = worker.ask("/v1/record").unwrap_or_default();
+        let record: Vec<Interval> = worker.get("/v1/record").unwrap_or_default();
         worker.child.kill();
         let killed = unix_ms();
         self.lost_intervals
@@ -148,7 +148,7 @@
     /// Returns what all backend servers that answer have run.
     pub fn backend_records(&self) -> Vec<BackendRecord> {
         let records = self.backends.iter();
-        records.filter_map(|b| b.ask("/v1/record")).collect()
+        records.filter_map(|b| b.get("/v1/record")).collect()
     }
 
     /// Sets how a worker behaves.
--- a/standins/src/harness/records.rs
+++ b/standins/src/harness/records.rs
@@ -22,7 +22,7 @@
 
 /// A key that ran more than once.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Doubled {
+pub struct RepeatedKey {
     /// The key.
     pub key: Name,
     /// How often it ran.
@@ -95,7 +95,7 @@
 }
 
 /// Returns the intervals that began in `domain` after `unix_ms`.
-pub fn in_domain_after(intervals: &[Interval], domain: &str, unix_ms: u64) -> Vec<Interval> {
+pub fn starts_in_domain_after(intervals: &[Interval], domain: &str, unix_ms: u64) -> Vec<Interval> {
     intervals
         .iter()
         .filter(|i| *i.failure_domain == *domain && i.started_unix_ms > unix_ms)
@@ -104,7 +104,7 @@
 }
 
 /// Returns the keys that ran more than once on all backend servers together.
-pub fn doubled_keys(records: &[BackendRecord]) -> Vec<Doubled> {
+pub fn repeated_keys(records: &[BackendRecord]) -> Vec<RepeatedKey> {
     let mut counts: BTreeMap<Name, usize> = BTreeMap::new();
     let keys = records
         .iter()
@@ -116,6 +116,6 @@
     counts
         .into_iter()
         .filter(|(_, runs)| *runs > 1)
-        .map(|(key, runs)| Doubled { key, runs })
+        .map(|(key, runs)| RepeatedKey { key, runs })
         .collect()
 }
--- a/standins/src/harness/wait.rs
+++ b/standins/src/harness/wait.rs
@@ -7,24 +7,24 @@
 
 /// How long a condition is waited for that holds within a few seconds on an idle machine. Generous,
 /// so that a busy machine changes no verdict.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until `probe` returns a value.
 ///
 /// # Panics
 ///
-/// Where it does not within [`PATIENCE`]; `what` says what was waited for.
+/// Where it does not within [`WAIT_TIMEOUT`]; `what` says what was waited for.
 #[track_caller]
 pub fn wait_for<T>(what: &str, mut probe: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = probe() {
             return value;
         }
         assert!(Instant::now() < until, "waited in vain for {what}");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -14,7 +14,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Bytes of a body, at the most.
-const BODY_BYTES: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
 /// How often a free port is looked for.
 const BIND_ATTEMPTS: usize = 20;
@@ -36,16 +36,16 @@
     + 'static,
 ) -> io::Result<SocketAddr> {
     let on_request = move |req: &mut Request<Body>| on_request(req).unwrap_or_else(Refusal::answer);
-    let mut last = io::Error::other("no free port");
+    let mut last_error = io::Error::other("no free port");
     for _ in 0..BIND_ATTEMPTS {
         let bound = free_address(address)?;
         match Server::new(on_request.clone()).bind(bound).spawn() {
             Ok(_) => return Ok(bound),
             Err(error) if address.port() != 0 => return Err(error),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 fn free_address(address: SocketAddr) -> io::Result<SocketAddr> {
@@ -94,14 +94,14 @@
 
 /// Returns an answer whose connection is closed after `start` of its body, before its end.
 pub fn cut_off(start: Vec<u8>) -> Response<Body> {
-    let body = io::Cursor::new(start).chain(Broken);
+    let body = io::Cursor::new(start).chain(FailingReader);
     Response::new(Body::from_read(body))
 }
 
 /// A reader that fails at once, so that the server closes the connection in mid-answer.
-struct Broken;
+struct FailingReader;
 
-impl Read for Broken {
+impl Read for FailingReader {
     fn read(&mut self, _: &mut [u8]) -> io::Result<usize> {
         Err(io::Error::new(io::ErrorKind::ConnectionAborted, "cut off"))
     }
@@ -114,7 +114,7 @@
 /// A [`Refusal`] for the sender.
 pub fn read_body(req: &mut Request<Body>) -> Result<Vec<u8>, Refusal> {
     let mut buf = Vec::new();
-    match req.body_mut().take(BODY_BYTES).read_to_end(&mut buf) {
+    match req.body_mut().take(MAX_BODY_BYTES).read_to_end(&mut buf) {
         Ok(_) => Ok(buf),
         Err(error) => Err(Refusal::new(StatusCode::BAD_REQUEST, error.to_string())),
     }
--- a/standins/src/log.rs
+++ b/standins/src/log.rs
@@ -21,13 +21,13 @@
 use crate::http::{self, Refusal};
 
 /// Records in one answer, at the most.
-const PAGE_RECORDS: usize = 1_000;
+const MAX_PAGE_RECORDS: usize = 1_000;
 
 /// Bytes of the records in one answer, at the most, but for the first.
-const PAGE_BYTES: usize = 8 << 20;
+const MAX_PAGE_BYTES: usize = 8 << 20;
 
 /// Longest time that a read waits for a record.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_READ_WAIT: Duration = Duration::from_secs(30);
 
 /// How the service answers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -173,7 +173,7 @@
             (Method::GET, "/control") => Ok(http::json(StatusCode::OK, &self.lock().status())),
             (Method::POST, "/v1/records") => {
                 let append = http::read_json(req)?;
-                self.under_fault(Call::Append, || self.append(append))
+                self.apply_fault(Call::Append, || self.append(append))
             }
             (Method::GET, "/v1/records") => self.read(req),
             _ => Err(Refusal::new(StatusCode::NOT_FOUND, "no such path")),
@@ -181,7 +181,7 @@
     }
 
     /// Lets `call` take effect and answers it as the mode says.
-    fn under_fault(
+    fn apply_fault(
         &self,
         kind: Call,
         call: impl FnOnce() -> Response<Body>,
@@ -224,18 +224,21 @@
     fn read(&self, req: &Request<Body>) -> Result<Response<Body>, Refusal> {
         let from = http::query::<u64>(req, "from")
             .ok_or_else(|| Refusal::new(StatusCode::BAD_REQUEST, "from is required"))?;
-        let limit = http::query(req, "limit").unwrap_or(PAGE_RECORDS);
+        let limit = http::query(req, "limit").unwrap_or(MAX_PAGE_RECORDS);
         let wait = Duration::from_millis(http::query(req, "wait_ms").unwrap_or(0));
-        self.wait_for(from, wait.min(LONGEST_WAIT));
-        self.under_fault(Call::Read, || {
+        self.wait_for_record(from, wait.min(MAX_READ_WAIT));
+        self.apply_fault(Call::Read, || {
             let mut state = self.lock();
             state.reads += 1;
-            http::json(StatusCode::OK, &state.page(from, limit.min(PAGE_RECORDS)))
+            http::json(
+                StatusCode::OK,
+                &state.page(from, limit.min(MAX_PAGE_RECORDS)),
+            )
         })
     }
 
     /// Waits until there is a record at `from` or a fault is set.
-    fn wait_for(&self, from: u64, wait: Duration) {
+    fn wait_for_record(&self, from: u64, wait: Duration) {
         let none = |state: &mut State| state.mode.serves_reads() && state.head() <= from;
         let waited = self.changed.wait_timeout_while(self.lock(), wait, none);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
@@ -278,7 +281,7 @@
             .skip(skip)
             .take(limit)
             .take_while(|(data, _)| {
-                let fits = bytes == 0 || bytes + data.len() <= PAGE_BYTES;
+                let fits = bytes == 0 || bytes + data.len() <= MAX_PAGE_BYTES;
                 bytes += data.len();
                 fits
             })
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -22,7 +22,7 @@
 
 /// Time without a request after which a leaving backend server exits. It is longer than the time
 /// within which a leaving server gets no new work.
-const QUIET: Duration = Duration::from_secs(3);
+const QUIET_TIME_BEFORE_EXIT: Duration = Duration::from_secs(3);
 
 /// Plays the platform's part for dragonflyrun's tests and its quick start.
 #[derive(Options)]
@@ -94,7 +94,7 @@
     listen: String,
     /// IP:port of the agent beside it.
     agent: Option<SocketAddr>,
-    /// IP:port to announce in place of its own.
+    /// IP:port to print_address in place of its own.
     announced: Option<SocketAddr>,
     /// The server's name.
     #[options(required)]
@@ -166,9 +166,9 @@
         }
         Command::Backend(arguments) => {
             let backend = Backend::start(backend_settings(&arguments)?)?;
-            announce(backend.address())?;
+            print_address(backend.address())?;
             wait_for_termination()?;
-            backend.leave(QUIET);
+            backend.leave(QUIET_TIME_BEFORE_EXIT);
             Ok(())
         }
         Command::Relay(arguments) => {
@@ -210,14 +210,14 @@
 
 /// Serves until the process is killed.
 fn serve(address: SocketAddr) -> MainResult {
-    announce(address)?;
+    print_address(address)?;
     loop {
         thread::park();
     }
 }
 
 /// Prints the address for the one that started the process with port 0.
-fn announce(address: SocketAddr) -> io::Result<()> {
+fn print_address(address: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "listening {address}")?;
     out.flush()
--- a/standins/src/quickstart/cluster.rs
+++ b/standins/src/quickstart/cluster.rs
@@ -34,18 +34,18 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two looks whether it is ready.
-const READY_PAUSE: Duration = Duration::from_millis(100);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running deployment.
 pub(super) struct Cluster {
     log: LogService,
     editor: Editor,
     entries: Vec<Daemon>,
-    sites: Vec<Site>,
+    hosts: Vec<WorkerHost>,
 }
 
 /// A worker host with all that runs on it.
-struct Site {
+struct WorkerHost {
     worker: Worker,
     backend: Backend,
     agent: Daemon,
@@ -58,10 +58,10 @@
         let editor = Editor::new(log.address(), &plan.deployment.editor, SECRET);
         let entries = start_entries(plan, log.address())?;
         let seeds: Vec<SocketAddr> = entries.iter().filter_map(Daemon::peers_addr).collect();
-        let sites = plan.deployment.workers.iter();
-        let sites = sites.map(|w| Site::start(w, log.address(), &seeds));
+        let hosts = plan.deployment.workers.iter();
+        let hosts = hosts.map(|w| WorkerHost::start(w, log.address(), &seeds));
         let cluster = Self {
-            sites: sites.collect::<io::Result<_>>()?,
+            hosts: hosts.collect::<io::Result<_>>()?,
             entries,
             editor,
             log,
@@ -91,20 +91,20 @@
 
     /// Returns what the backend servers ran.
     pub(super) fn backend_records(&self) -> Vec<BackendRecord> {
-        self.sites.iter().map(|s| s.backend.record()).collect()
+        self.hosts.iter().map(|s| s.backend.record()).collect()
     }
 
     /// Returns when which tasks ran on the workers.
     pub(super) fn intervals(&self) -> Vec<Interval> {
-        self.sites.iter().flat_map(|s| s.worker.record()).collect()
+        self.hosts.iter().flat_map(|s| s.worker.record()).collect()
     }
 
     /// Stops all processes of the system.
     pub(super) fn stop(self) {
-        let stops = self.entries.into_iter();
-        let agents = self.sites.into_iter().map(|s| s.agent);
+        let entries = self.entries.into_iter();
+        let agents = self.hosts.into_iter().map(|s| s.agent);
         thread::scope(|scope| {
-            for daemon in stops.chain(agents) {
+            for daemon in entries.chain(agents) {
                 scope.spawn(|| daemon.stop());
             }
         });
@@ -116,16 +116,16 @@
             if start.elapsed() > READY_TIMEOUT {
                 return Err(io::Error::other("the deployment did not become ready"));
             }
-            thread::sleep(READY_PAUSE);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Returns whether every entry hears every agent, and each service answers a request. The
+    /// Returns whether every entry hears every agent, and each service is_answering a request. The
     /// owners of keys take a moment after the start, until no earlier owner can be at work.
     fn is_ready(&self, plan: &Plan) -> bool {
         let workers = plan.deployment.workers.len();
-        let hears_all = |number: usize| {
+        let sees_all_agents = |number: usize| {
             let status = self.caller(number).status();
             status.is_ok_and(|s| {
                 let live = s.peers.iter().filter(|p| p.live && p.role == Role::Agent);
@@ -133,10 +133,11 @@
             })
         };
         let services = plan.workload.requests.iter().map(|r| &r.service);
-        (0..self.entries.len()).all(hears_all) && services.into_iter().all(|s| self.answers(s))
+        (0..self.entries.len()).all(sees_all_agents)
+            && services.into_iter().all(|s| self.is_answering(s))
     }
 
-    fn answers(&self, service: &str) -> bool {
+    fn is_answering(&self, service: &str) -> bool {
         let key = crate::editor::unique("ready");
         let deadline = Duration::from_secs(1);
         let reply = self
@@ -146,7 +147,7 @@
     }
 }
 
-impl Site {
+impl WorkerHost {
     fn start(plan: &WorkerPlan, log: SocketAddr, seeds: &[SocketAddr]) -> io::Result<Self> {
         let worker = Worker::start(WorkerSettings {
             address: ANY_PORT,
@@ -162,7 +163,7 @@
             rack: Some(plan.rack.clone()),
             worker: Some(worker.address().to_string()),
             entries: Some(seeds.iter().map(ToString::to_string).collect()),
-            ..common(&plan.name, log)
+            ..base_config(&plan.name, log)
         })?;
         let name = Name::from(format!("{}-server", plan.name));
         let backend = Backend::start(BackendSettings {
@@ -193,13 +194,13 @@
             role: Some(Role::Entry),
             peers: Some(ANY_PORT.to_string()),
             entries: Some(seeds),
-            ..common(name, log)
+            ..base_config(name, log)
         })?);
     }
     Ok(entries)
 }
 
-fn common(name: &Name, log: SocketAddr) -> Config {
+fn base_config(name: &Name, log: SocketAddr) -> Config {
     Config {
         name: Some(name.clone()),
         http: Some(ANY_PORT.to_string()),
--- a/standins/src/quickstart/mod.rs
+++ b/standins/src/quickstart/mod.rs
@@ -19,16 +19,16 @@
 use crate::steps;
 
 /// The file that an example of jobs of steps has; these run on the store's side of the product.
-const STEPS: &str = "steps.json";
+const STEPS_FILE: &str = "steps.json";
 
 /// Runs the deployment and the workload of an example's folder, prints what became of each, and
-/// returns whether nothing was lost or doubled.
+/// returns whether nothing was lost or repeated.
 ///
 /// # Errors
 ///
 /// Where the example can't be read, a process does not start, or it does not become ready.
 pub fn run(example: &Path) -> io::Result<bool> {
-    if example.join(STEPS).is_file() {
+    if example.join(STEPS_FILE).is_file() {
         return steps::run(example);
     }
     let plan = Plan::read(example)?;
--- a/standins/src/quickstart/outcome.rs
+++ b/standins/src/quickstart/outcome.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     backend::BackendRecord,
-    harness::{doubled_keys, in_domain_after, longest_partial, overlapping},
+    harness::{longest_partial, overlapping, repeated_keys, starts_in_domain_after},
     quickstart::{Expected, Plan},
     worker::Interval,
 };
@@ -27,10 +27,10 @@
     pub refusal: String,
     /// Where its last attempt ran.
     pub placements: Vec<Placement>,
-    /// Attempts that it took.
+    /// Attempts that it duration.
     pub attempts: u32,
     /// Time from its submission to its end.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// What became of one stream of requests.
@@ -62,9 +62,9 @@
     /// The failure domain.
     pub failure_domain: Name,
     /// When its edit was accepted, on the workers' clock.
-    pub out_unix_ms: u64,
+    pub drained_unix_ms: u64,
     /// When it was returned.
-    pub back_unix_ms: u64,
+    pub returned_unix_ms: u64,
 }
 
 /// What became of a whole workload.
@@ -85,7 +85,7 @@
 }
 
 impl Outcomes {
-    /// Returns all that was lost, doubled or breaks another promise, each in a sentence.
+    /// Returns all that was lost, repeated or breaks another promise, each in a sentence.
     pub fn faults(&self, plan: &Plan) -> Vec<String> {
         let mut faults = self.job_faults(plan);
         faults.extend(self.gang_faults(plan));
@@ -134,10 +134,10 @@
     fn drain_faults(&self) -> Vec<String> {
         let bound_ms = u64::try_from(START_BOUND.as_millis()).unwrap_or(u64::MAX);
         let late = self.drains.iter().flat_map(|drain| {
-            let from = drain.out_unix_ms + bound_ms;
-            let late = in_domain_after(&self.intervals, &drain.failure_domain, from);
+            let from = drain.drained_unix_ms + bound_ms;
+            let late = starts_in_domain_after(&self.intervals, &drain.failure_domain, from);
             late.into_iter()
-                .filter(|i| i.started_unix_ms < drain.back_unix_ms)
+                .filter(|i| i.started_unix_ms < drain.returned_unix_ms)
         });
         late.map(|i| {
             let (job, domain) = (i.job, i.failure_domain);
@@ -147,10 +147,10 @@
     }
 
     fn request_faults(&self, plan: &Plan) -> Vec<String> {
-        let mut faults: Vec<String> = doubled_keys(&self.backends)
+        let mut faults: Vec<String> = repeated_keys(&self.backends)
             .iter()
-            .filter(|doubled| !plan.is_repeatable(service_of(&doubled.key)))
-            .map(|doubled| format!("Key {} ran {} times.", doubled.key, doubled.runs))
+            .filter(|repeated| !plan.is_repeatable(service_of(&repeated.key)))
+            .map(|repeated| format!("Key {} ran {} times.", repeated.key, repeated.runs))
             .collect();
         for tally in &self.requests {
             let service = &tally.service;
@@ -179,12 +179,12 @@
     }
 }
 
-/// Returns the service of a key that [`key`] made.
+/// Returns the service of a key that [`request_key`] made.
 fn service_of(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(service, _)| service)
 }
 
 /// Returns the key of a request.
-pub(super) fn key(service: &str, stream: usize, number: u32) -> String {
+pub(super) fn request_key(service: &str, stream: usize, number: u32) -> String {
     format!("{service}/{stream}-{number}")
 }
--- a/standins/src/quickstart/report.rs
+++ b/standins/src/quickstart/report.rs
@@ -39,7 +39,7 @@
     print_jobs(plan, &outcomes.jobs);
     print_requests(&outcomes.requests);
     for drain in &outcomes.drains {
-        let ms = drain.back_unix_ms - drain.out_unix_ms;
+        let ms = drain.returned_unix_ms - drain.drained_unix_ms;
         println!(
             "failure domain {} was out of service for {ms} ms",
             drain.failure_domain
@@ -73,13 +73,13 @@
             shape,
             end,
             job.attempts,
-            job.took.as_secs_f64(),
-            where_placed(job),
+            job.duration.as_secs_f64(),
+            placement_text(job),
         );
     }
 }
 
-fn where_placed(job: &JobOutcome) -> String {
+fn placement_text(job: &JobOutcome) -> String {
     if !job.refusal.is_empty() {
         return job.refusal.clone();
     }
@@ -110,9 +110,9 @@
     }
 }
 
-/// Returns the value below which `share` of the sorted `values` lie; 0 without any.
-fn quantile(values: &[u64], share: f64) -> u64 {
+/// Returns the value below which `fraction` of the sorted `values` lie; 0 without any.
+fn quantile(values: &[u64], fraction: f64) -> u64 {
     let last = values.len().saturating_sub(1);
-    let index = (last as f64 * share).round() as usize;
+    let index = (last as f64 * fraction).round() as usize;
     values.get(index).copied().unwrap_or(0)
 }
--- a/standins/src/quickstart/runner.rs
+++ b/standins/src/quickstart/runner.rs
@@ -14,7 +14,7 @@
     caller::{Caller, Reply, RequestOutcome},
     quickstart::{
         cluster::Cluster,
-        outcome::{DrainOutcome, JobOutcome, Outcomes, RequestTally, key},
+        outcome::{DrainOutcome, JobOutcome, Outcomes, RequestTally, request_key},
         plan::{DrainPlan, JobPlan, Plan, RequestPlan},
         report,
     },
@@ -24,13 +24,13 @@
 const JOB_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Pause between two questions about a job.
-const JOB_PAUSE: Duration = Duration::from_millis(100);
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(2);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How often the progress looks whether all has ended.
-const PROGRESS_PAUSE: Duration = Duration::from_millis(50);
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How far the workload is.
 #[derive(Default)]
@@ -46,7 +46,7 @@
     let ended = AtomicBool::new(false);
     let workload = &plan.workload;
     let mut outcomes = thread::scope(|scope| {
-        scope.spawn(|| show(plan, &progress, start, &ended));
+        scope.spawn(|| print_progress(plan, &progress, start, &ended));
         let jobs: Vec<_> = workload
             .jobs
             .iter()
@@ -91,18 +91,18 @@
         .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
 }
 
-fn show(plan: &Plan, progress: &Progress, start: Instant, ended: &AtomicBool) {
-    let mut next = PROGRESS;
+fn print_progress(plan: &Plan, progress: &Progress, start: Instant, ended: &AtomicBool) {
+    let mut next = PROGRESS_INTERVAL;
     while !ended.load(Ordering::Relaxed) {
         if start.elapsed() >= next {
             report::print_progress(plan, progress, start.elapsed());
-            next += PROGRESS;
+            next += PROGRESS_INTERVAL;
         }
-        thread::sleep(PROGRESS_PAUSE);
+        thread::sleep(PROGRESS_POLL_INTERVAL);
     }
 }
 
-fn wait_for(start: Instant, after_ms: u64) {
+fn sleep_until(start: Instant, after_ms: u64) {
     let at = start + Duration::from_millis(after_ms);
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
@@ -113,7 +113,7 @@
     start: Instant,
     progress: &Progress,
 ) -> io::Result<JobOutcome> {
-    wait_for(start, plan.after_ms);
+    sleep_until(start, plan.after_ms);
     let submitted = Instant::now();
     let caller = cluster.caller(plan.after_ms as usize);
     let mut outcome = JobOutcome {
@@ -122,21 +122,21 @@
         refusal: String::new(),
         placements: Vec::new(),
         attempts: 0,
-        took: Duration::ZERO,
+        duration: Duration::ZERO,
     };
     match caller.submit(&plan.job, &plan.spec)? {
         // Another entry may not have read of the job yet and would not know it.
-        JobAnswer::Accepted { .. } => follow(&caller, submitted, &mut outcome)?,
+        JobAnswer::Accepted { .. } => poll_job(&caller, submitted, &mut outcome)?,
         JobAnswer::NotRun { reason, .. } => outcome.refusal = format!("{reason:?}"),
         JobAnswer::Unknown { .. } => outcome.refusal = "not known".to_owned(),
     }
-    outcome.took = submitted.elapsed();
+    outcome.duration = submitted.elapsed();
     progress.jobs.fetch_add(1, Ordering::Relaxed);
     Ok(outcome)
 }
 
 /// Asks for the job until it has ended.
-fn follow(caller: &Caller, since: Instant, outcome: &mut JobOutcome) -> io::Result<()> {
+fn poll_job(caller: &Caller, since: Instant, outcome: &mut JobOutcome) -> io::Result<()> {
     while since.elapsed() < JOB_TIMEOUT {
         let status = caller.job(&outcome.job)?;
         outcome.attempts = status.attempt.max(outcome.attempts);
@@ -147,26 +147,26 @@
         if !matches!(status.state, JobState::Waiting | JobState::Running) {
             return Ok(());
         }
-        thread::sleep(JOB_PAUSE);
+        thread::sleep(JOB_POLL_INTERVAL);
     }
     Ok(())
 }
 
 fn run_drain(cluster: &Cluster, plan: &DrainPlan, start: Instant) -> io::Result<DrainOutcome> {
-    wait_for(start, plan.after_ms);
+    sleep_until(start, plan.after_ms);
     cluster
         .editor()
         .set_in_service(&plan.failure_domain, false)?;
-    let out_unix_ms = unix_ms();
-    wait_for(start, plan.after_ms + plan.for_ms);
-    let back_unix_ms = unix_ms();
+    let drained_unix_ms = unix_ms();
+    sleep_until(start, plan.after_ms + plan.for_ms);
+    let returned_unix_ms = unix_ms();
     cluster
         .editor()
         .set_in_service(&plan.failure_domain, true)?;
     Ok(DrainOutcome {
         failure_domain: plan.failure_domain.clone(),
-        out_unix_ms,
-        back_unix_ms,
+        drained_unix_ms,
+        returned_unix_ms,
     })
 }
 
@@ -181,7 +181,7 @@
         let calls: Vec<_> = (0..plan.count)
             .map(|number| {
                 scope.spawn(move || {
-                    wait_for(start, plan.after_ms + u64::from(number) * plan.every_ms);
+                    sleep_until(start, plan.after_ms + u64::from(number) * plan.every_ms);
                     let tally = run_request(cluster, stream, number, plan);
                     progress.requests.fetch_add(1, Ordering::Relaxed);
                     tally
@@ -200,7 +200,7 @@
 /// Sends one request, again after each refusal, until its deadline.
 fn run_request(cluster: &Cluster, stream: usize, number: u32, plan: &RequestPlan) -> RequestTally {
     let caller = cluster.caller(number as usize);
-    let key = key(&plan.service, stream, number);
+    let key = request_key(&plan.service, stream, number);
     let (work_ms, answer_bytes) = (plan.work_ms, plan.answer_bytes);
     let body =
         format!(r#"{{"request":"{key}","work_ms":{work_ms},"answer_bytes":{answer_bytes}}}"#);
@@ -242,10 +242,10 @@
 }
 
 impl RequestTally {
-    fn finish(&mut self, own: bool, took: Duration) {
+    fn finish(&mut self, own: bool, duration: Duration) {
         if own {
             self.done = 1;
-            self.times_ms = vec![u64::try_from(took.as_millis()).unwrap_or(u64::MAX)];
+            self.times_ms = vec![u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)];
         } else {
             self.wrong = 1;
         }
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes that are forwarded in one go, at the most.
-const PIECE_BYTES: usize = 64 << 10;
+const MAX_CHUNK_BYTES: usize = 64 << 10;
 
 /// What becomes of the bytes on the link.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -30,7 +30,7 @@
     Cut,
     /// Nothing is forwarded, and no connection is closed, as when a switch drops all packets.
     Frozen,
-    /// Only what comes from the target is held back: calls are carried out and get no answer.
+    /// Only what comes from the target is is_blocked back: calls are carried out and get no answer.
     OneWay,
 }
 
@@ -62,7 +62,7 @@
     delay: Duration,
     open: Vec<(u64, TcpStream)>,
     accepted: u64,
-    most_open: usize,
+    max_open: usize,
 }
 
 impl Relay {
@@ -80,7 +80,7 @@
             delay: Duration::ZERO,
             open: Vec::new(),
             accepted: 0,
-            most_open: 0,
+            max_open: 0,
         };
         let shared = Arc::new(Shared {
             link: Mutex::new(link),
@@ -118,7 +118,7 @@
     }
 
     /// Sets the mode alone.
-    pub fn set(&self, mode: LinkMode) {
+    pub fn set_mode(&self, mode: LinkMode) {
         self.control(RelayControl {
             mode: Some(mode),
             delay_ms: None,
@@ -131,8 +131,8 @@
     }
 
     /// Returns the most connections that were open at once.
-    pub fn most_open(&self) -> usize {
-        self.shared.lock().most_open
+    pub fn max_open(&self) -> usize {
+        self.shared.lock().max_open
     }
 }
 
@@ -141,63 +141,63 @@
         self.link.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn accept(self: &Arc<Self>, near: TcpStream) {
+    fn accept(self: &Arc<Self>, client: TcpStream) {
         if self.lock().mode == LinkMode::Cut {
             return;
         }
         let shared = self.clone();
         let spawned = thread::Builder::new()
             .name("relay".to_owned())
-            .spawn(move || shared.carry(&near));
+            .spawn(move || shared.forward_connection(&client));
         if let Err(error) = spawned {
             log::warn!(error:% = error; "relay_failed");
         }
     }
 
     /// Forwards both ways until both sides have closed.
-    fn carry(&self, near: &TcpStream) {
-        self.wait_while_held(false);
+    fn forward_connection(&self, client: &TcpStream) {
+        self.wait_while_blocked(false);
         let target = self.lock().target;
-        let Ok(far) = TcpStream::connect(target) else {
+        let Ok(server) = TcpStream::connect(target) else {
             return;
         };
-        let _ = near.set_nodelay(true);
-        let _ = far.set_nodelay(true);
-        let (Ok(near_copy), Ok(far_copy)) = (near.try_clone(), far.try_clone()) else {
+        let _ = client.set_nodelay(true);
+        let _ = server.set_nodelay(true);
+        let (Ok(client_copy), Ok(server_copy)) = (client.try_clone(), server.try_clone()) else {
             return;
         };
-        let id = self.register(near_copy, far_copy);
+        let id = self.register(client_copy, server_copy);
         thread::scope(|scope| {
-            scope.spawn(|| self.forward(near, &far, false));
-            self.forward(&far, near, true);
+            scope.spawn(|| self.forward(client, &server, false));
+            self.forward(&server, client, true);
         });
         self.lock().open.retain(|(open, _)| *open != id);
     }
 
-    fn register(&self, near: TcpStream, far: TcpStream) -> u64 {
+    fn register(&self, client: TcpStream, server: TcpStream) -> u64 {
         let mut link = self.lock();
         link.accepted += 1;
         let id = link.accepted;
         if link.mode == LinkMode::Cut {
-            close(&near);
-            close(&far);
+            close(&client);
+            close(&server);
         }
-        link.open.push((id, near));
-        link.open.push((id, far));
-        link.most_open = link.most_open.max(link.open.len() / 2);
+        link.open.push((id, client));
+        link.open.push((id, server));
+        link.max_open = link.max_open.max(link.open.len() / 2);
         id
     }
 
-    fn forward(&self, mut from: &TcpStream, mut to: &TcpStream, is_answer: bool) {
-        let mut buf = vec![0; PIECE_BYTES];
+    fn forward(&self, mut from: &TcpStream, mut to: &TcpStream, from_target: bool) {
+        let mut buf = vec![0; MAX_CHUNK_BYTES];
         loop {
             let read = from.read(&mut buf).unwrap_or(0);
-            let delay = self.wait_while_held(is_answer);
+            let delay = self.wait_while_blocked(from_target);
             if read == 0 {
                 break;
             }
             thread::sleep(delay);
-            self.wait_while_held(is_answer);
+            self.wait_while_blocked(from_target);
             if to.write_all(&buf[..read]).is_err() {
                 break;
             }
@@ -207,14 +207,14 @@
     }
 
     /// Waits until the link carries this direction and returns its delay.
-    fn wait_while_held(&self, is_answer: bool) -> Duration {
-        let held = |mode: LinkMode| match mode {
+    fn wait_while_blocked(&self, from_target: bool) -> Duration {
+        let is_blocked = |mode: LinkMode| match mode {
             LinkMode::Pass | LinkMode::Cut => false,
             LinkMode::Frozen => true,
-            LinkMode::OneWay => is_answer,
+            LinkMode::OneWay => from_target,
         };
         self.changed
-            .wait_while(self.lock(), |l| held(l.mode))
+            .wait_while(self.lock(), |l| is_blocked(l.mode))
             .unwrap_or_else(PoisonError::into_inner)
             .delay
     }
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -29,13 +29,13 @@
 };
 
 /// The key of the only workspace.
-const KEY: &str = "quick-start";
+const WORKSPACE_KEY: &str = "quick-start";
 
 /// Time for all jobs to come to their end; far above the second or two that it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the example's file says.
 #[derive(Debug, Deserialize)]
@@ -55,8 +55,8 @@
 pub struct StepOutcome {
     /// The job as an entry shows it at the end.
     pub view: StepJobView,
-    /// How long it took.
-    pub took: Duration,
+    /// How long it duration.
+    pub duration: Duration,
 }
 
 /// No queue of the example asks an advisor.
@@ -71,7 +71,7 @@
 type Entry = StoreEntry<MemoryStore, NoAdvisor>;
 
 /// Runs the jobs of an example's folder; prints what became of each, and returns whether each task of
-/// each job ran exactly once.
+/// each job ran exactly distinct.
 ///
 /// # Errors
 ///
@@ -81,7 +81,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let (outcomes, started) = LocalSet::new().block_on(&runtime, play(example, &plan))?;
+    let (outcomes, started) = LocalSet::new().block_on(&runtime, run_plan(example, &plan))?;
     println!(
         "{:<20} {:>10} {:>8}  steps, tasks done",
         "job", "end", "time"
@@ -93,7 +93,7 @@
             "{:<20} {:>10} {:>6.1} s  {}",
             outcome.view.job,
             outcome.view.state,
-            outcome.took.as_secs_f64(),
+            outcome.duration.as_secs_f64(),
             steps.join(" ")
         );
     }
@@ -102,15 +102,15 @@
         .flat_map(|o| &o.view.steps)
         .map(|s| s.tasks)
         .sum();
-    let mut once = started.clone();
-    once.sort_unstable();
-    once.dedup_by(|a, b| a.task == b.task);
-    let sound = once.len() == started.len() && once.len() == tasks;
+    let mut distinct = started.clone();
+    distinct.sort_unstable();
+    distinct.dedup_by(|a, b| a.task == b.task);
+    let each_ran_once = distinct.len() == started.len() && distinct.len() == tasks;
     println!("{} tasks, {} starts", tasks, started.len());
-    Ok(sound && outcomes.iter().all(|o| &*o.view.state == "completed"))
+    Ok(each_ran_once && outcomes.iter().all(|o| &*o.view.state == "completed"))
 }
 
-async fn play(example: &Path, plan: &Plan) -> io::Result<(Vec<StepOutcome>, Vec<RunId>)> {
+async fn run_plan(example: &Path, plan: &Plan) -> io::Result<(Vec<StepOutcome>, Vec<RunId>)> {
     let store = Arc::new(MemoryStore::default());
     let mut entries = Vec::new();
     for number in 0..plan.entries {
@@ -121,43 +121,43 @@
         workers.push(start_worker(&store, plan, number)?);
     }
     configure(&store).await?;
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + COMPLETION_TIMEOUT;
     while !entries.iter().all(|e| e.is_ready()) {
-        wait(end).await?;
+        pause_until(end).await?;
     }
-    let began = Instant::now();
+    let submitted_at = Instant::now();
     let mut names = Vec::new();
     for (number, file) in plan.jobs.iter().enumerate() {
         let body = fs::read(example.join(file))?;
         let name = file.trim_end_matches(".json");
-        hand_in(&entries[number % entries.len()], name, &body).await?;
+        submit(&entries[number % entries.len()], name, &body).await?;
         names.push(name);
     }
     let mut outcomes = Vec::new();
     for name in names {
         let view = loop {
-            let view = look(&entries[0], name).await;
+            let view = query_job(&entries[0], name).await;
             match view.filter(|v| !matches!(&*v.state, "queued" | "running")) {
                 Some(view) => break view,
-                None => wait(end).await?,
+                None => pause_until(end).await?,
             }
         };
         outcomes.push(StepOutcome {
             view,
-            took: began.elapsed(),
+            duration: submitted_at.elapsed(),
         });
     }
-    let started = workers.iter().flat_map(|w| w.started.borrow().clone());
+    let started = workers.iter().flat_map(|w| w.started_runs.borrow().clone());
     Ok((outcomes, started.collect()))
 }
 
-async fn wait(end: Instant) -> io::Result<()> {
+async fn pause_until(end: Instant) -> io::Result<()> {
     if Instant::now() > end {
         return Err(io::Error::other(
             "the deployment did not come to its end in time",
         ));
     }
-    sleep(PAUSE).await;
+    sleep(POLL_INTERVAL).await;
     Ok(())
 }
 
@@ -202,7 +202,7 @@
         failure_domain: format!("domain-{rack}").into(),
         rack: format!("rack-{rack}").into(),
         accelerators: plan.accelerators,
-        task: Duration::from_millis(plan.task_ms),
+        task_time: Duration::from_millis(plan.task_ms),
     });
     let link = Arc::new(WorkerLink(worker.clone()));
     let name = format!("agent-{number}");
@@ -233,7 +233,7 @@
         }],
         workspaces: vec![Workspace {
             name: "sawmills".into(),
-            keys: vec![KEY.into()],
+            keys: vec![WORKSPACE_KEY.into()],
             guaranteed_accelerators: 0,
         }],
     }
@@ -249,17 +249,17 @@
         writer: None,
         expected_end: None,
     };
-    let appended = store.append(&append, PATIENCE).await;
+    let appended = store.append(&append, COMPLETION_TIMEOUT).await;
     appended.map_err(|e| io::Error::other(e.to_string()))?;
     Ok(())
 }
 
-async fn hand_in(entry: &Entry, name: &str, body: &[u8]) -> io::Result<()> {
+async fn submit(entry: &Entry, name: &str, body: &[u8]) -> io::Result<()> {
     let answer = entry
         .answer_api_call(ApiCall {
             method: "POST",
             path: &format!("/v1/jobs/{name}"),
-            key: Some(KEY),
+            key: Some(WORKSPACE_KEY),
             body,
         })
         .await;
@@ -270,7 +270,7 @@
     Ok(())
 }
 
-async fn look(entry: &Entry, name: &str) -> Option<StepJobView> {
+async fn query_job(entry: &Entry, name: &str) -> Option<StepJobView> {
     let answer = entry
         .answer_api_call(ApiCall {
             method: "GET",
--- a/standins/src/steps/store.rs
+++ b/standins/src/steps/store.rs
@@ -34,7 +34,7 @@
     }
 
     /// Checks a writer; returns the answer to an append that is a repeat of its last one.
-    fn admit(&mut self, writer: &Writer) -> Result<Option<Appended>, AppendError> {
+    fn check_writer(&mut self, writer: &Writer) -> Result<Option<Appended>, AppendError> {
         let known = self.writers.entry(writer.name).or_insert((0, 0, None));
         if writer.term < known.0 {
             return Err(AppendError::Fenced);
@@ -57,7 +57,7 @@
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.entry(append.partition).or_default();
         let repeated = match &append.writer {
-            Some(writer) => partition.admit(writer)?,
+            Some(writer) => partition.check_writer(writer)?,
             None => None,
         };
         if let Some(repeated) = repeated {
--- a/standins/src/steps/worker.rs
+++ b/standins/src/steps/worker.rs
@@ -18,10 +18,10 @@
 use tokio::time::sleep;
 
 /// How often the worker looks at its tasks.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How often it sends a heartbeat.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The worker's clock at its start: 0 would stand for no lease at all.
 const CLOCK_START_MS: u64 = 1_000;
@@ -38,22 +38,22 @@
     /// Its accelerators.
     pub accelerators: u64,
     /// The time that each task takes.
-    pub task: Duration,
+    pub task_time: Duration,
 }
 
 /// The worker.
 pub struct MemoryWorker {
     shape: WorkerShape,
-    began: Instant,
+    started_at: Instant,
     running: RefCell<BTreeMap<TaskId, (u32, Instant)>>,
     ends: RefCell<Vec<End>>,
     /// The newest run of each task that was stopped or has ended.
-    over: RefCell<BTreeMap<TaskId, u32>>,
+    ended_runs: RefCell<BTreeMap<TaskId, u32>>,
     token: Cell<u64>,
     lease_until_ms: Cell<u64>,
-    ended: Cell<u64>,
+    ended_count: Cell<u64>,
     /// Runs that were started, for whoever counts them.
-    pub started: RefCell<Vec<RunId>>,
+    pub started_runs: RefCell<Vec<RunId>>,
 }
 
 impl MemoryWorker {
@@ -61,29 +61,29 @@
     pub fn new(shape: WorkerShape) -> Rc<Self> {
         Rc::new(Self {
             shape,
-            began: Instant::now(),
+            started_at: Instant::now(),
             running: RefCell::default(),
             ends: RefCell::default(),
-            over: RefCell::default(),
+            ended_runs: RefCell::default(),
             token: Cell::new(0),
             lease_until_ms: Cell::new(0),
-            ended: Cell::new(0),
-            started: RefCell::default(),
+            ended_count: Cell::new(0),
+            started_runs: RefCell::default(),
         })
     }
 
     /// Sends heartbeats to the agent beside it, and works.
     pub async fn run<R: Registry>(self: Rc<Self>, registry: std::sync::Arc<R>) {
-        let mut beat = Instant::now();
+        let mut next_heartbeat = Instant::now();
         let mut sequence = 0;
         loop {
-            if beat <= Instant::now() {
+            if next_heartbeat <= Instant::now() {
                 sequence += 1;
                 registry.heartbeat(self.heartbeat(sequence));
-                beat += HEARTBEAT;
+                next_heartbeat += HEARTBEAT_INTERVAL;
             }
-            self.work();
-            sleep(TICK).await;
+            self.end_due_tasks();
+            sleep(TICK_INTERVAL).await;
         }
     }
 
@@ -108,16 +108,16 @@
     }
 
     fn clock_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64 + CLOCK_START_MS
+        self.started_at.elapsed().as_millis() as u64 + CLOCK_START_MS
     }
 
-    fn work(&self) {
+    fn end_due_tasks(&self) {
         let expired = self.clock_ms() > self.lease_until_ms.get();
         let running = self.running.borrow().clone();
         for (task, (run, since)) in running {
             if expired {
                 self.end(&task, run, EndKind::LeaseExpired);
-            } else if since.elapsed() >= self.shape.task {
+            } else if since.elapsed() >= self.shape.task_time {
                 self.end(&task, run, EndKind::Done);
             }
         }
@@ -125,10 +125,10 @@
 
     fn end(&self, task: &TaskId, run: u32, kind: EndKind) {
         self.running.borrow_mut().remove(task);
-        self.over.borrow_mut().insert(task.clone(), run);
-        self.ended.set(self.ended.get() + 1);
+        self.ended_runs.borrow_mut().insert(task.clone(), run);
+        self.ended_count.set(self.ended_count.get() + 1);
         self.ends.borrow_mut().push(End {
-            number: self.ended.get(),
+            number: self.ended_count.get(),
             run: RunId {
                 task: task.clone(),
                 number: run,
@@ -139,7 +139,7 @@
     }
 
     /// Takes a fencing token; returns whether it is still in force.
-    fn admit(&self, token: u64) -> bool {
+    fn accept_token(&self, token: u64) -> bool {
         let known = self.token.get();
         self.token.set(known.max(token));
         token >= known
@@ -170,16 +170,16 @@
 impl Worker for WorkerLink {
     async fn start(&self, _worker: &str, order: &StartOrder) -> Result<StartOutcome, CallError> {
         let worker = &self.0;
-        if !worker.admit(order.token) {
+        if !worker.accept_token(order.token) {
             return Ok(StartOutcome::Fenced);
         }
         let (task, run) = (&order.run.task, order.run.number);
-        let there = worker.running.borrow().get(task).map(|(run, _)| *run);
-        if there == Some(run) {
+        let current_run = worker.running.borrow().get(task).map(|(run, _)| *run);
+        if current_run == Some(run) {
             return Ok(StartOutcome::Started);
         }
-        let over = worker.over.borrow().get(task).copied().unwrap_or(0);
-        if there.is_some() || run <= over {
+        let last_ended = worker.ended_runs.borrow().get(task).copied().unwrap_or(0);
+        if current_run.is_some() || run <= last_ended {
             return Ok(StartOutcome::Superseded);
         }
         if worker.clock_ms() > order.lease_until_ms {
@@ -187,7 +187,7 @@
         }
         let until = worker.lease_until_ms.get().max(order.lease_until_ms);
         worker.lease_until_ms.set(until);
-        worker.started.borrow_mut().push(order.run.clone());
+        worker.started_runs.borrow_mut().push(order.run.clone());
         let running = (run, Instant::now());
         worker.running.borrow_mut().insert(task.clone(), running);
         Ok(StartOutcome::Started)
@@ -195,16 +195,16 @@
 
     async fn stop(&self, _worker: &str, run: &RunId, token: u64) -> Result<(), CallError> {
         let worker = &self.0;
-        if !worker.admit(token) {
+        if !worker.accept_token(token) {
             return Err(CallError::Refused(409));
         }
-        let there = worker.running.borrow().get(&run.task).map(|(run, _)| *run);
-        if there == Some(run.number) {
+        let current_run = worker.running.borrow().get(&run.task).map(|(run, _)| *run);
+        if current_run == Some(run.number) {
             worker.end(&run.task, run.number, EndKind::Stopped);
         }
-        let mut over = worker.over.borrow_mut();
-        let over = over.entry(run.task.clone()).or_default();
-        *over = run.number.max(*over);
+        let mut ended_runs = worker.ended_runs.borrow_mut();
+        let newest = ended_runs.entry(run.task.clone()).or_default();
+        *newest = run.number.max(*newest);
         Ok(())
     }
 
@@ -217,7 +217,7 @@
         wait: Duration,
     ) -> Result<WorkerLists, CallError> {
         let worker = &self.0;
-        if !worker.admit(token) {
+        if !worker.accept_token(token) {
             return Err(CallError::Refused(409));
         }
         worker.ends.borrow_mut().retain(|e| e.number > confirmed);
@@ -227,9 +227,9 @@
             .set(until.max(lease_until_ms.unwrap_or(0)));
         let end = Instant::now() + wait;
         // The agent asks again at once while an end is not confirmed, and shares this thread.
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
         while worker.ends.borrow().is_empty() && Instant::now() < end {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
         Ok(worker.lists())
     }
--- a/standins/src/worker/lease.rs
+++ b/standins/src/worker/lease.rs
@@ -53,7 +53,7 @@
     /// There is no such lease.
     Unknown,
     /// The lease has lapsed or its tasks have ended.
-    Over,
+    Ended,
     /// Other tasks run under it.
     Conflict,
 }
--- a/standins/src/worker/mod.rs
+++ b/standins/src/worker/mod.rs
@@ -24,10 +24,10 @@
 use crate::http::{self, Refusal};
 
 pub use lease::{Checkpoints, Interval, LeaseError, LeaseState, LeaseView, Start, Usage};
-pub use table::Table;
+pub use table::LeaseTable;
 
 /// Time between two looks at the leases.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a worker is.
 #[derive(Clone, Debug)]
@@ -110,7 +110,7 @@
     name: Name,
     accelerators: u32,
     clock: Instant,
-    table: Mutex<Table>,
+    table: Mutex<LeaseTable>,
     control: Mutex<(WorkerMode, Duration)>,
 }
 
@@ -124,7 +124,7 @@
         let epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let table = Table::new(
+        let table = LeaseTable::new(
             settings.accelerators,
             settings.failure_domain,
             epoch,
@@ -140,13 +140,13 @@
         });
         let served = shared.clone();
         let address = http::serve(settings.address, move |req| served.answer(req))?;
-        let looking = shared.clone();
+        let advancing = shared.clone();
         thread::Builder::new()
             .name("tasks".to_owned())
             .spawn(move || {
                 loop {
-                    looking.look();
-                    thread::sleep(LOOK_PAUSE);
+                    advancing.advance();
+                    thread::sleep(ADVANCE_INTERVAL);
                 }
             })?;
         Ok(Self { address, shared })
@@ -159,7 +159,7 @@
 
     /// Changes how it behaves.
     pub fn control(&self, control: WorkerControl) {
-        self.shared.set(control);
+        self.shared.apply_control(control);
     }
 
     /// Returns the times in which tasks ran.
@@ -169,22 +169,22 @@
 }
 
 impl Shared {
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, LeaseTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn look(&self) {
+    fn advance(&self) {
         let mut table = self.table();
-        table.look(self.clock.elapsed());
+        table.advance(self.clock.elapsed());
     }
 
-    fn set(&self, control: WorkerControl) {
-        let mut set = self.control.lock().unwrap_or_else(PoisonError::into_inner);
-        set.0 = control.mode.unwrap_or(set.0);
+    fn apply_control(&self, control: WorkerControl) {
+        let mut current = self.control.lock().unwrap_or_else(PoisonError::into_inner);
+        current.0 = control.mode.unwrap_or(current.0);
         if let Some(ms) = control.delay_ms {
-            set.1 = Duration::from_millis(ms);
+            current.1 = Duration::from_millis(ms);
         }
-        self.table().broken = set.0 == WorkerMode::Broken;
+        self.table().broken = current.0 == WorkerMode::Broken;
     }
 
     fn answer(&self, req: &mut Request<Body>) -> Result<Response<Body>, Refusal> {
@@ -192,18 +192,18 @@
         match (req.method().clone(), path.as_str()) {
             (Method::POST, "/control") => {
                 let control = http::read_json(req)?;
-                self.set(control);
+                self.apply_control(control);
                 Ok(http::json(StatusCode::OK, &control))
             }
             (Method::GET, "/v1/record") => {
-                self.look();
+                self.advance();
                 Ok(http::json(StatusCode::OK, &self.table().intervals()))
             }
-            _ => self.under_fault(req, &path),
+            _ => self.apply_fault(req, &path),
         }
     }
 
-    fn under_fault(&self, req: &mut Request<Body>, path: &str) -> Result<Response<Body>, Refusal> {
+    fn apply_fault(&self, req: &mut Request<Body>, path: &str) -> Result<Response<Body>, Refusal> {
         let (mode, delay) = *self.control.lock().unwrap_or_else(PoisonError::into_inner);
         thread::sleep(delay);
         if mode == WorkerMode::Refuse {
@@ -226,14 +226,14 @@
         let (lease, verb) = rest.split_once('/').unwrap_or((rest, ""));
         let lease = Name::from(lease);
         match (method, verb) {
-            (Method::GET, "") => self.change(&lease, |_, _| Ok(())),
+            (Method::GET, "") => self.update_lease(&lease, |_, _| Ok(())),
             (Method::PUT, "") => {
                 let Obtain {
                     accelerators,
                     ttl_ms,
                 } = http::read_json(req)?;
                 let ttl = Duration::from_millis(ttl_ms);
-                self.change(&lease, |t, now| t.obtain(now, &lease, accelerators, ttl))
+                self.update_lease(&lease, |t, now| t.obtain(now, &lease, accelerators, ttl))
             }
             (Method::DELETE, "") => {
                 let now = self.clock.elapsed();
@@ -243,22 +243,22 @@
             (Method::POST, "renew") => {
                 let Renew { ttl_ms } = http::read_json(req)?;
                 let ttl = Duration::from_millis(ttl_ms);
-                self.change(&lease, |t, now| t.renew(now, &lease, ttl))
+                self.update_lease(&lease, |t, now| t.renew(now, &lease, ttl))
             }
             (Method::POST, "start") => {
                 let start: Start = http::read_json(req)?;
-                self.change(&lease, |t, now| t.start(now, &lease, start))
+                self.update_lease(&lease, |t, now| t.start(now, &lease, start))
             }
             (Method::POST, "stop") => {
                 let Stop { checkpoint } = http::read_json(req)?;
-                self.change(&lease, |t, now| t.stop(now, &lease, checkpoint))
+                self.update_lease(&lease, |t, now| t.stop(now, &lease, checkpoint))
             }
             _ => Err(not_found()),
         }
     }
 
     fn view(&self) -> Response<Body> {
-        self.look();
+        self.advance();
         let leases = self.table().views(self.clock.elapsed());
         let view = WorkerView {
             name: self.name.clone(),
@@ -269,26 +269,26 @@
     }
 
     /// Lets `call` act on a lease and answers with what is to be seen of it afterwards.
-    fn change(
+    fn update_lease(
         &self,
         lease: &Name,
-        call: impl FnOnce(&mut Table, Duration) -> Result<(), LeaseError>,
+        call: impl FnOnce(&mut LeaseTable, Duration) -> Result<(), LeaseError>,
     ) -> Result<Response<Body>, Refusal> {
         let mut table = self.table();
         let now = self.clock.elapsed();
-        table.look(now);
-        call(&mut table, now).map_err(lease_refused)?;
+        table.advance(now);
+        call(&mut table, now).map_err(lease_refusal)?;
         let view = table.view(now, lease).ok_or_else(not_found)?;
         Ok(http::json(StatusCode::OK, &view))
     }
 }
 
-fn lease_refused(error: LeaseError) -> Refusal {
+fn lease_refusal(error: LeaseError) -> Refusal {
     match error {
         LeaseError::NotFree => Refusal::new(StatusCode::CONFLICT, "not free"),
         LeaseError::Conflict => Refusal::new(StatusCode::CONFLICT, "the lease is used otherwise"),
         LeaseError::Unknown => not_found(),
-        LeaseError::Over => Refusal::new(StatusCode::GONE, "the lease is over"),
+        LeaseError::Ended => Refusal::new(StatusCode::GONE, "the lease is over"),
     }
 }
 
--- a/standins/src/worker/program.rs
+++ b/standins/src/worker/program.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum End {
     /// All tasks end well.
-    Well,
+    Success,
     /// A task ends badly.
-    Badly,
+    Failure,
 }
 
 /// A program in the worker's own terms.
@@ -36,10 +36,10 @@
     }
 
     /// Returns after what time it ends and how, where `done` of its work was done before.
-    pub(super) fn ends(self, done: Duration) -> Option<(Duration, End)> {
+    pub(super) fn end_after(self, done: Duration) -> Option<(Duration, End)> {
         match self {
-            Self::Sleep(time) => Some((time.saturating_sub(done), End::Well)),
-            Self::Fail(time) => Some((time, End::Badly)),
+            Self::Sleep(time) => Some((time.saturating_sub(done), End::Success)),
+            Self::Fail(time) => Some((time, End::Failure)),
             Self::Forever => None,
         }
     }
--- a/standins/src/worker/table.rs
+++ b/standins/src/worker/table.rs
@@ -11,12 +11,12 @@
 
 /// Time between two looks at the clock past which the process was frozen in between. Its tasks did
 /// not run while it was.
-const FROZEN: Duration = Duration::from_millis(250);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 struct Lease {
     accelerators: u32,
-    until: Duration,
+    expires_at: Duration,
     state: LeaseState,
     checkpointed: bool,
     run: Option<Run>,
@@ -25,15 +25,15 @@
 #[derive(Debug)]
 struct Run {
     start: Start,
-    ends: Option<(Duration, End)>,
-    began: Duration,
-    done_before: Duration,
-    interval: usize,
+    planned_end: Option<(Duration, End)>,
+    started_at: Duration,
+    restored_work: Duration,
+    interval_index: usize,
 }
 
 /// Everything that a worker holds. All times are since the start of its clock.
 #[derive(Debug)]
-pub struct Table {
+pub struct LeaseTable {
     accelerators: u32,
     failure_domain: Name,
     /// The clock's start in unix time.
@@ -42,12 +42,12 @@
     checkpoints: Checkpoints,
     /// Whether all tasks fail as soon as they are started.
     pub broken: bool,
-    last_look: Duration,
+    advanced_at: Duration,
     leases: BTreeMap<Name, Lease>,
     intervals: Vec<Interval>,
 }
 
-impl Table {
+impl LeaseTable {
     /// Returns an empty table.
     pub fn new(
         accelerators: u32,
@@ -63,7 +63,7 @@
             usage_lag,
             checkpoints,
             broken: false,
-            last_look: Duration::ZERO,
+            advanced_at: Duration::ZERO,
             leases: BTreeMap::new(),
             intervals: Vec::new(),
         }
@@ -71,39 +71,39 @@
 
     /// Brings all leases and tasks up to `now`. Every other call does this before it acts, so that
     /// a worker that was frozen finds its lapsed leases before it serves anything.
-    pub fn look(&mut self, now: Duration) {
-        let frozen = now.saturating_sub(self.last_look) > FROZEN;
+    pub fn advance(&mut self, now: Duration) {
+        let frozen = now.saturating_sub(self.advanced_at) > FREEZE_THRESHOLD;
         if frozen {
-            self.pause_over(now);
+            self.split_intervals(now);
         }
-        self.last_look = self.last_look.max(now);
+        self.advanced_at = self.advanced_at.max(now);
         let names: Vec<Name> = self.leases.keys().cloned().collect();
         for name in names {
-            self.look_at(&name, now);
+            self.advance_lease(&name, now);
         }
     }
 
-    fn look_at(&mut self, name: &Name, now: Duration) {
+    fn advance_lease(&mut self, name: &Name, now: Duration) {
         let Some(lease) = self.leases.get_mut(name) else {
             return;
         };
         if !lease.is_live() {
             return;
         }
-        if lease.until <= now {
+        if lease.expires_at <= now {
             lease.state = LeaseState::Lapsed;
             let at = now;
             self.close_interval(name, at);
             return;
         }
-        let ended = lease.run.as_ref().and_then(|r| r.ends);
+        let ended = lease.run.as_ref().and_then(|r| r.planned_end);
         if let Some((at, end)) = ended
             && lease.state == LeaseState::Running
             && at <= now
         {
             lease.state = match end {
-                End::Well => LeaseState::Finished,
-                End::Badly => LeaseState::Failed,
+                End::Success => LeaseState::Finished,
+                End::Failure => LeaseState::Failed,
             };
             self.close_interval(name, now);
         }
@@ -111,8 +111,8 @@
 
     /// Ends the intervals of all running tasks where the process was frozen, and begins new ones
     /// at `now` for those whose lease still holds. The time in between is no work done.
-    fn pause_over(&mut self, now: Duration) {
-        let frozen_at = self.last_look;
+    fn split_intervals(&mut self, now: Duration) {
+        let frozen_at = self.advanced_at;
         let gap = now - frozen_at;
         let running: Vec<Name> = self
             .leases
@@ -125,13 +125,13 @@
             let Some(lease) = self.leases.get_mut(&name) else {
                 continue;
             };
-            if lease.until <= now {
+            if lease.expires_at <= now {
                 lease.state = LeaseState::Lapsed;
                 continue;
             }
             if let Some(run) = &mut lease.run {
-                run.began += gap;
-                run.ends = run.ends.map(|(at, end)| (at + gap, end));
+                run.started_at += gap;
+                run.planned_end = run.planned_end.map(|(at, end)| (at + gap, end));
             }
             self.open_interval(&name, now);
         }
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// [`LeaseError::NotFree`], or [`LeaseError::Over`] where a lease of that name has ended.
+    /// [`LeaseError::NotFree`], or [`LeaseError::Ended`] where a lease of that name has ended.
     pub fn obtain(
         &mut self,
         now: Duration,
@@ -149,23 +149,23 @@
         accelerators: u32,
         ttl: Duration,
     ) -> Result<(), LeaseError> {
-        self.look(now);
+        self.advance(now);
         if let Some(lease) = self.leases.get_mut(name) {
             return match (lease.is_live(), lease.accelerators == accelerators) {
                 (true, true) => {
-                    lease.until = lease.until.max(now + ttl);
+                    lease.expires_at = lease.expires_at.max(now + ttl);
                     Ok(())
                 }
                 (true, false) => Err(LeaseError::Conflict),
-                (false, _) => Err(LeaseError::Over),
+                (false, _) => Err(LeaseError::Ended),
             };
         }
-        if accelerators > self.free() {
+        if accelerators > self.free_accelerators() {
             return Err(LeaseError::NotFree);
         }
         let lease = Lease {
             accelerators,
-            until: now + ttl,
+            expires_at: now + ttl,
             state: LeaseState::Held,
             checkpointed: false,
             run: None,
@@ -178,10 +178,10 @@
     ///
     /// # Errors
     ///
-    /// [`LeaseError::Over`] where it has lapsed or ended, which is never undone.
+    /// [`LeaseError::Ended`] where it has lapsed or ended, which is never undone.
     pub fn renew(&mut self, now: Duration, name: &Name, ttl: Duration) -> Result<(), LeaseError> {
-        self.look(now);
-        self.live(name)?.until = now + ttl;
+        self.advance(now);
+        self.live_lease(name)?.expires_at = now + ttl;
         Ok(())
     }
 
@@ -189,18 +189,18 @@
     ///
     /// # Errors
     ///
-    /// [`LeaseError::Over`] where the lease has lapsed or ended.
+    /// [`LeaseError::Ended`] where the lease has lapsed or ended.
     pub fn start(&mut self, now: Duration, name: &Name, start: Start) -> Result<(), LeaseError> {
-        self.look(now);
+        self.advance(now);
         let (broken, checkpoints) = (self.broken, self.checkpoints.clone());
-        let lease = self.live(name)?;
+        let lease = self.live_lease(name)?;
         if let Some(run) = &lease.run {
             return match run.start == start {
                 true => Ok(()),
                 false => Err(LeaseError::Conflict),
             };
         }
-        let done_before = match start.resume {
+        let restored_work = match start.resume {
             true => checkpoints.load(&start.job, start.member),
             false => Duration::ZERO,
         };
@@ -209,17 +209,17 @@
             false => Program::parse(&start.program),
         };
         lease.run = Some(Run {
-            ends: program
-                .ends(done_before)
+            planned_end: program
+                .end_after(restored_work)
                 .map(|(after, end)| (now + after, end)),
             start,
-            began: now,
-            done_before,
-            interval: 0,
+            started_at: now,
+            restored_work,
+            interval_index: 0,
         });
         lease.state = LeaseState::Running;
         self.open_interval(name, now);
-        self.look(now);
+        self.advance(now);
         Ok(())
     }
 
@@ -229,7 +229,7 @@
     ///
     /// [`LeaseError::Unknown`]; stopping what has ended changes nothing.
     pub fn stop(&mut self, now: Duration, name: &Name, checkpoint: bool) -> Result<(), LeaseError> {
-        self.look(now);
+        self.advance(now);
         let checkpoints = self.checkpoints.clone();
         let lease = self.leases.get_mut(name).ok_or(LeaseError::Unknown)?;
         if !lease.is_live() {
@@ -238,7 +238,7 @@
         if let Some(run) = &lease.run
             && checkpoint
         {
-            checkpoints.save(&run.start.job, run.start.member, run.done(now));
+            checkpoints.save(&run.start.job, run.start.member, run.work_done(now));
             lease.checkpointed = true;
         }
         lease.state = LeaseState::Stopped;
@@ -248,7 +248,7 @@
 
     /// Forgets a lease and stops its tasks.
     pub fn remove(&mut self, now: Duration, name: &Name) {
-        self.look(now);
+        self.advance(now);
         self.close_interval(name, now);
         self.leases.remove(name);
     }
@@ -264,7 +264,7 @@
             lease: name.clone(),
             state: lease.state,
             accelerators: lease.accelerators,
-            ttl_ms: millis(lease.until.saturating_sub(now)),
+            ttl_ms: millis(lease.expires_at.saturating_sub(now)),
             checkpointed: lease.checkpointed,
             usage,
         })
@@ -283,7 +283,7 @@
         &self.intervals
     }
 
-    fn free(&self) -> u32 {
+    fn free_accelerators(&self) -> u32 {
         let held: u32 = self
             .leases
             .values()
@@ -293,11 +293,11 @@
         self.accelerators.saturating_sub(held)
     }
 
-    fn live(&mut self, name: &Name) -> Result<&mut Lease, LeaseError> {
+    fn live_lease(&mut self, name: &Name) -> Result<&mut Lease, LeaseError> {
         let lease = self.leases.get_mut(name).ok_or(LeaseError::Unknown)?;
         match lease.is_live() {
             true => Ok(lease),
-            false => Err(LeaseError::Over),
+            false => Err(LeaseError::Ended),
         }
     }
 
@@ -305,7 +305,7 @@
         let Some(run) = self.leases.get_mut(name).and_then(|l| l.run.as_mut()) else {
             return;
         };
-        run.interval = self.intervals.len();
+        run.interval_index = self.intervals.len();
         self.intervals.push(Interval {
             job: run.start.job.clone(),
             attempt: run.start.attempt,
@@ -321,7 +321,7 @@
             return;
         };
         let at = millis(self.epoch + at);
-        if let Some(interval) = self.intervals.get_mut(run.interval) {
+        if let Some(interval) = self.intervals.get_mut(run.interval_index) {
             interval.stopped_unix_ms.get_or_insert(at);
         }
     }
@@ -334,14 +334,14 @@
 }
 
 impl Run {
-    fn done(&self, now: Duration) -> Duration {
-        self.done_before + now.saturating_sub(self.began)
+    fn work_done(&self, now: Duration) -> Duration {
+        self.restored_work + now.saturating_sub(self.started_at)
     }
 
     fn usage(&self, now: Duration, lag: Duration) -> Option<Usage> {
-        let measured = now.checked_sub(lag).filter(|at| *at >= self.began)?;
+        let measured = now.checked_sub(lag).filter(|at| *at >= self.started_at)?;
         Some(Usage {
-            ran_ms: millis(measured - self.began),
+            ran_ms: millis(measured - self.started_at),
             age_ms: millis(lag),
         })
     }
--- a/standins/tests/attempt_numbers.rs
+++ b/standins/tests/attempt_numbers.rs
@@ -12,13 +12,13 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Deserialize)]
-struct NotDone {
+struct FailureBody {
     outcome: String,
     reason: Option<String>,
     next_attempt: u32,
 }
 
-fn ask(deployment: &Deployment, service: &str, headers: &[(&str, &str)]) -> NotDone {
+fn send(deployment: &Deployment, service: &str, headers: &[(&str, &str)]) -> FailureBody {
     let path = format!("/v1/services/{service}/requests");
     let entry = deployment.entries[0].http;
     let answer = http::call(entry, Method::POST, &path, headers, Vec::new(), TIMEOUT);
@@ -33,15 +33,15 @@
     let deployment = Deployment::builder().start();
     let key = ("Idempotency-Key", "booth-7");
     for headers in [&[key][..], &[key, ("Dragonfly-Attempt", "0")][..]] {
-        let refused = ask(&deployment, SERVICE, headers);
+        let refused = send(&deployment, SERVICE, headers);
         assert_eq!(refused.outcome, "not_run");
         assert_eq!(refused.reason.as_deref(), Some("malformed"));
     }
-    let refused = ask(&deployment, "nobody", &[key, ("Dragonfly-Attempt", "1")]);
+    let refused = send(&deployment, "nobody", &[key, ("Dragonfly-Attempt", "1")]);
     assert_eq!(refused.reason.as_deref(), Some("unknown_service"));
     assert_eq!(refused.next_attempt, 1);
     // The owners have known all keys for seconds only, and an earlier attempt may have run.
-    let unknown = ask(&deployment, SERVICE, &[key, ("Dragonfly-Attempt", "3")]);
+    let unknown = send(&deployment, SERVICE, &[key, ("Dragonfly-Attempt", "3")]);
     assert_eq!(unknown.outcome, "unknown");
     assert_eq!(unknown.next_attempt, 4);
     let records = deployment.backend_records();
--- a/standins/tests/config_outage.rs
+++ b/standins/tests/config_outage.rs
@@ -18,15 +18,15 @@
 };
 
 /// Time within which an accepted edit is in force in every process.
-const IN_FORCE_MS: u64 = 6_000;
+const MAX_IN_FORCE_MS: u64 = 6_000;
 
 /// Watches the versions that the entries have in force, themselves and each process they hear.
-struct Watch {
+struct VersionWatch {
     stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Watch {
+impl VersionWatch {
     fn start(callers: Vec<Caller>) -> Self {
         let stopping = Arc::new(AtomicBool::new(false));
         let threads = callers.into_iter().map(|caller| {
@@ -76,12 +76,12 @@
 /// All processes but one entry are cut off from the log when an edit is accepted there. They hear
 /// of it from that entry.
 #[test]
-fn heard_from_peers() {
+fn learned_from_peers() {
     let deployment = Deployment::builder().start();
-    let watch = Watch::start(deployment.callers());
-    deployment.entries[1].log_link.set(LinkMode::Frozen);
+    let watch = VersionWatch::start(deployment.callers());
+    deployment.entries[1].log_link.set_mode(LinkMode::Frozen);
     for agent in &deployment.agents {
-        agent.log_link.set(LinkMode::Cut);
+        agent.log_link.set_mode(LinkMode::Cut);
     }
     sleep(Duration::from_secs(3));
     for in_service in [false, true, false] {
@@ -89,7 +89,7 @@
         let accepted = unix_ms();
         wait_in_force(&deployment, 0, version);
         let took = unix_ms() - accepted;
-        assert!(took <= IN_FORCE_MS, "in force after {took} ms");
+        assert!(took <= MAX_IN_FORCE_MS, "in force after {took} ms");
     }
     watch.stop();
 }
@@ -101,7 +101,7 @@
     let mut deployment = Deployment::builder().start();
     let version = deployment.set_in_service("judenburg", false);
     wait_in_force(&deployment, 0, version);
-    let watch = Watch::start(deployment.callers());
+    let watch = VersionWatch::start(deployment.callers());
     deployment.set_log(LogMode::Refuse);
     deployment.restart_entry(1);
     deployment.restart_agent(2);
@@ -120,7 +120,7 @@
     let mut deployment = Deployment::builder().start();
     let version = deployment.set_in_service("judenburg", false);
     wait_in_force(&deployment, 0, version);
-    let watch = Watch::start(deployment.callers());
+    let watch = VersionWatch::start(deployment.callers());
     for round in 0..20 {
         deployment.set_in_service("murau", round % 2 == 1);
     }
--- a/standins/tests/daemon_start.rs
+++ b/standins/tests/daemon_start.rs
@@ -99,7 +99,7 @@
 /// A stranger on the network announces a backend server of its own. Were it believed, callers'
 /// requests would be sent to the stranger.
 #[test]
-fn stranger_announces() {
+fn unauthorized_announcement() {
     let deployment = Deployment::builder().start();
     let agent = deployment.agents[0].http;
     let announcement = format!(
--- a/standins/tests/double_faults.rs
+++ b/standins/tests/double_faults.rs
@@ -8,18 +8,18 @@
         Deployment,
         Load,
         LoadShape,
-        doubled_keys,
-        in_domain_after,
+        contradicted_answers,
         job,
+        repeated_keys,
+        starts_in_domain_after,
         unix_ms,
-        untrue_answers,
         wait_until, //
     },
     log::LogMode,
 };
 
-const PARTIAL_MS: u64 = 4_000;
-const DRAIN_MS: u64 = 6_000;
+const MAX_PARTIAL_MS: u64 = 4_000;
+const MAX_LATE_START_MS: u64 = 6_000;
 
 /// During an outage of the log the planner dies and a worker's agent with it, while a gang runs and
 /// tickets come. The gang stops whole; when the log is back the job goes on and ends.
@@ -41,12 +41,15 @@
     deployment.restart_agent(0);
     deployment.set_log(LogMode::Up);
     deployment.wait_for_end("reconstruction", JobState::Finished);
-    deployment.check_gang("reconstruction", 3, PARTIAL_MS);
+    deployment.check_gang("reconstruction", 3, MAX_PARTIAL_MS);
     load.wait_for_done(50);
-    let asked = load.stop();
+    let requests = load.stop();
     let records = deployment.backend_records();
-    assert_eq!(doubled_keys(&records), []);
-    assert_eq!(untrue_answers(&asked, &records), Vec::<String>::new());
+    assert_eq!(repeated_keys(&records), []);
+    assert_eq!(
+        contradicted_answers(&requests, &records),
+        Vec::<String>::new()
+    );
 }
 
 /// A failure domain is taken out in the middle of a burst of jobs, and the log then goes down. No
@@ -65,7 +68,11 @@
     for number in 0..20 {
         deployment.wait_for_end(&format!("grading-{number}"), JobState::Finished);
     }
-    let late = in_domain_after(&deployment.intervals(), "judenburg", drained + DRAIN_MS);
+    let late = starts_in_domain_after(
+        &deployment.intervals(),
+        "judenburg",
+        drained + MAX_LATE_START_MS,
+    );
     assert!(late.is_empty(), "{late:#?}");
 }
 
@@ -80,7 +87,7 @@
     deployment.set_log(LogMode::LoseAppends);
     let callers = deployment.callers();
     for number in 0..12 {
-        // The answer may be that the outcome is unknown; it is asked for again below.
+        // The answer may be that the outcome is unknown; it is requests for again below.
         let _ = callers[number % 2].cancel(&format!("grading-{number}"));
     }
     deployment.set_log(LogMode::Up);
--- a/standins/tests/drain_cut.rs
+++ b/standins/tests/drain_cut.rs
@@ -9,8 +9,8 @@
         Load,
         LoadShape,
         Signal,
-        in_domain_after,
         job,
+        starts_in_domain_after,
         unix_ms,
         wait_until, //
     },
@@ -18,26 +18,26 @@
 };
 
 /// Time after the edit within which a start may still have been under way.
-const DRAIN_MS: u64 = 6_000;
+const MAX_LATE_START_MS: u64 = 6_000;
 
 /// How long the failure domain stays out.
-const OUT_MS: u64 = 12_000;
+const OUT_OF_SERVICE_MS: u64 = 12_000;
 
-const OUT_DOMAIN: &str = "judenburg";
+const DRAINED_DOMAIN: &str = "judenburg";
 
 /// Keeps small jobs and requests coming while the domain is out, then returns it and waits until
 /// something starts there, which shows that it could have before.
 fn drain_under_load(deployment: &Deployment, drained: u64) {
     let load = Load::start(deployment.callers(), LoadShape::default());
-    let until = unix_ms() + OUT_MS;
+    let until = unix_ms() + OUT_OF_SERVICE_MS;
     let mut number = 0;
     while unix_ms() < until {
         deployment.submit(&format!("grading-{number}"), &job(1, 4, "sleep:300"));
         number += 1;
         sleep(Duration::from_millis(200));
     }
-    let late = drained + DRAIN_MS;
-    let starts = in_domain_after(&deployment.intervals(), OUT_DOMAIN, late);
+    let late = drained + MAX_LATE_START_MS;
+    let starts = starts_in_domain_after(&deployment.intervals(), DRAINED_DOMAIN, late);
     assert!(starts.is_empty(), "{starts:#?}");
     let records = deployment.backend_records();
     let mut runs = records[2].runs.iter();
@@ -47,11 +47,11 @@
     );
 
     let returned = unix_ms();
-    deployment.set_in_service(OUT_DOMAIN, true);
+    deployment.set_in_service(DRAINED_DOMAIN, true);
     wait_until("a start in the returned domain", || {
         deployment.submit(&format!("grading-{number}"), &job(1, 4, "sleep:300"));
         number += 1;
-        !in_domain_after(&deployment.intervals(), OUT_DOMAIN, returned).is_empty()
+        !starts_in_domain_after(&deployment.intervals(), DRAINED_DOMAIN, returned).is_empty()
     });
     load.stop();
     for number in 0..number {
@@ -63,8 +63,8 @@
 #[test]
 fn agent_cut_off() {
     let deployment = Deployment::builder().start();
-    deployment.agents[2].log_link.set(LinkMode::Frozen);
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.agents[2].log_link.set_mode(LinkMode::Frozen);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     drain_under_load(&deployment, unix_ms());
 }
 
@@ -74,7 +74,7 @@
     let deployment = Deployment::builder().start();
     let planner = &deployment.entries[deployment.planner()].child;
     planner.signal(Signal::Stop);
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     let drained = unix_ms();
     sleep(Duration::from_secs(7));
     planner.signal(Signal::Continue);
@@ -90,7 +90,7 @@
     for number in 0..4 {
         deployment.submit(&format!("early-{number}"), &job(1, 8, "sleep:200"));
     }
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     let drained = unix_ms();
     sleep(Duration::from_secs(7));
     agent.signal(Signal::Continue);
--- a/standins/tests/gang_freeze.rs
+++ b/standins/tests/gang_freeze.rs
@@ -7,7 +7,7 @@
 use standins::harness::{Deployment, Signal, job, wait_until};
 
 /// The gang lease of 3 s, and a second for a busy machine.
-const PARTIAL_MS: u64 = 4_000;
+const MAX_PARTIAL_MS: u64 = 4_000;
 
 /// Longer than any lease.
 const FREEZE: Duration = Duration::from_secs(8);
@@ -32,7 +32,7 @@
     assert_eq!(deployment.running_members(GANG, first), 0);
     deployment.agents[0].child.signal(Signal::Continue);
     deployment.wait_for_gang(GANG, MEMBERS, first);
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// A worker is paused with its tasks. The others stop; when it goes on it finds its lease lapsed
@@ -46,7 +46,7 @@
     deployment.workers[1].child.signal(Signal::Continue);
     assert_eq!(deployment.running_members(GANG, first), 0);
     deployment.wait_for_gang(GANG, MEMBERS, first);
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// The planner is paused for longer than its term lasts. Another entry takes over; then both plan
@@ -70,7 +70,7 @@
         let name = format!("{GANG}-{number}");
         deployment.wait_for_end(&name, JobState::Finished);
         let members = members_of(&deployment, &name);
-        deployment.check_gang(&name, members, PARTIAL_MS);
+        deployment.check_gang(&name, members, MAX_PARTIAL_MS);
     }
 }
 
--- a/standins/tests/gang_kills.rs
+++ b/standins/tests/gang_kills.rs
@@ -10,7 +10,7 @@
 };
 
 /// The gang lease of 3 s, and a second for a busy machine.
-const PARTIAL_MS: u64 = 4_000;
+const MAX_PARTIAL_MS: u64 = 4_000;
 
 const GANG: &str = "reconstruction";
 const MEMBERS: usize = 3;
@@ -31,10 +31,10 @@
     wait_until("the stop of all members", || {
         deployment.running_members(GANG, first) == 0
     });
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
     deployment.restart_agent(0);
     deployment.wait_for_gang(GANG, MEMBERS, first);
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// A worker dies with its tasks, as when a host loses power. The other members stop.
@@ -46,7 +46,7 @@
     wait_until("the stop of all members", || {
         deployment.running_members(GANG, first) == 0
     });
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// The planner dies while a gang runs. The gang goes on without a pause, and the next planner knows
@@ -65,7 +65,7 @@
     wait_until("the stop of all members", || {
         deployment.running_members(GANG, first) == 0
     });
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// The log is down for three times the gang lease while a gang runs. No member stops.
@@ -80,7 +80,7 @@
     deployment.caller(0).cancel(GANG).unwrap();
     deployment.wait_for_end(GANG, JobState::Cancelled);
     assert_eq!(deployment.intervals_of(GANG).len(), MEMBERS);
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
 /// Jobs are started while the log loses the answers to appends, refuses, and hangs, so that the
@@ -97,7 +97,7 @@
         std::thread::sleep(std::time::Duration::from_secs(3));
         deployment.set_log(LogMode::Up);
         deployment.wait_for_end(&name, JobState::Finished);
-        deployment.check_gang(&name, MEMBERS, PARTIAL_MS);
+        deployment.check_gang(&name, MEMBERS, MAX_PARTIAL_MS);
     }
 }
 
@@ -115,5 +115,5 @@
     wait_until("the stop of all members", || {
         deployment.running_members(GANG, first) == 0
     });
-    deployment.check_gang(GANG, MEMBERS, PARTIAL_MS);
+    deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
--- a/standins/tests/graceful_stop.rs
+++ b/standins/tests/graceful_stop.rs
@@ -3,22 +3,22 @@
 use standins::{
     backend::BackendControl,
     harness::{
-        Asked,
         Deployment,
         Load,
         LoadShape,
         Signal,
-        doubled_keys,
+        TrackedRequest,
+        contradicted_answers,
+        repeated_keys,
         unix_ms,
-        untrue_answers,
         wait_until, //
     },
 };
 
-const SOME: usize = 60;
+const REQUESTS_PER_PHASE: usize = 60;
 
 /// Time after which a leaving backend server gets no new work.
-const LEAVING_MS: u64 = 3_000;
+const LAST_REQUEST_MS: u64 = 3_000;
 
 fn load(deployment: &Deployment) -> Load {
     let shape = LoadShape {
@@ -31,17 +31,20 @@
 
 /// A connection that was refused because the process had gone is no request that was cut off: the
 /// platform's balancer no longer sends there.
-fn check(deployment: &Deployment, asked: &[Asked]) {
-    let cut_off: Vec<String> = asked
+fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
+    let cut_off: Vec<String> = requests
         .iter()
         .filter(|a| a.was_cut_off())
-        .map(Asked::story)
+        .map(TrackedRequest::summary)
         .collect();
     assert!(cut_off.is_empty(), "{cut_off:#?}");
-    assert!(asked.iter().all(Asked::is_done));
+    assert!(requests.iter().all(TrackedRequest::is_done));
     let records = deployment.backend_records();
-    assert_eq!(doubled_keys(&records), []);
-    assert_eq!(untrue_answers(asked, &records), Vec::<String>::new());
+    assert_eq!(repeated_keys(&records), []);
+    assert_eq!(
+        contradicted_answers(requests, &records),
+        Vec::<String>::new()
+    );
 }
 
 /// An entry is stopped for an upgrade while callers wait for large answers, and started again.
@@ -49,11 +52,11 @@
 fn entry_stopped() {
     let mut deployment = Deployment::builder().start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     for number in 0..2 {
         deployment.entries[number].child.signal(Signal::Terminate);
         assert!(deployment.entries[number].child.wait().success());
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
         deployment.restart_entry(number);
         deployment.wait_until_ready();
     }
@@ -65,13 +68,13 @@
 fn agent_stopped() {
     let mut deployment = Deployment::builder().start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     for number in 0..2 {
         deployment.agents[number].child.signal(Signal::Terminate);
         assert!(deployment.agents[number].child.wait().success());
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
         deployment.restart_agent(number);
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     check(&deployment, &load.stop());
 }
@@ -82,7 +85,7 @@
 fn backend_leaving() {
     let mut deployment = Deployment::builder().start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.control_backend(
         0,
         BackendControl {
@@ -91,12 +94,14 @@
         },
     );
     let left = unix_ms();
-    wait_until("some seconds of load", || unix_ms() > left + 2 * LEAVING_MS);
+    wait_until("some seconds of load", || {
+        unix_ms() > left + 2 * LAST_REQUEST_MS
+    });
     let records = deployment.backend_records();
     let late = records[0]
         .runs
         .iter()
-        .filter(|r| r.started_unix_ms > left + LEAVING_MS);
+        .filter(|r| r.started_unix_ms > left + LAST_REQUEST_MS);
     assert_eq!(late.count(), 0);
     let elsewhere = records[1].runs.iter().filter(|r| r.started_unix_ms > left);
     assert!(elsewhere.count() > 0);
--- a/standins/tests/key_kills.rs
+++ b/standins/tests/key_kills.rs
@@ -6,7 +6,9 @@
 use std::{thread::sleep, time::Duration};
 
 use standins::{
-    harness::{Asked, Deployment, Load, LoadShape, Signal, doubled_keys, untrue_answers},
+    harness::{
+        Deployment, Load, LoadShape, Signal, TrackedRequest, contradicted_answers, repeated_keys,
+    },
     log::LogMode,
     relay::LinkMode,
 };
@@ -15,7 +17,7 @@
 const FREEZE: Duration = Duration::from_secs(5);
 
 /// Requests that are done between two faults.
-const SOME: usize = 50;
+const REQUESTS_PER_PHASE: usize = 50;
 
 fn load(deployment: &Deployment) -> Load {
     // Many requests are under way at each fault, and their callers ask again until the owners
@@ -29,11 +31,14 @@
     Load::start(deployment.callers(), shape)
 }
 
-fn check(deployment: &Deployment, asked: &[Asked]) {
+fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
     let records = deployment.backend_records();
     assert_eq!(records.len(), deployment.backends.len());
-    assert_eq!(doubled_keys(&records), []);
-    assert_eq!(untrue_answers(asked, &records), Vec::<String>::new());
+    assert_eq!(repeated_keys(&records), []);
+    assert_eq!(
+        contradicted_answers(requests, &records),
+        Vec::<String>::new()
+    );
 }
 
 /// An agent is killed with its grants and its kept outcomes. It owned a third of the keys, and it
@@ -43,12 +48,12 @@
 fn owner_killed() {
     let mut deployment = Deployment::builder().slots(8).start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     for owner in 0..2 {
         deployment.agents[owner].child.kill();
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
         deployment.restart_agent(owner);
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     check(&deployment, &load.stop());
 }
@@ -58,31 +63,31 @@
 fn owner_frozen() {
     let deployment = Deployment::builder().slots(8).start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     for owner in 0..2 {
         deployment.agents[owner].child.signal(Signal::Stop);
         sleep(FREEZE);
         deployment.agents[owner].child.signal(Signal::Continue);
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     check(&deployment, &load.stop());
 }
 
-/// An entry dies with the requests it was asked, which its callers then send to the other one.
+/// An entry dies with the requests it was requests, which its callers then send to the other one.
 /// Its successor starts; then the other entry is paused and goes on.
 #[test]
 fn entry_killed() {
     let mut deployment = Deployment::builder().slots(8).start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.entries[0].child.kill();
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.restart_entry(0);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.entries[1].child.signal(Signal::Stop);
     sleep(FREEZE);
     deployment.entries[1].child.signal(Signal::Continue);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     check(&deployment, &load.stop());
 }
 
@@ -94,10 +99,10 @@
     for round in 0..6 {
         let link = deployment.entries[round % 2].peer_link.as_ref().unwrap();
         let fault = [LinkMode::Cut, LinkMode::Frozen][round / 3];
-        link.set(fault);
+        link.set_mode(fault);
         sleep(Duration::from_millis(700));
-        link.set(LinkMode::Pass);
-        load.wait_for_done(SOME);
+        link.set_mode(LinkMode::Pass);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     check(&deployment, &load.stop());
 }
@@ -108,7 +113,7 @@
 fn killed_in_outage() {
     let mut deployment = Deployment::builder().slots(8).start();
     let load = load(&deployment);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.set_log(LogMode::Refuse);
     sleep(FREEZE);
     deployment.agents[0].child.kill();
@@ -116,6 +121,6 @@
     deployment.restart_agent(0);
     sleep(FREEZE);
     deployment.set_log(LogMode::Up);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     check(&deployment, &load.stop());
 }
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -5,19 +5,22 @@
 use standins::{
     backend::{BackendControl, BackendMode},
     caller::Reply,
-    harness::{Asked, Deployment, Load, LoadShape, Signal, untrue_answers},
+    harness::{Deployment, Load, LoadShape, Signal, TrackedRequest, contradicted_answers},
 };
 
-const SOME: usize = 40;
+const REQUESTS_PER_PHASE: usize = 40;
 
-fn check(deployment: &Deployment, asked: &[Asked]) {
+fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
     let records = deployment.backend_records();
     assert_eq!(records.len(), deployment.backends.len());
-    assert_eq!(untrue_answers(asked, &records), Vec::<String>::new());
+    assert_eq!(
+        contradicted_answers(requests, &records),
+        Vec::<String>::new()
+    );
 }
 
-fn refusals(asked: &[Asked]) -> usize {
-    let replies = asked.iter().flat_map(|a| &a.replies);
+fn refusals(requests: &[TrackedRequest]) -> usize {
+    let replies = requests.iter().flat_map(|a| &a.replies);
     replies.filter(|r| r.is_not_run()).count()
 }
 
@@ -35,18 +38,18 @@
         ..LoadShape::default()
     };
     let load = Load::start(deployment.callers(), shape);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.agents[1].child.kill();
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.restart_agent(1);
     deployment.entries[0].child.kill();
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.restart_entry(0);
-    load.wait_for_done(SOME);
-    let asked = load.stop();
-    check(&deployment, &asked);
+    load.wait_for_done(REQUESTS_PER_PHASE);
+    let requests = load.stop();
+    check(&deployment, &requests);
     assert!(
-        refusals(&asked) > 0,
+        refusals(&requests) > 0,
         "the load was too small to see refusals"
     );
     let in_use = deployment.backend_records();
@@ -73,16 +76,16 @@
         BackendMode::Refusing,
     ] {
         set(&deployment, 0, mode);
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     set(&deployment, 0, BackendMode::Up);
     deployment.backends[1].child.signal(Signal::Stop);
     sleep(Duration::from_secs(2));
     deployment.backends[1].child.signal(Signal::Continue);
-    load.wait_for_done(SOME);
-    let asked = load.stop();
-    check(&deployment, &asked);
-    let replies = asked.iter().flat_map(|a| &a.replies);
+    load.wait_for_done(REQUESTS_PER_PHASE);
+    let requests = load.stop();
+    check(&deployment, &requests);
+    let replies = requests.iter().flat_map(|a| &a.replies);
     assert!(
         replies
             .filter(|r| !matches!(r, Reply::Broken(_)))
--- a/standins/tests/operator_tool.rs
+++ b/standins/tests/operator_tool.rs
@@ -50,8 +50,8 @@
     }
 
     fn run(&self, arguments: &[&str]) -> Output {
-        let beside = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
-        Command::new(beside.with_file_name("dragonflyrun"))
+        let this_binary = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
+        Command::new(this_binary.with_file_name("dragonflyrun"))
             .current_dir(&self.dir)
             .args(arguments)
             .output()
@@ -80,7 +80,7 @@
     json!({ "owners": [owner], "failure_domains": domains.collect::<Vec<_>>() })
 }
 
-fn everywhere(answer: &Value) -> bool {
+fn in_force_everywhere(answer: &Value) -> bool {
     let in_force = &answer["in_force"];
     let version = in_force["version"].as_u64().unwrap();
     let processes = in_force["processes"].as_array().unwrap();
@@ -106,7 +106,7 @@
         (0, &json!("accepted")),
         "{accepted}"
     );
-    assert!(everywhere(&accepted), "{accepted}");
+    assert!(in_force_everywhere(&accepted), "{accepted}");
 
     let (exit, stale) = tool.json(&edit);
     assert_eq!((exit, &stale["verdict"]), (1, &json!("stale")), "{stale}");
@@ -128,7 +128,7 @@
         (0, &json!("accepted")),
         "{drained}"
     );
-    assert!(everywhere(&drained), "{drained}");
+    assert!(in_force_everywhere(&drained), "{drained}");
     let (exit, again) = tool.json(&["drain", "murau"]);
     assert_eq!(
         (exit, &again["outcome"]),
@@ -152,7 +152,7 @@
 /// An editor of one team holds its own key and not the secret, and may edit its own section only.
 /// With a mistaken key its edit is skipped by every process, and it must not be told otherwise.
 #[test]
-fn own_key() {
+fn editor_key() {
     let deployment = Deployment::builder().start();
     let tool = Tool::new("own-key", &deployment);
     tool.write("team.json", &section("alice", &[("leoben", true)]));
@@ -227,7 +227,7 @@
     deployment.agents[0].child.signal(Signal::Continue);
     wait_until("all processes to have the version in force", || {
         let (_, status) = tool.json(&["status"]);
-        everywhere(&status) && status["in_force"]["unanswered"] == json!([])
+        in_force_everywhere(&status) && status["in_force"]["unanswered"] == json!([])
     });
 }
 
--- a/standins/tests/record_checks.rs
+++ b/standins/tests/record_checks.rs
@@ -3,7 +3,7 @@
 use dragonflyrun::utils::Name;
 use standins::{
     backend::{BackendRecord, Run, answer_to},
-    harness::{doubled_keys, in_domain_after, longest_partial, overlapping},
+    harness::{longest_partial, overlapping, repeated_keys, starts_in_domain_after},
     worker::Interval,
 };
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn partial_seen() {
+fn partial_found() {
     let skewed = [
         interval(1, 0, 100, Some(900)),
         interval(1, 1, 130, Some(920)),
@@ -43,22 +43,22 @@
 }
 
 #[test]
-fn overlap_seen() {
-    let apart = [interval(1, 0, 100, Some(200)), interval(2, 0, 200, None)];
-    assert!(overlapping(&apart, 300).is_empty());
-    let both = [interval(1, 0, 100, Some(201)), interval(2, 1, 200, None)];
-    assert_eq!(overlapping(&both, 300).len(), 1);
+fn overlap_found() {
+    let consecutive = [interval(1, 0, 100, Some(200)), interval(2, 0, 200, None)];
+    assert!(overlapping(&consecutive, 300).is_empty());
+    let concurrent = [interval(1, 0, 100, Some(201)), interval(2, 1, 200, None)];
+    assert_eq!(overlapping(&concurrent, 300).len(), 1);
 }
 
 #[test]
-fn late_start_seen() {
+fn late_start_found() {
     let intervals = [interval(1, 0, 100, None), interval(1, 1, 300, None)];
-    assert_eq!(in_domain_after(&intervals, "murau", 200).len(), 1);
-    assert!(in_domain_after(&intervals, "leoben", 200).is_empty());
+    assert_eq!(starts_in_domain_after(&intervals, "murau", 200).len(), 1);
+    assert!(starts_in_domain_after(&intervals, "leoben", 200).is_empty());
 }
 
 #[test]
-fn doubled_seen() {
+fn repeated_key_found() {
     let run = |key: &str| Run {
         request: Name::default(),
         key: Some(Name::from(key)),
@@ -71,10 +71,10 @@
         runs: keys.iter().map(|k| run(k)).collect(),
         ..BackendRecord::default()
     };
-    assert!(doubled_keys(&[record(&["a", "b"]), record(&["c"])]).is_empty());
-    let doubled = doubled_keys(&[record(&["a", "b"]), record(&["a"])]);
-    assert_eq!(doubled.len(), 1);
-    assert_eq!(doubled[0].runs, 2);
+    assert!(repeated_keys(&[record(&["a", "b"]), record(&["c"])]).is_empty());
+    let repeated = repeated_keys(&[record(&["a", "b"]), record(&["a"])]);
+    assert_eq!(repeated.len(), 1);
+    assert_eq!(repeated[0].runs, 2);
 }
 
 #[test]
--- a/standins/tests/standin_faults.rs
+++ b/standins/tests/standin_faults.rs
@@ -17,7 +17,7 @@
     harness::wait_until,
     log::{LogControl, LogMode, LogService},
     relay::{LinkMode, Relay},
-    worker::{Checkpoints, LeaseError, LeaseState, Start, Table},
+    worker::{Checkpoints, LeaseError, LeaseState, LeaseTable, Start},
 };
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn late_effect() {
+fn late_append() {
     let (log, client) = log();
     set(&log, LogMode::Hang);
     let impatient = LogClient::new(&log.address().to_string(), Duration::from_millis(100));
@@ -110,9 +110,9 @@
     Duration::from_millis(ms)
 }
 
-fn table() -> Table {
+fn table() -> LeaseTable {
     let checkpoints = Checkpoints::default();
-    Table::new(8, Name::from("murau"), NO_WAIT, at(50), checkpoints)
+    LeaseTable::new(8, Name::from("murau"), NO_WAIT, at(50), checkpoints)
 }
 
 fn start(attempt: u32, resume: bool) -> Start {
@@ -127,8 +127,8 @@
 }
 
 /// Looks every 10 ms, as the worker's own thread does.
-fn pass(table: &mut Table, from: u64, to: u64) {
-    (from..=to).step_by(10).for_each(|ms| table.look(at(ms)));
+fn pass(table: &mut LeaseTable, from: u64, to: u64) {
+    (from..=to).step_by(10).for_each(|ms| table.advance(at(ms)));
 }
 
 /// A holder that is frozen renews too late. The lease has lapsed by then and stays so; the tasks
@@ -144,10 +144,13 @@
         Err(LeaseError::NotFree)
     );
     pass(&mut table, 10, 300);
-    assert_eq!(table.renew(at(310), &lease, at(300)), Err(LeaseError::Over));
+    assert_eq!(
+        table.renew(at(310), &lease, at(300)),
+        Err(LeaseError::Ended)
+    );
     assert_eq!(
         table.start(at(310), &lease, start(1, false)),
-        Err(LeaseError::Over)
+        Err(LeaseError::Ended)
     );
     assert_eq!(table.intervals()[0].stopped_unix_ms, Some(300));
     table.obtain(at(310), &other, 8, at(300)).unwrap();
@@ -163,7 +166,7 @@
     pass(&mut table, 10, 100);
     assert_eq!(
         table.renew(at(5_000), &lease, at(600)),
-        Err(LeaseError::Over)
+        Err(LeaseError::Ended)
     );
     let ran: Vec<_> = table
         .intervals()
@@ -185,7 +188,7 @@
         table.view(at(1_990), &lease).unwrap().state,
         LeaseState::Running
     );
-    table.look(at(2_000));
+    table.advance(at(2_000));
     assert_eq!(
         table.view(at(2_000), &lease).unwrap().state,
         LeaseState::Finished
@@ -220,26 +223,30 @@
 fn relay_faults() {
     let listener = TcpListener::bind(ANY_PORT).unwrap();
     let relay = Relay::start(ANY_PORT, listener.local_addr().unwrap()).unwrap();
-    let mut near = TcpStream::connect(relay.address()).unwrap();
-    let (mut far, _) = listener.accept().unwrap();
+    let mut client = TcpStream::connect(relay.address()).unwrap();
+    let (mut server, _) = listener.accept().unwrap();
     let mut buf = [0; 5];
-    near.write_all(b"one").unwrap();
-    far.read_exact(&mut buf[..3]).unwrap();
+    client.write_all(b"one").unwrap();
+    server.read_exact(&mut buf[..3]).unwrap();
 
-    relay.set(LinkMode::Frozen);
-    near.write_all(b"two").unwrap();
-    far.set_read_timeout(Some(at(100))).unwrap();
+    relay.set_mode(LinkMode::Frozen);
+    client.write_all(b"two").unwrap();
+    server.set_read_timeout(Some(at(100))).unwrap();
     assert!(
-        far.read(&mut buf).is_err(),
+        server.read(&mut buf).is_err(),
         "a frozen link forwards nothing"
     );
-    relay.set(LinkMode::Pass);
-    far.set_read_timeout(Some(TIMEOUT)).unwrap();
-    far.read_exact(&mut buf[..3]).unwrap();
+    relay.set_mode(LinkMode::Pass);
+    server.set_read_timeout(Some(TIMEOUT)).unwrap();
+    server.read_exact(&mut buf[..3]).unwrap();
     assert_eq!(&buf[..3], b"two");
 
-    relay.set(LinkMode::Cut);
-    near.set_read_timeout(Some(TIMEOUT)).unwrap();
-    assert_eq!(near.read(&mut buf).unwrap_or(0), 0, "a cut link is closed");
-    assert_eq!(relay.most_open(), 1);
+    relay.set_mode(LinkMode::Cut);
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
+    assert_eq!(
+        client.read(&mut buf).unwrap_or(0),
+        0,
+        "a cut link is closed"
+    );
+    assert_eq!(relay.max_open(), 1);
 }
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -6,7 +6,7 @@
 use standins::{
     backend::answer_to,
     caller::{Reply, RequestOutcome},
-    harness::{Deployment, SERVICE, Signal, doubled_keys, job},
+    harness::{Deployment, SERVICE, Signal, job, repeated_keys},
 };
 
 #[test]
@@ -41,7 +41,7 @@
         .flat_map(|r| &r.runs)
         .filter_map(|r| r.key.as_deref());
     assert_eq!(keys.filter(|k| k.starts_with("load-")).count(), 12);
-    assert!(doubled_keys(&records).is_empty());
+    assert!(repeated_keys(&records).is_empty());
 }
 
 fn run_gang(deployment: &Deployment) {
