--- a/standins/benches/path.rs
+++ b/standins/benches/path.rs
@@ -1,8 +1,8 @@
-//! Measures what the path through an entry and an agent costs: the same request straight to the
-//! backend server, through the system, and through the system with a key, side by side in one run.
+//! Measures the overhead of the path through an entry and an agent. One run sends the same request
+//! directly to the backend server, through the system, and through the system with a key.
 //!
-//! Run with `cargo bench -p standins --bench path`. The measurement that count are the ratios: all
-//! ways share the machine and one process, so what else runs slows all of them.
+//! Run it with `cargo bench -p standins --bench path`. Compare the ratios rather than the times: all
+//! routes share one machine and one process, so other load slows all of them alike.
 
 use std::{
     io,
@@ -31,14 +31,14 @@
 const DOMAIN: &str = "murau";
 const DEADLINE: Duration = Duration::from_secs(10);
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest time that is told from a longer one.
+/// Upper bound of the histogram in microseconds; longer times are recorded as this one.
 const MAX_RECORDED_US: u64 = 60_000_000;
 const SLOTS: u32 = 64;
 const CALLS_PER_ROUTE: usize = 2_000;
 const CALLERS: [usize; 3] = [1, 8, 32];
 const BODY: &[u8] = br#"{"work_ms":0,"answer_bytes":1000}"#;
 
-/// How a request gets to the backend server.
+/// The route of a request to the backend server.
 #[derive(Clone, Copy)]
 enum Route {
     Direct,
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// Sends one request and returns whether it was answered well.
+    /// Sends one request and returns whether it succeeded.
     fn call(&self, route: Route) -> bool {
         let caller = Caller::new(self.entry.http_addr());
         match route {
@@ -208,7 +208,7 @@
         });
         let elapsed = start.elapsed();
         let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, 3)
-            .unwrap_or_else(|e| panic!("the histogram's bounds: {e}"));
+            .unwrap_or_else(|e| panic!("invalid histogram bounds: {e}"));
         for time in &times {
             histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
         }
@@ -222,7 +222,7 @@
     fn time_calls(&self, route: Route, calls: usize) -> Vec<Duration> {
         let timed = |_| {
             let start = Instant::now();
-            assert!(self.call(route), "a request was not answered well");
+            assert!(self.call(route), "a request failed");
             start.elapsed()
         };
         (0..calls).map(timed).collect()
--- a/standins/src/harness/child.rs
+++ b/standins/src/harness/child.rs
@@ -1,4 +1,4 @@
-//! A program of this workspace as a process of its own.
+//! Runs a program of this workspace as a child process.
 
 use std::{
     env,
@@ -14,16 +14,16 @@
 
 use crate::harness::{WAIT_TIMEOUT, wait_for};
 
-/// A signal to a process.
+/// A signal that a test sends to a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-    /// Freeze it.
+    /// Suspends the process.
     Stop,
-    /// Let it go on.
+    /// Resumes a suspended process.
     Continue,
-    /// Ask it to stop gracefully.
+    /// Requests a graceful stop.
     Terminate,
-    /// End it at once.
+    /// Kills the process at once.
     Kill,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A process that is killed when this value is dropped.
+/// A child process. Dropping this value kills it.
 pub struct Child {
     name: String,
     process: std::process::Child,
@@ -46,16 +46,16 @@
 }
 
 impl Child {
-    /// Starts `program` of this workspace. Its logs go into a file of `dir`.
+    /// Starts `program` of this workspace. Its standard error is appended to a file in `dir`.
     ///
     /// # Panics
     ///
-    /// Where the program can't be started.
+    /// If the program cannot be started.
     pub fn start(name: &str, program: &str, arguments: &[String], dir: &Path) -> Self {
         let path = binary(program);
         let errors = dir.join(format!("{name}.log"));
         let errors = OpenOptions::new().create(true).append(true).open(errors);
-        let errors = errors.unwrap_or_else(|e| panic!("{name}: no log file: {e}"));
+        let errors = errors.unwrap_or_else(|e| panic!("{name}: cannot open the log file: {e}"));
         let mut process = Command::new(&path)
             .args(arguments)
             .env(
@@ -66,7 +66,7 @@
             .stdout(Stdio::piped())
             .stderr(errors)
             .spawn()
-            .unwrap_or_else(|e| panic!("{name}: {path:?} did not start: {e}"));
+            .unwrap_or_else(|e| panic!("{name}: cannot start {path:?}: {e}"));
         let lines = read_lines(name, process.stdout.take(), dir);
         Self {
             name: name.to_owned(),
@@ -75,58 +75,58 @@
         }
     }
 
-    /// Waits for the line that tells where the program listens.
+    /// Waits for the line in which the program prints its listening addresses, and returns it.
     ///
     /// # Panics
     ///
-    /// Where it prints none or ends.
+    /// If the program ends or prints no such line within [`WAIT_TIMEOUT`].
     pub fn first_line(&self) -> String {
         loop {
             match self.lines.recv_timeout(WAIT_TIMEOUT) {
                 Ok(line) if line.starts_with("listening ") => return line,
-                // Its log goes to standard output too.
+                // A daemon writes its log to standard output as well.
                 Ok(_) => {}
-                Err(_) => panic!("{}: it has not said where it listens", self.name),
+                Err(_) => panic!("{}: it printed no listening address", self.name),
             }
         }
     }
 
-    /// Returns its name.
+    /// Returns the name of the process in the deployment.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Panics
     ///
-    /// Where the signal can't be sent.
+    /// If the signal cannot be sent.
     pub fn signal(&self, signal: Signal) {
         let pid = self.process.id().to_string();
         let sent = Command::new("kill").args([signal.option(), &pid]).status();
         assert!(
             sent.is_ok_and(|status| status.success()),
-            "{}: {signal:?} was not sent",
+            "{}: cannot send {signal:?}",
             self.name
         );
     }
 
-    /// Returns whether it has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.process.try_wait(), Ok(Some(_)))
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit and returns its status.
     ///
     /// # Panics
     ///
-    /// Where it does not end.
+    /// If it does not exit within [`WAIT_TIMEOUT`].
     pub fn wait(&mut self) -> ExitStatus {
-        let what = format!("the end of {}", self.name);
+        let what = format!("{} to exit", self.name);
         wait_for(&what, || self.process.try_wait().ok().flatten())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -139,18 +139,24 @@
     }
 }
 
-/// Returns the address behind `field` in a line such as `listening http=127.0.0.1:80`.
+/// Returns the address that follows the prefix `field` in a line such as
+/// `listening http=127.0.0.1:80`.
 ///
 /// # Panics
 ///
-/// Where the line has no such field.
+/// If the line has no such field.
 pub(super) fn address_in(line: &str, field: &str) -> SocketAddr {
     line.split_whitespace()
         .find_map(|word| word.strip_prefix(field)?.parse().ok())
         .unwrap_or_else(|| panic!("no address {field} in {line:?}"))
 }
 
-/// Finds a program that cargo has built beside the running test.
+/// Returns the path of a program that cargo has built into the target directory of the running
+/// test.
+///
+/// # Panics
+///
+/// If the program has not been built.
 pub fn binary(program: &str) -> PathBuf {
     let path = env::current_exe().unwrap_or_default();
     let beside = path
@@ -162,8 +168,8 @@
     beside.unwrap_or_else(|| panic!("{program} is not built; run cargo build --workspace first"))
 }
 
-/// Passes the lines of `out` on and keeps them in a file, so that the process never waits for a
-/// reader.
+/// Reads the lines of `out` in a thread of its own and copies them to a file. The channel is
+/// unbounded, so the process never blocks on a full pipe.
 fn read_lines(name: &str, out: Option<impl Read + Send + 'static>, dir: &Path) -> Receiver<String> {
     let (tx, rx) = unbounded();
     let mut file = File::create(dir.join(format!("{name}.out"))).ok();
--- a/standins/src/harness/daemon.rs
+++ b/standins/src/harness/daemon.rs
@@ -1,4 +1,4 @@
-//! One process of a deployment: a daemon, or a stand-in.
+//! A single process of a deployment: either a daemon or a stand-in.
 
 use std::{fs, net::SocketAddr, path::Path, time::Duration};
 
@@ -12,27 +12,28 @@
     relay::Relay, //
 };
 
-/// Time that a stand-in has for an answer.
+/// Timeout of an HTTP call to a stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A daemon with its place in the deployment.
+/// A daemon of the deployment with the relays in front of it.
 pub struct Daemon {
     /// The process.
     pub child: Child,
-    /// Where its HTTP listener is.
+    /// The address of its HTTP listener.
     pub http: SocketAddr,
-    /// The link between it and the log.
+    /// The relay between the daemon and the log service.
     pub log_link: Relay,
-    /// The link before an entry's peer listener, which all its peers use.
+    /// The relay in front of an entry's peer listener, through which all peers connect; none for
+    /// an agent.
     pub peer_link: Option<Relay>,
     config: Config,
 }
 
-/// A stand-in with its place in the deployment.
+/// A stand-in of the deployment.
 pub struct StandIn {
     /// The process.
     pub child: Child,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
@@ -57,12 +58,12 @@
         daemon
     }
 
-    /// Returns where its peers reach it.
+    /// Returns the address at which its peers reach it.
     pub(super) fn advertised(&self) -> Option<String> {
         self.config.advertise.clone()
     }
 
-    /// Kills it and starts its successor with the same settings, at the same addresses.
+    /// Kills the process and starts a new one with the same settings and addresses.
     pub(super) fn restart(&mut self, dir: &Path) {
         self.child.kill();
         let name = self.child.name().to_owned();
@@ -71,7 +72,7 @@
         self.reuse_addresses(&line);
     }
 
-    /// Has the daemon listen at the same addresses after a restart.
+    /// Saves the listening addresses in the settings, so that a restart uses them again.
     fn reuse_addresses(&mut self, line: &str) {
         self.http = address_in(line, "http=");
         self.config.http = Some(self.http.to_string());
@@ -122,7 +123,7 @@
     let path = dir.join(format!("{name}.json"));
     let json = serde_json::to_vec_pretty(config).unwrap_or_default();
     if let Err(error) = fs::write(&path, json) {
-        panic!("{name}: the settings can't be written: {error}");
+        panic!("{name}: cannot write the settings file: {error}");
     }
     let arguments = ["--config".to_owned(), path.display().to_string()];
     Child::start(name, "dragonflyrund", &arguments, dir)
--- a/standins/src/harness/deployment.rs
+++ b/standins/src/harness/deployment.rs
@@ -27,26 +27,28 @@
     worker::Interval,
 };
 
-/// The editor who owns every section.
+/// The editor that owns every section of the document.
 pub const EDITOR: &str = "operator";
 
-/// The secret of the deployment.
+/// The secret that all processes of the deployment share.
 pub const SECRET: &str = "a secret of test deployments";
 
-/// The service that the backend servers run; its requests may run once only.
+/// The service of the backend servers. Its requests may run only once, unless
+/// [`DeploymentBuilder::repeatable`] is set.
 pub const SERVICE: &str = "scaling";
 
-/// The workspace of the jobs.
+/// The workspace to which all jobs belong.
 pub const WORKSPACE: &str = "sawmills";
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Keys that are tried before a deployment counts as ready, so that each owner is asked.
+/// Number of keyed requests that each entry has to answer before a deployment counts as ready.
+/// With several keys, every key owner is asked.
 const READINESS_KEYS: usize = 8;
 
 const READINESS_DEADLINE: Duration = Duration::from_secs(5);
 
-/// What is to be started.
+/// Describes the deployment to start.
 #[derive(Clone, Debug)]
 pub struct DeploymentBuilder {
     entries: usize,
@@ -57,12 +59,12 @@
 }
 
 impl DeploymentBuilder {
-    /// Sets how many entries there are.
+    /// Sets the number of entries.
     pub fn entries(self, entries: usize) -> Self {
         Self { entries, ..self }
     }
 
-    /// Sets the failure domain of each agent, and thereby how many there are.
+    /// Sets the failure domain of each agent, and thereby the number of agents.
     pub fn agents_in(self, domains: &[&'static str]) -> Self {
         Self {
             domains: domains.to_vec(),
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Sets how many requests each backend server runs at once.
+    /// Sets how many requests each backend server runs concurrently.
     pub fn slots(self, slots: u32) -> Self {
         Self { slots, ..self }
     }
 
-    /// Lets the service's requests run more than once.
+    /// Allows requests of the service to run more than once.
     pub fn repeatable(self) -> Self {
         Self {
             repeatable: true,
@@ -83,11 +85,12 @@
         }
     }
 
-    /// Starts all processes, puts the document on the log and waits until all are at work.
+    /// Starts all processes, writes the document to the log and waits until the deployment is
+    /// ready.
     ///
     /// # Panics
     ///
-    /// Where that fails.
+    /// If a process does not start or the deployment does not become ready.
     pub fn start(self) -> Deployment {
         let mut deployment = Deployment::start_log(self);
         deployment.start_daemons();
@@ -97,13 +100,13 @@
     }
 }
 
-/// A running deployment; all its processes are killed when it is dropped.
+/// A running deployment. Dropping it kills all its processes.
 pub struct Deployment {
     /// The log service.
     pub log: StandIn,
     /// The entries.
     pub entries: Vec<Daemon>,
-    /// The agents, each beside the worker and the backend server of the same number.
+    /// The agents. Each runs on one host with the worker and the backend server of the same index.
     pub agents: Vec<Daemon>,
     /// The workers.
     pub workers: Vec<StandIn>,
@@ -112,13 +115,12 @@
     builder: DeploymentBuilder,
     pub(super) lost_intervals: Vec<Interval>,
     dir: PathBuf,
-    // Given back last.
+    // Declared last: fields are dropped in order, and the permit must outlive the processes.
     _permit: Permit,
 }
 
 impl Deployment {
-    /// Returns what is started unless something else is set: two entries and three agents in two
-    /// failure domains.
+    /// Returns a builder with the defaults: two entries, and three agents in two failure domains.
     pub fn builder() -> DeploymentBuilder {
         DeploymentBuilder {
             entries: 2,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Starts one more entry.
+    /// Starts an additional entry.
     pub fn start_entry(&mut self, name: &str) {
         let peer_link = relay(ANY_PORT);
         let config = Config {
@@ -235,23 +237,24 @@
         Daemon::start(name, config, log_link, peer_link, &self.dir)
     }
 
-    /// Returns a caller of each entry.
+    /// Returns a caller for each entry.
     pub fn callers(&self) -> Vec<Caller> {
         (0..self.entries.len()).map(|n| self.caller(n)).collect()
     }
 
-    /// Returns a caller of the entry with this number.
+    /// Returns a caller for the entry with this index.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].http).with_key(EDITOR, SECRET)
     }
 
-    /// Kills the entry with this number and starts its successor with the same settings, at the
-    /// same addresses.
+    /// Kills the entry with this index and starts a new process with the same settings and
+    /// addresses.
     pub fn restart_entry(&mut self, number: usize) {
         self.entries[number].restart(&self.dir);
     }
 
-    /// Does the same with an agent.
+    /// Kills the agent with this index and starts a new process with the same settings and
+    /// addresses.
     pub fn restart_agent(&mut self, number: usize) {
         self.agents[number].restart(&self.dir);
     }
@@ -263,15 +266,16 @@
         }
     }
 
-    /// Waits until each entry has the whole document in force, hears every process, may use every
-    /// slot and gets keys granted, which none does shortly after a change of their owners.
+    /// Waits until each entry has the complete document in force, receives heartbeats from every
+    /// process, knows of every slot and is granted keys. Keys are granted only some time after the
+    /// set of key owners has changed.
     pub fn wait_until_ready(&self) {
         let version = self.ledger().history.current().offset;
         let peers = self.entries.len() + self.agents.len() - 1;
         let slots = self.builder.slots * u32::try_from(self.backends.len()).unwrap_or(u32::MAX);
         for number in 0..self.entries.len() {
             let caller = self.caller(number);
-            wait_until("all processes at work", || {
+            wait_until("all processes to be ready", || {
                 caller.status().is_ok_and(|s| {
                     let live = s.peers.iter().filter(|p| p.live && p.version >= version);
                     let known: u32 = s.services.iter().map(|s| s.slots).sum();
@@ -279,7 +283,7 @@
                 })
             });
             for _ in 0..READINESS_KEYS {
-                wait_until("the owners of the keys", || {
+                wait_until("a key to be granted", || {
                     let key = unique("probe");
                     let reply = caller.request(SERVICE, Some(&key), 1, READINESS_DEADLINE, b"{}");
                     reply.is_done()
@@ -291,9 +295,9 @@
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        // A failed test leaves its logs behind for whoever looks for the cause.
+        // The logs of a failed test are kept for diagnosis.
         if std::thread::panicking() {
-            eprintln!("logs of the processes: {}", self.dir.display());
+            eprintln!("process logs are kept in {}", self.dir.display());
         } else {
             let _ = fs::remove_dir_all(&self.dir);
         }
@@ -301,14 +305,14 @@
 }
 
 fn relay(target: SocketAddr) -> Relay {
-    Relay::start(ANY_PORT, target).unwrap_or_else(|e| panic!("no relay: {e}"))
+    Relay::start(ANY_PORT, target).unwrap_or_else(|e| panic!("cannot start a relay: {e}"))
 }
 
-/// Makes a directory for the settings and logs of one deployment.
+/// Creates a directory for the settings and logs of one deployment.
 fn scratch_dir() -> PathBuf {
     let dir = env::temp_dir().join(unique("dragonflyrun"));
     if let Err(error) = fs::create_dir_all(&dir) {
-        panic!("no directory for the test: {error}");
+        panic!("cannot create the test directory: {error}");
     }
     dir
 }
--- a/standins/src/harness/document.rs
+++ b/standins/src/harness/document.rs
@@ -1,4 +1,4 @@
-//! The document of test deployments.
+//! The configuration document of test deployments.
 
 use dragonflyrun::{
     utils::Name,
@@ -7,7 +7,7 @@
 
 use crate::harness::{EDITOR, SERVICE, WORKSPACE};
 
-/// Returns the sections in the order in which they are put.
+/// Returns the sections in the order in which they are written to the log.
 pub(super) fn sections(domains: &[&str], repeatable: bool) -> [(&'static str, Section); 4] {
     [
         ("administration", operator_section()),
--- a/standins/src/harness/gang.rs
+++ b/standins/src/harness/gang.rs
@@ -1,4 +1,4 @@
-//! One gang over several workers, watched from its submission on.
+//! Submits jobs and follows their gangs across several workers.
 
 use std::{
     thread,
@@ -23,10 +23,10 @@
     wait_until, //
 };
 
-/// Pause before a job that was not accepted is submitted again.
+/// Delay before a job that was not accepted is submitted again.
 const RESUBMIT_DELAY: Duration = Duration::from_millis(100);
 
-/// A job for test deployments.
+/// Returns a job for test deployments.
 pub fn job(tasks: u32, accelerators: u32, program: &str) -> JobSpec {
     JobSpec {
         workspace: Name::from(WORKSPACE),
@@ -40,11 +40,11 @@
 }
 
 impl Deployment {
-    /// Submits a job through the entries in turn until one accepts it.
+    /// Submits a job to the entries in turn until one accepts it.
     ///
     /// # Panics
     ///
-    /// Where none does.
+    /// If none accepts it within [`WAIT_TIMEOUT`].
     #[track_caller]
     pub fn submit(&self, name: &str, spec: &JobSpec) {
         let until = Instant::now() + WAIT_TIMEOUT;
@@ -58,34 +58,35 @@
         }
     }
 
-    /// Asks the entries after a job until one answers.
+    /// Queries the entries in turn for the status of a job until one answers.
     ///
     /// # Panics
     ///
-    /// Where none does.
+    /// If none answers within [`WAIT_TIMEOUT`].
     #[track_caller]
     pub fn job(&self, name: &str) -> JobStatus {
         let mut callers = self.callers().into_iter().cycle();
-        wait_for("an answer about the job", || {
+        wait_for("the status of the job", || {
             callers.next().and_then(|c| c.job(name).ok())
         })
     }
 
-    /// Waits until a job has come to this end.
+    /// Waits until a job is in the given end state.
     ///
     /// # Panics
     ///
-    /// Where it does not.
+    /// If it is not within [`WAIT_TIMEOUT`].
     #[track_caller]
     pub fn wait_for_end(&self, name: &str, end: JobState) {
         wait_until(&format!("{name} {end:?}"), || self.job(name).state == end);
     }
 
-    /// Waits until all members of some attempt after `attempt` run, and returns which attempt.
+    /// Waits until all members of an attempt later than `attempt` run, and returns the number of
+    /// that attempt.
     ///
     /// # Panics
     ///
-    /// Where they do not.
+    /// If they do not within [`WAIT_TIMEOUT`].
     #[track_caller]
     pub fn wait_for_gang(&self, name: &str, members: usize, attempt: u32) -> u32 {
         wait_for(&format!("all members of {name}"), || {
@@ -95,12 +96,13 @@
         })
     }
 
-    /// Checks what every record has to show at any time.
+    /// Checks the invariants of a gang against the workers' records, and returns the longest time
+    /// in milliseconds for which an attempt ran partially.
     ///
     /// # Panics
     ///
-    /// Where two attempts of a job ran at once, or an attempt ran partially for longer than
-    /// `bound_ms`; returns the longest partial time.
+    /// If two attempts of the job ran at the same time, or an attempt ran partially for longer than
+    /// `bound_ms`.
     #[track_caller]
     pub fn check_gang(&self, name: &str, members: usize, bound_ms: u64) -> u64 {
         let intervals = self.intervals_of(name);
--- a/standins/src/harness/load.rs
+++ b/standins/src/harness/load.rs
@@ -1,4 +1,4 @@
-//! Callers that keep asking while faults come and go.
+//! Callers that send requests continuously while a test injects faults.
 
 use std::{
     collections::BTreeMap,
@@ -18,21 +18,21 @@
     harness::{SERVICE, wait_until},
 };
 
-/// Longest pause of a caller that was replies to come back.
+/// Maximum delay before a caller sends a refused request again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What the callers send_until_done for.
+/// The number of callers and the requests that they send.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadShape {
-    /// Callers that each have one request under way.
+    /// Number of callers. Each has one request in flight.
     pub callers: usize,
-    /// Milliseconds that each request runs.
+    /// Run time of each request in milliseconds.
     pub work_ms: u64,
-    /// Bytes of each answer.
+    /// Size of each answer in bytes.
     pub answer_bytes: usize,
-    /// Milliseconds that each attempt may take.
+    /// Deadline of each attempt in milliseconds.
     pub deadline_ms: u64,
-    /// Attempts of one request, at the most.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
 }
 
@@ -48,30 +48,31 @@
     }
 }
 
-/// One request with all that its caller was replies.
+/// A request with all replies that its caller received.
 #[derive(Debug)]
 pub struct TrackedRequest {
     /// Its key.
     pub key: Name,
-    /// The answer that is right.
+    /// The expected answer.
     pub answer: Vec<u8>,
     /// The reply to each attempt.
     pub replies: Vec<Reply>,
 }
 
 impl TrackedRequest {
-    /// Returns whether it got a good answer.
+    /// Returns whether an attempt was answered with status 200.
     pub fn is_done(&self) -> bool {
         self.replies.iter().any(Reply::is_done)
     }
 
-    /// Returns whether a connection broke after it had been accepted, or the outcome is unknown.
+    /// Returns whether a connection broke after it was accepted, or the outcome of an attempt is
+    /// unknown.
     pub fn was_cut_off(&self) -> bool {
         let is_certain = |reply: &Reply| reply.is_done() || reply.certainly_not_run();
         !self.replies.iter().all(is_certain)
     }
 
-    /// Returns what its caller was replies, in short.
+    /// Returns the key and a short description of each reply.
     pub fn summary(&self) -> String {
         let replies: Vec<String> = self.replies.iter().map(Reply::to_string).collect();
         format!("{}: {}", self.key, replies.join(", "))
@@ -89,7 +90,7 @@
     }
 }
 
-/// A running load. Each request goes to one entry after another until it is done.
+/// Running callers. Each request is sent to the entries in turn until it is done.
 pub struct Load {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<Vec<TrackedRequest>>>,
@@ -103,7 +104,7 @@
 }
 
 impl Load {
-    /// Starts callers that use the entries of `callers` in turn.
+    /// Starts the callers, which use the entries of `callers` in turn.
     pub fn start(callers: Vec<Caller>, shape: LoadShape) -> Self {
         let shared = Arc::new(Shared {
             callers,
@@ -120,24 +121,24 @@
         Self { shared, threads }
     }
 
-    /// Waits until `more` further requests are done.
+    /// Waits until `more` additional requests are done.
     ///
     /// # Panics
     ///
-    /// Where they are not within [`WAIT_TIMEOUT`](crate::harness::WAIT_TIMEOUT).
+    /// If they are not within [`WAIT_TIMEOUT`](crate::harness::WAIT_TIMEOUT).
     #[track_caller]
     pub fn wait_for_done(&self, more: usize) {
         let wanted = self.shared.done.load(Ordering::Relaxed) + more;
-        wait_until("answers under load", || {
+        wait_until("requests to be done under load", || {
             self.shared.done.load(Ordering::Relaxed) >= wanted
         });
     }
 
-    /// Lets each caller finish its request and returns all that were requests.
+    /// Lets each caller finish its current request, and returns all requests.
     ///
     /// # Panics
     ///
-    /// Where a caller got an answer that no entry may give.
+    /// If a caller received an answer that is not part of the interface.
     pub fn stop(self) -> Vec<TrackedRequest> {
         self.shared.stopping.store(true, Ordering::Relaxed);
         let requests = self.threads.into_iter().map(|thread| match thread.join() {
@@ -172,7 +173,7 @@
             let deadline = Duration::from_millis(shape.deadline_ms);
             let reply = entry.request(SERVICE, Some(&key), attempt, deadline, body.as_bytes());
             let delay = retry_delay(&reply);
-            // By the interface, an attempt that did not run for certain is not counted.
+            // The interface counts only attempts that may have run.
             attempt += u32::from(!reply.certainly_not_run());
             replies.push(reply);
             let Some(delay) = delay else {
@@ -189,7 +190,7 @@
     }
 }
 
-/// Returns how long a caller waits before it asks again; none where it has its answer.
+/// Returns the delay before the next attempt; none if the request is done.
 fn retry_delay(reply: &Reply) -> Option<Duration> {
     match reply {
         Reply::Final(RequestOutcome::Done { .. }) => None,
@@ -200,8 +201,9 @@
     }
 }
 
-/// Returns each answer that the backend servers' records contradict: one that is not the request's
-/// own, "done" without a run, and "not run" for each attempt with a run.
+/// Returns a description of each request whose replies contradict the backend servers' records:
+/// an answer that belongs to another request, "done" without a run, and "not run" for all
+/// attempts of a request that ran.
 pub fn contradicted_answers(requests: &[TrackedRequest], records: &[BackendRecord]) -> Vec<String> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for key in records
--- a/standins/src/harness/mod.rs
+++ b/standins/src/harness/mod.rs
@@ -1,7 +1,8 @@
-//! For tests: a deployment of separate processes, faults in it, and what its records show.
+//! A test harness: starts a deployment of separate processes, injects faults and evaluates the
+//! records of the workers and backend servers.
 //!
-//! A step that fails for a reason other than the tested one panics with that reason, as a test
-//! would do itself.
+//! Helpers panic with the reason if a step fails that is not itself under test, so that tests
+//! don't have to handle such errors.
 
 mod child;
 mod daemon;
--- a/standins/src/harness/permit.rs
+++ b/standins/src/harness/permit.rs
@@ -1,19 +1,19 @@
-//! Bounds how many deployments run at once.
+//! Limits how many deployments run concurrently.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Deployments of one test program that run at once, at the most. More would only slow each other
-/// down.
+/// Maximum number of deployments that the tests of one program run concurrently. More would only
+/// slow each other down.
 const MAX_DEPLOYMENTS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static DEPLOYMENT_ENDED: Condvar = Condvar::new();
 
-/// The right to run a deployment.
+/// A permit to run one deployment, released on drop.
 pub(super) struct Permit;
 
 impl Permit {
-    /// Waits for the right to run one.
+    /// Blocks until fewer than [`MAX_DEPLOYMENTS`] run.
     pub(super) fn acquire() -> Self {
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let running = DEPLOYMENT_ENDED.wait_while(running, |running| *running >= MAX_DEPLOYMENTS);
--- a/standins/src/harness/platform.rs
+++ b/standins/src/harness/platform.rs
@@ -1,4 +1,4 @@
-//! What tests get the platform of a deployment, and the faults that they set in it.
+//! Queries the stand-ins of a deployment and injects faults into them.
 
 use std::{
     thread,
@@ -15,28 +15,31 @@
     worker::{Interval, WorkerControl},
 };
 
-/// Time that the log has for an answer.
+/// Timeout of a call to the log service.
 const LOG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Records that the log keeps at the least; see `docs/GANGS.md`, retention.
+/// Minimum number of records that the log has to retain; see the section on retention in
+/// `docs/GANGS.md`.
 const KEPT_RECORDS: usize = 4_500;
 
-/// Records of one append of somebody else, and how many appends follow each other.
+/// Number of foreign records per append.
 const RECORDS_PER_FILLER: usize = 250;
+/// Number of appends of foreign records.
 const FILLER_APPENDS: usize = 36;
+/// Interval between these appends, in which the planner repeats states.
 const FILLER_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Deployment {
-    /// Returns the operator of the deployment.
+    /// Returns an editor that acts as the operator of the deployment.
     pub fn editor(&self) -> Editor {
         Editor::new(self.log.address, EDITOR, SECRET)
     }
 
-    /// Sets the fault of the log service.
+    /// Sets how the log service behaves.
     ///
     /// # Panics
     ///
-    /// Where it does not answer.
+    /// If it does not answer.
     pub fn set_log(&self, mode: LogMode) {
         self.log.control(&LogControl {
             mode: Some(mode),
@@ -44,20 +47,21 @@
         });
     }
 
-    /// Fills the log with records of somebody else until the planner has had to repeat everything,
-    /// and has it keep the fewest records that it may; returns the first offset that is kept.
+    /// Appends foreign records until the planner has repeated all states, then has the log drop all
+    /// but the minimum number of records. Returns the first offset that is retained.
     ///
     /// # Panics
     ///
-    /// Where the log does not take them.
+    /// If an append fails.
     pub fn drop_old_records(&self) -> u64 {
         let client = LogClient::new(&self.log.address.to_string(), LOG_TIMEOUT);
         let filler = vec!["not a record of the system".to_owned(); RECORDS_PER_FILLER];
         let mut head = 0;
         for _ in 0..FILLER_APPENDS {
             let first = client.append(&filler);
-            head = first.unwrap_or_else(|e| panic!("the log: {e}")) + RECORDS_PER_FILLER as u64;
-            // The planner repeats states as it reads on.
+            head = first.unwrap_or_else(|e| panic!("append to the log failed: {e}"))
+                + RECORDS_PER_FILLER as u64;
+            // The planner repeats states while it reads the log.
             thread::sleep(FILLER_INTERVAL);
         }
         self.log.control(&LogControl {
@@ -67,37 +71,38 @@
         head.saturating_sub(KEPT_RECORDS as u64)
     }
 
-    /// Folds the whole log, as every process does.
+    /// Folds the complete log, as every process does.
     ///
     /// # Panics
     ///
-    /// Where the log can't be read.
+    /// If the log cannot be read.
     pub fn ledger(&self) -> Ledger {
         let ledger = self.editor().ledger();
-        ledger.unwrap_or_else(|e| panic!("the log can't be read: {e}"))
+        ledger.unwrap_or_else(|e| panic!("cannot read the log: {e}"))
     }
 
-    /// Edits a section and returns the offset of the edit.
+    /// Edits a section and returns the resulting version.
     ///
     /// # Panics
     ///
-    /// Where the log does not take it or it is rejected.
+    /// If the append fails or the edit is rejected.
     pub fn edit(&self, section: &str, content: Section) -> u64 {
         let edited = self.editor().edit(section, content);
         edited.unwrap_or_else(|e| panic!("{section}: {e}"))
     }
 
-    /// Takes a failure domain out of service or returns it; returns the edit's offset.
+    /// Takes a failure domain out of service or returns it to service. Returns the resulting
+    /// version.
     ///
     /// # Panics
     ///
-    /// As [`Deployment::edit`].
+    /// If the append fails, the edit is rejected or no section names the failure domain.
     pub fn set_in_service(&self, domain: &str, in_service: bool) -> u64 {
         let edited = self.editor().set_in_service(domain, in_service);
         edited.unwrap_or_else(|e| panic!("{domain}: {e}"))
     }
 
-    /// Waits until the log names a planner and returns the number of that entry.
+    /// Waits until the log names a planner and returns the index of that entry.
     pub fn planner(&self) -> usize {
         wait_for("a planner", || {
             let ledger = self.ledger();
@@ -108,7 +113,7 @@
         })
     }
 
-    /// Returns the times in which tasks ran on all workers that answer.
+    /// Returns the intervals in which tasks ran, of all workers that answer and of killed workers.
     pub fn intervals(&self) -> Vec<Interval> {
         let records = self.workers.iter();
         records
@@ -118,21 +123,21 @@
             .collect()
     }
 
-    /// Returns the times in which tasks of one job ran.
+    /// Returns the intervals in which tasks of one job ran.
     pub fn intervals_of(&self, job: &str) -> Vec<Interval> {
         let mut intervals = self.intervals();
         intervals.retain(|i| *i.job == *job);
         intervals
     }
 
-    /// Returns how many members of a job's attempt run now.
+    /// Returns how many members of an attempt of a job currently run.
     pub fn running_members(&self, job: &str, attempt: u32) -> usize {
         let intervals = self.intervals_of(job);
         let running = |i: &&Interval| i.attempt == attempt && i.stopped_unix_ms.is_none();
         intervals.iter().filter(running).count()
     }
 
-    /// Kills a worker with its tasks. Its record up to now is kept.
+    /// Kills a worker with its tasks. Its intervals are kept; open ones end at the kill.
     pub fn kill_worker(&mut self, number: usize) {
         let worker = &mut self.workers[number];
         let record: Vec<Interval> = worker.get("/v1/record").unwrap_or_default();
@@ -145,7 +150,7 @@
             }));
     }
 
-    /// Returns what all backend servers that answer have run.
+    /// Returns the records of all backend servers that answer.
     pub fn backend_records(&self) -> Vec<BackendRecord> {
         let records = self.backends.iter();
         records.filter_map(|b| b.get("/v1/record")).collect()
@@ -162,7 +167,7 @@
     }
 }
 
-/// Returns the time by the clock that the stand-ins write into their records.
+/// Returns the current time on the clock that the stand-ins use for their records.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/standins/src/harness/records.rs
+++ b/standins/src/harness/records.rs
@@ -1,4 +1,5 @@
-//! What the platform's own records show about gangs and keys.
+//! Evaluates the records of the workers and backend servers for violations of the guarantees on
+//! gangs and keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,14 +10,14 @@
     worker::Interval, //
 };
 
-/// A time span of one attempt of one job.
+/// A time span within one attempt of a job.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Span {
     /// The job.
     pub job: Name,
     /// The attempt.
     pub attempt: u32,
-    /// How long it lasted, in milliseconds.
+    /// Its length in milliseconds.
     pub ms: u64,
 }
 
@@ -25,14 +26,14 @@
 pub struct RepeatedKey {
     /// The key.
     pub key: Name,
-    /// How often it ran.
+    /// How many times it ran.
     pub runs: usize,
 }
 
-/// Returns the longest time within which some members of an attempt ran and others did not, at
-/// `now` at the latest; zero where all ran together.
+/// Returns the longest span during which some members of an attempt ran and others did not; zero
+/// if all ran together. Members that still run are counted up to `now_unix_ms`.
 ///
-/// `members` is how many members each attempt has.
+/// `members` is the number of members of each attempt.
 pub fn longest_partial(intervals: &[Interval], members: usize, now_unix_ms: u64) -> Span {
     let mut attempts: BTreeMap<(Name, u32), Vec<&Interval>> = BTreeMap::new();
     for interval in intervals {
@@ -76,7 +77,7 @@
     longest
 }
 
-/// Returns the jobs of which two attempts ran at the same time.
+/// Returns the jobs with two attempts that ran at the same time.
 pub fn overlapping(intervals: &[Interval], now_unix_ms: u64) -> Vec<Name> {
     let ends = |i: &Interval| i.stopped_unix_ms.unwrap_or(now_unix_ms);
     let mut jobs = BTreeSet::new();
@@ -94,7 +95,7 @@
     jobs.into_iter().collect()
 }
 
-/// Returns the intervals that began in `domain` after `unix_ms`.
+/// Returns the intervals that started in failure domain `domain` after `unix_ms`.
 pub fn starts_in_domain_after(intervals: &[Interval], domain: &str, unix_ms: u64) -> Vec<Interval> {
     intervals
         .iter()
@@ -103,7 +104,7 @@
         .collect()
 }
 
-/// Returns the keys that ran more than once on all backend servers together.
+/// Returns the keys that ran more than once, counted over all backend servers.
 pub fn repeated_keys(records: &[BackendRecord]) -> Vec<RepeatedKey> {
     let mut counts: BTreeMap<Name, usize> = BTreeMap::new();
     let keys = records
--- a/standins/src/harness/wait.rs
+++ b/standins/src/harness/wait.rs
@@ -1,12 +1,12 @@
-//! Waiting on conditions in place of sleeping.
+//! Polls for conditions, so that tests don't sleep for fixed times.
 
 use std::{
     thread,
     time::{Duration, Instant},
 };
 
-/// How long a condition is waited for that holds within a few seconds on an idle machine. Generous,
-/// so that a busy machine changes no verdict.
+/// Timeout for conditions that hold within a few seconds on an idle machine. It is long, so that
+/// tests don't fail only because the machine is busy.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -15,7 +15,7 @@
 ///
 /// # Panics
 ///
-/// Where it does not within [`WAIT_TIMEOUT`]; `what` says what was waited for.
+/// If it returns none within [`WAIT_TIMEOUT`]; `what` names the awaited condition.
 #[track_caller]
 pub fn wait_for<T>(what: &str, mut probe: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + WAIT_TIMEOUT;
@@ -23,7 +23,7 @@
         if let Some(value) = probe() {
             return value;
         }
-        assert!(Instant::now() < until, "waited in vain for {what}");
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         thread::sleep(POLL_INTERVAL);
     }
 }
@@ -32,7 +32,7 @@
 ///
 /// # Panics
 ///
-/// As [`wait_for`].
+/// If it does not hold within [`WAIT_TIMEOUT`]; `what` names the condition.
 #[track_caller]
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     wait_for(what, || condition().then_some(()));
--- a/standins/tests/attempt_numbers.rs
+++ b/standins/tests/attempt_numbers.rs
@@ -1,4 +1,4 @@
-//! What a caller reads about the number of its next attempt.
+//! The answer to a caller states the number of its next attempt.
 
 use std::time::Duration;
 
@@ -25,9 +25,9 @@
     answer.unwrap().json().unwrap()
 }
 
-/// A caller that does not count its attempts repeats a booking after a broken connection. Taken for
-/// a first attempt by an owner of the key that does not know of the first, it could run twice; so
-/// it is refused before it runs. One that counts is told which number comes next.
+/// A caller that sends no attempt number repeats a request after a broken connection. A key owner
+/// without a record of the first attempt would run it a second time, so the request must be
+/// refused. A caller that counts its attempts must learn the next number.
 #[test]
 fn next_attempt() {
     let deployment = Deployment::builder().start();
@@ -40,7 +40,7 @@
     let refused = send(&deployment, "nobody", &[key, ("Dragonfly-Attempt", "1")]);
     assert_eq!(refused.reason.as_deref(), Some("unknown_service"));
     assert_eq!(refused.next_attempt, 1);
-    // The owners have known all keys for seconds only, and an earlier attempt may have run.
+    // The key owners have just started, so an earlier attempt may have run without their knowledge.
     let unknown = send(&deployment, SERVICE, &[key, ("Dragonfly-Attempt", "3")]);
     assert_eq!(unknown.outcome, "unknown");
     assert_eq!(unknown.next_attempt, 4);
--- a/standins/tests/config_outage.rs
+++ b/standins/tests/config_outage.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! An accepted configuration is in force in every process within seconds and is never reverted.
 
 use std::{
     panic::resume_unwind,
@@ -17,10 +17,10 @@
     relay::LinkMode,
 };
 
-/// Time within which an accepted edit is in force in every process.
+/// Maximum time in milliseconds until an accepted edit is in force in every process.
 const MAX_IN_FORCE_MS: u64 = 6_000;
 
-/// Watches the versions that the entries have in force, themselves and each process they hear.
+/// Checks in the background that the version in force in each entry never decreases.
 struct VersionWatch {
     stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -53,19 +53,22 @@
     let mut seen = 0;
     while !stopping.load(Ordering::Relaxed) {
         if let Ok(status) = caller.status() {
-            // An entry's successor begins at 0 until it has heard of the document.
-            assert!(status.version == 0 || status.version >= seen, "reverted");
+            // A restarted entry reports 0 until it has received the document.
+            assert!(
+                status.version == 0 || status.version >= seen,
+                "the version in force was reverted"
+            );
             seen = seen.max(status.version);
         }
         sleep(Duration::from_millis(50));
     }
 }
 
-/// Waits until the entry knows that every process has `version` in force.
+/// Waits until the entry sees that every process has `version` in force.
 fn wait_in_force(deployment: &Deployment, entry: usize, version: u64) {
     let peers = deployment.entries.len() + deployment.agents.len() - 1;
     let caller = deployment.caller(entry);
-    wait_until("the version everywhere", || {
+    wait_until("the version to be in force in every process", || {
         caller.status().is_ok_and(|s| {
             let in_force = s.peers.iter().filter(|p| p.version >= version);
             s.version >= version && in_force.count() >= peers
@@ -73,8 +76,8 @@
     });
 }
 
-/// All processes but one entry are cut off from the log when an edit is accepted there. They hear
-/// of it from that entry.
+/// One entry alone reaches the log when an edit is accepted. All other processes must learn the
+/// edit from that entry.
 #[test]
 fn learned_from_peers() {
     let deployment = Deployment::builder().start();
@@ -94,8 +97,8 @@
     watch.stop();
 }
 
-/// The log goes down right after it has taken an edit, and an entry and an agent are replaced while
-/// it is. The successors take the document from their peers, not an older one.
+/// The log goes down right after an edit, and an entry and an agent are restarted during the
+/// outage. They must take the current document from their peers, not an older one.
 #[test]
 fn started_in_outage() {
     let mut deployment = Deployment::builder().start();
@@ -113,8 +116,8 @@
     watch.stop();
 }
 
-/// The log has dropped the records of the document when a process starts. It rebuilds the document
-/// from what the planner has carried forward, the same as everybody else has in force.
+/// The log has dropped the records of the document when a process starts. The process must rebuild
+/// the document from the state that the planner repeats, with the same result as everywhere else.
 #[test]
 fn records_dropped() {
     let mut deployment = Deployment::builder().start();
@@ -127,7 +130,7 @@
     let version = deployment.set_in_service("judenburg", true);
     wait_in_force(&deployment, 0, version);
     let first = deployment.drop_old_records();
-    assert!(first > version, "the edits are still on the log");
+    assert!(first > version, "the log still has the edits");
     deployment.restart_agent(0);
     deployment.restart_entry(1);
     wait_in_force(&deployment, 0, version);
--- a/standins/tests/daemon_start.rs
+++ b/standins/tests/daemon_start.rs
@@ -1,4 +1,4 @@
-//! The daemon's start, and strangers at its listeners.
+//! The start of the daemon, and unauthorized calls to its listeners.
 
 use std::{
     fs,
@@ -34,8 +34,8 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// An operator mistypes several settings. They are told of all of them at once, and the process
-/// does not start with half of them.
+/// Several settings are invalid. The daemon must report all of them at once and must not start with
+/// the valid ones.
 #[test]
 fn bad_settings() {
     let text = error(&start_with(
@@ -56,7 +56,7 @@
     error(&start_with("not JSON"));
 }
 
-/// An operator checks a settings file before a rollout. The daemon must end, and not start.
+/// With `--check` the daemon only checks the settings file. It must exit instead of starting.
 #[test]
 fn check_only() {
     let path = std::env::temp_dir().join(unique("settings"));
@@ -73,7 +73,7 @@
         .spawn()
         .unwrap();
     let mut status = None;
-    wait_until("the check's end", || {
+    wait_until("the check to end", || {
         status = child.try_wait().unwrap();
         status.is_some()
     });
@@ -81,7 +81,7 @@
     assert!(status.is_some_and(|s| s.success()));
 }
 
-/// Another process listens at the address already. The operator is told which setting it is.
+/// Another process already listens at the address. The error must name the setting.
 #[test]
 fn address_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -96,8 +96,8 @@
     );
 }
 
-/// A stranger on the network announces a backend server of its own. Were it believed, callers'
-/// requests would be sent to the stranger.
+/// A client without a valid token announces a backend server. If the agent accepted it, callers'
+/// requests would be sent to that server.
 #[test]
 fn unauthorized_announcement() {
     let deployment = Deployment::builder().start();
--- a/standins/tests/double_faults.rs
+++ b/standins/tests/double_faults.rs
@@ -1,4 +1,4 @@
-//! Two faults at once: each promise holds all the same.
+//! Every guarantee holds with two faults at the same time.
 
 use std::{thread::sleep, time::Duration};
 
@@ -18,11 +18,13 @@
     log::LogMode,
 };
 
+/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
+/// Maximum time in milliseconds from a drain to the last start in the failure domain.
 const MAX_LATE_START_MS: u64 = 6_000;
 
-/// During an outage of the log the planner dies and a worker's agent with it, while a gang runs and
-/// tickets come. The gang stops whole; when the log is back the job goes on and ends.
+/// The planner and the agent of a gang member are killed during a log outage under load. All
+/// members must stop; after the outage the job must run again and finish.
 #[test]
 fn outage_and_kills() {
     let mut deployment = Deployment::builder().start();
@@ -34,7 +36,7 @@
     deployment.set_log(LogMode::Refuse);
     deployment.entries[planner].child.kill();
     deployment.agents[0].child.kill();
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members("reconstruction", first) == 0
     });
     deployment.restart_entry(planner);
@@ -52,8 +54,8 @@
     );
 }
 
-/// A failure domain is taken out in the middle of a burst of jobs, and the log then goes down. No
-/// job starts there, and each finishes when all is back.
+/// A failure domain is drained during a burst of jobs, and then the log hangs. No job may start
+/// there, and each must finish after the outage.
 #[test]
 fn drain_burst_outage() {
     let deployment = Deployment::builder().start();
@@ -76,8 +78,8 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// A wave of cancellations meets a log that loses its answers. Each job that was told to be
-/// cancelled ends so, or had finished before, and none is left behind on a worker.
+/// Many jobs are cancelled while the log loses the answers to appends. Each job must end, cancelled
+/// or finished, and no task may be left on a worker.
 #[test]
 fn lost_answers() {
     let deployment = Deployment::builder().start();
@@ -87,13 +89,13 @@
     deployment.set_log(LogMode::LoseAppends);
     let callers = deployment.callers();
     for number in 0..12 {
-        // The answer may be that the outcome is unknown; it is requests for again below.
+        // The outcome may be unknown; the cancellation is repeated below.
         let _ = callers[number % 2].cancel(&format!("grading-{number}"));
     }
     deployment.set_log(LogMode::Up);
     for number in 0..12 {
         let name = format!("grading-{number}");
-        wait_until("the cancellation or the end", || {
+        wait_until("the job to be cancelled or to end", || {
             let _ = callers[0].cancel(&name);
             !matches!(
                 deployment.job(&name).state,
@@ -101,7 +103,7 @@
             )
         });
     }
-    wait_until("no task left", || {
+    wait_until("all tasks to stop", || {
         deployment
             .intervals()
             .iter()
--- a/standins/tests/drain_cut.rs
+++ b/standins/tests/drain_cut.rs
@@ -1,4 +1,4 @@
-//! Nothing starts in a failure domain a few seconds after operators have taken it out.
+//! Nothing starts in a failure domain from a few seconds after it was taken out of service.
 
 use std::{thread::sleep, time::Duration};
 
@@ -17,16 +17,16 @@
     relay::LinkMode,
 };
 
-/// Time after the edit within which a start may still have been under way.
+/// Maximum time in milliseconds from the edit to a start that was already in progress.
 const MAX_LATE_START_MS: u64 = 6_000;
 
-/// How long the failure domain stays out.
+/// Time in milliseconds for which the failure domain is out of service under load.
 const OUT_OF_SERVICE_MS: u64 = 12_000;
 
 const DRAINED_DOMAIN: &str = "judenburg";
 
-/// Keeps small jobs and requests coming while the domain is out, then returns it and waits until
-/// something starts there, which shows that it could have before.
+/// Submits small jobs and requests while the domain is out of service, then returns it and waits
+/// for a start there, which proves that only the drain had prevented starts.
 fn drain_under_load(deployment: &Deployment, drained: u64) {
     let load = Load::start(deployment.callers(), LoadShape::default());
     let until = unix_ms() + OUT_OF_SERVICE_MS;
@@ -43,7 +43,7 @@
     let mut runs = records[2].runs.iter();
     assert!(
         runs.all(|r| r.started_unix_ms <= late),
-        "a request ran there"
+        "a request ran in the drained domain"
     );
 
     let returned = unix_ms();
@@ -59,7 +59,7 @@
     }
 }
 
-/// The agent of the only worker in the domain can't reach the log, so it can't read the edit there.
+/// The agent of the only worker in the domain cannot reach the log, so it cannot read the edit.
 #[test]
 fn agent_cut_off() {
     let deployment = Deployment::builder().start();
@@ -68,7 +68,7 @@
     drain_under_load(&deployment, unix_ms());
 }
 
-/// The planner is paused before the edit and goes on some seconds after it, with the old document.
+/// The planner is suspended before the edit and resumes seconds later with the old document.
 #[test]
 fn planner_frozen() {
     let deployment = Deployment::builder().start();
@@ -81,7 +81,7 @@
     drain_under_load(&deployment, drained);
 }
 
-/// The agent itself is paused with orders in its buffers, and goes on after the edit.
+/// The agent is suspended with orders in its buffers and resumes after the edit.
 #[test]
 fn agent_frozen() {
     let deployment = Deployment::builder().start();
--- a/standins/tests/gang_freeze.rs
+++ b/standins/tests/gang_freeze.rs
@@ -1,4 +1,4 @@
-//! No gang runs partially when processes are frozen and go on later.
+//! No gang runs partially when processes are suspended and resumed.
 
 use std::{thread::sleep, time::Duration};
 
@@ -6,10 +6,10 @@
 use standins::caller::Caller;
 use standins::harness::{Deployment, Signal, job, wait_until};
 
-/// The gang lease of 3 s, and a second for a busy machine.
+/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
 
-/// Longer than any lease.
+/// Suspension time, longer than any lease.
 const FREEZE: Duration = Duration::from_secs(8);
 
 const GANG: &str = "reconstruction";
@@ -20,9 +20,9 @@
     deployment.wait_for_gang(GANG, MEMBERS, 0)
 }
 
-/// The agent of one member is paused for longer than its leases, as by a host that swaps. Its
-/// member has stopped by then, and so have the others. When it goes on it must not renew or start
-/// anything of the lost attempt; the job then runs whole in a later attempt.
+/// The agent of one member is suspended for longer than its leases, as on a host that swaps. All
+/// members must have stopped by then. After it resumes, the agent must not renew or start anything
+/// of the lost attempt, and the job must run completely in a later attempt.
 #[test]
 fn agent_frozen() {
     let deployment = Deployment::builder().start();
@@ -35,8 +35,8 @@
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// A worker is paused with its tasks. The others stop; when it goes on it finds its lease lapsed
-/// and its tasks do not.
+/// A worker is suspended with its tasks until its lease lapses. The other members must stop, and
+/// the tasks must not continue when the worker resumes.
 #[test]
 fn worker_frozen() {
     let deployment = Deployment::builder().start();
@@ -49,9 +49,9 @@
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// The planner is paused for longer than its term lasts. Another entry takes over; then both plan
-/// at once, the first with an old picture. Jobs come all the while, through both. Each finishes
-/// once, and no attempt overlaps another or runs partially.
+/// The planner is suspended for longer than its term, and another entry takes over. When it
+/// resumes, both plan at once, the first one from outdated state, while jobs are submitted through
+/// both. Each job must finish once, and no attempt may overlap another or run partially.
 #[test]
 fn planner_frozen() {
     let deployment = Deployment::builder().start();
@@ -81,7 +81,7 @@
     });
 }
 
-/// How many workers share the job depends on its placement.
+/// Returns the number of gang members of the last attempt, which depends on its placement.
 fn members_of(deployment: &Deployment, name: &str) -> usize {
     let intervals = deployment.intervals_of(name);
     let last = intervals.iter().map(|i| i.attempt).max();
--- a/standins/tests/gang_kills.rs
+++ b/standins/tests/gang_kills.rs
@@ -1,7 +1,7 @@
-//! No gang runs partially when processes are killed and the log is down.
+//! No gang runs partially when processes are killed or the log is down.
 //!
-//! The figure that is bounded is the longest time within which some members of an attempt ran and
-//! others did not, by the workers' own records.
+//! The tests bound the longest time during which some members of an attempt ran and others did
+//! not, according to the workers' records.
 
 use dragonflyrun::process::JobState;
 use standins::{
@@ -9,7 +9,7 @@
     log::LogMode,
 };
 
-/// The gang lease of 3 s, and a second for a busy machine.
+/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
 
 const GANG: &str = "reconstruction";
@@ -20,15 +20,15 @@
     deployment.wait_for_gang(GANG, MEMBERS, 0)
 }
 
-/// The agent of one member is killed with all it knows. Its worker stops the member's tasks when
-/// their lease lapses, and the other members stop as well; nobody pays for accelerators that wait
-/// for a lost neighbour. When the agent's successor is up, all members run again.
+/// The agent of one member is killed with its state. Its worker must stop the tasks when their
+/// lease lapses, and the other members must stop too instead of occupying accelerators while they
+/// wait for the lost member. After the agent has restarted, all members run again.
 #[test]
 fn agent_killed() {
     let mut deployment = Deployment::builder().start();
     let first = running_gang(&deployment);
     deployment.agents[0].child.kill();
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
     });
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
@@ -37,20 +37,20 @@
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// A worker dies with its tasks, as when a host loses power. The other members stop.
+/// A worker is killed with its tasks, as when a host loses power. The other members must stop.
 #[test]
 fn worker_killed() {
     let mut deployment = Deployment::builder().start();
     let first = running_gang(&deployment);
     deployment.kill_worker(1);
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
     });
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// The planner dies while a gang runs. The gang goes on without a pause, and the next planner knows
-/// it: a cancellation still reaches all members.
+/// The planner is killed while a gang runs. The gang must run on without interruption, and a
+/// cancellation by the next planner must reach all members.
 #[test]
 fn planner_killed() {
     let mut deployment = Deployment::builder().start();
@@ -62,13 +62,13 @@
     assert_eq!(deployment.intervals_of(GANG).len(), MEMBERS);
     let other = deployment.caller(1 - planner);
     wait_until("the cancellation", || other.cancel(GANG).is_ok());
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
     });
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// The log is down for three times the gang lease while a gang runs. No member stops.
+/// The log is down for three times the gang lease while a gang runs. No member may stop.
 #[test]
 fn outage_while_running() {
     let deployment = Deployment::builder().start();
@@ -83,9 +83,9 @@
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
 }
 
-/// Jobs are started while the log loses the answers to appends, refuses, and hangs, so that the
-/// planner does not know whether its start records stand. Each accepted job still finishes, and
-/// none runs partially or twice at once.
+/// The log loses the answers to appends, refuses calls or hangs while jobs are started, so the
+/// planner does not know whether its start records are stored. Each accepted job must finish, and
+/// none may run partially or in two attempts at once.
 #[test]
 fn outage_at_start() {
     let deployment = Deployment::builder().start();
@@ -101,7 +101,7 @@
     }
 }
 
-/// All agents are told to stop at once, as in a hurried roll-out. Each stops its member.
+/// All agents are stopped at the same time, as in a hasty rollout. Each must stop its member.
 #[test]
 fn agents_stopped() {
     let mut deployment = Deployment::builder().start();
@@ -112,7 +112,7 @@
     for agent in &mut deployment.agents {
         assert!(agent.child.wait().success());
     }
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
     });
     deployment.check_gang(GANG, MEMBERS, MAX_PARTIAL_MS);
--- a/standins/tests/graceful_stop.rs
+++ b/standins/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request, and a leaving backend server gets no new work.
+//! A graceful stop cuts off no request, and a leaving backend server gets no new requests.
 
 use standins::{
     backend::BackendControl,
@@ -15,9 +15,10 @@
     },
 };
 
+/// Requests that are done in each phase of a test.
 const REQUESTS_PER_PHASE: usize = 60;
 
-/// Time after which a leaving backend server gets no new work.
+/// Time in milliseconds after which a leaving backend server gets no new requests.
 const LAST_REQUEST_MS: u64 = 3_000;
 
 fn load(deployment: &Deployment) -> Load {
@@ -29,8 +30,8 @@
     Load::start(deployment.callers(), shape)
 }
 
-/// A connection that was refused because the process had gone is no request that was cut off: the
-/// platform's balancer no longer sends there.
+/// Checks that no request was cut off. A refused connection to a stopped process does not count,
+/// since the platform's load balancer would not send requests there.
 fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
     let cut_off: Vec<String> = requests
         .iter()
@@ -47,7 +48,8 @@
     );
 }
 
-/// An entry is stopped for an upgrade while callers wait for large answers, and started again.
+/// Each entry is stopped and restarted, as for an upgrade, while callers wait for large answers.
+/// None of these may be cut off.
 #[test]
 fn entry_stopped() {
     let mut deployment = Deployment::builder().start();
@@ -63,7 +65,8 @@
     check(&deployment, &load.stop());
 }
 
-/// An agent is stopped while its backend server runs requests; it owns keys as well.
+/// An agent that also owns keys is stopped while its backend server runs requests. Their answers
+/// must reach the callers, and no key may run twice.
 #[test]
 fn agent_stopped() {
     let mut deployment = Deployment::builder().start();
@@ -79,8 +82,8 @@
     check(&deployment, &load.stop());
 }
 
-/// A backend server announces that it is leaving. It gets no new work after the stated time, and
-/// what it had begun is answered.
+/// A backend server announces that it is leaving. It must get no new requests after the given time,
+/// and the requests that it has begun must be answered.
 #[test]
 fn backend_leaving() {
     let mut deployment = Deployment::builder().start();
@@ -94,7 +97,7 @@
         },
     );
     let left = unix_ms();
-    wait_until("some seconds of load", || {
+    wait_until("requests to be sent after the server left", || {
         unix_ms() > left + 2 * LAST_REQUEST_MS
     });
     let records = deployment.backend_records();
--- a/standins/tests/key_kills.rs
+++ b/standins/tests/key_kills.rs
@@ -1,7 +1,8 @@
-//! A request that may not be repeated runs at most once, whoever is killed, frozen or cut off.
+//! A request that is not repeatable runs at most once, whichever process is killed, suspended or
+//! disconnected.
 //!
-//! Every caller asks again with the same key, at one entry after the other, until it has its
-//! answer; the backend servers' records then show each key at most once.
+//! Every caller sends its request with the same key to the entries in turn until it is answered.
+//! The backend servers' records must then show each key at most once.
 
 use std::{thread::sleep, time::Duration};
 
@@ -13,15 +14,15 @@
     relay::LinkMode,
 };
 
-/// Longer than the time after which a silent process counts as lost.
+/// Suspension time, longer than the time after which a silent process is considered lost.
 const FREEZE: Duration = Duration::from_secs(5);
 
 /// Requests that are done between two faults.
 const REQUESTS_PER_PHASE: usize = 50;
 
 fn load(deployment: &Deployment) -> Load {
-    // Many requests are under way at each fault, and their callers ask again until the owners
-    // of the keys have changed and settled.
+    // Many requests are in flight at each fault, and their callers retry for long enough that the
+    // change of key owners is complete.
     let shape = LoadShape {
         callers: 24,
         work_ms: 200,
@@ -41,9 +42,9 @@
     );
 }
 
-/// An agent is killed with its grants and its kept outcomes. It owned a third of the keys, and it
-/// ran requests whose answers are lost with it. Its successor, and the other owners of its keys,
-/// must not run any of them again.
+/// An agent that owns a third of the keys is killed, and its grants, stored outcomes and unsent
+/// answers are lost. Neither its restarted process nor the new owners of its keys may run any of
+/// these requests again.
 #[test]
 fn owner_killed() {
     let mut deployment = Deployment::builder().slots(8).start();
@@ -58,7 +59,8 @@
     check(&deployment, &load.stop());
 }
 
-/// An agent is paused until the others take its keys over, and then goes on with all its grants.
+/// An agent is suspended until the others have taken over its keys, and resumes with all its
+/// grants.
 #[test]
 fn owner_frozen() {
     let deployment = Deployment::builder().slots(8).start();
@@ -73,8 +75,8 @@
     check(&deployment, &load.stop());
 }
 
-/// An entry dies with the requests it was requests, which its callers then send to the other one.
-/// Its successor starts; then the other entry is paused and goes on.
+/// An entry is killed with its pending requests, which their callers then send to the other entry.
+/// After its restart, the other entry is suspended and resumed.
 #[test]
 fn entry_killed() {
     let mut deployment = Deployment::builder().slots(8).start();
@@ -91,7 +93,7 @@
     check(&deployment, &load.stop());
 }
 
-/// All links to one entry break again and again in the middle of requests and answers.
+/// All peer links to one entry are repeatedly cut or frozen during requests and answers.
 #[test]
 fn links_cut() {
     let deployment = Deployment::builder().slots(8).start();
@@ -107,8 +109,8 @@
     check(&deployment, &load.stop());
 }
 
-/// The log is down, and then an agent dies. Requests go on as far as they can; no key runs twice,
-/// also when the log is back and the owners change.
+/// An agent is killed and restarted during a log outage. No key may run twice, also not when the
+/// key owners change after the outage.
 #[test]
 fn killed_in_outage() {
     let mut deployment = Deployment::builder().slots(8).start();
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -1,4 +1,5 @@
-//! An answer "not run" is true, and "done" carries the request's own whole answer.
+//! A request answered with "not run" did not run, and "done" carries the complete answer to this
+//! request.
 
 use std::{thread::sleep, time::Duration};
 
@@ -8,6 +9,7 @@
     harness::{Deployment, Load, LoadShape, Signal, TrackedRequest, contradicted_answers},
 };
 
+/// Requests that are done in each phase of a test.
 const REQUESTS_PER_PHASE: usize = 40;
 
 fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
@@ -25,8 +27,8 @@
 }
 
 /// Far more callers than slots, with short deadlines: requests are refused in queues, at their
-/// deadlines and by agents, while an agent and an entry die. Each ticket that was refused in every
-/// attempt did not run.
+/// deadlines and by agents, while an agent and an entry are killed. A request that was refused in
+/// every attempt must not have run.
 #[test]
 fn overload_with_kills() {
     let mut deployment = Deployment::builder().slots(1).start();
@@ -50,17 +52,18 @@
     check(&deployment, &requests);
     assert!(
         refusals(&requests) > 0,
-        "the load was too small to see refusals"
+        "the load was too low to cause refusals"
     );
     let in_use = deployment.backend_records();
     assert!(
         in_use.iter().all(|r| r.most_running <= 1),
-        "more runs than slots"
+        "more concurrent runs than slots"
     );
 }
 
-/// Backend servers break off in mid-answer, fail, refuse and vanish. A caller may be told that the
-/// outcome is unknown, but never a piece of an answer as the whole one, nor "not run" of a run.
+/// Backend servers truncate answers, fail, refuse requests and are suspended. A caller may learn
+/// that the outcome is unknown, but must never get a partial answer as a complete one, nor "not
+/// run" for a request that ran.
 #[test]
 fn bad_backends() {
     let deployment = Deployment::builder().start();
--- a/standins/tests/operator_tool.rs
+++ b/standins/tests/operator_tool.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against a deployment of separate processes.
+//! Runs the operators' command-line tool against a deployment of separate processes.
 
 #![allow(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -16,7 +16,7 @@
     log::{LogControl, LogMode, LogService}, //
 };
 
-/// The tool with its settings file.
+/// The tool with a settings file in a directory of its own.
 struct Tool {
     dir: PathBuf,
     settings: Value,
@@ -58,7 +58,7 @@
             .unwrap()
     }
 
-    /// Runs a command with `--json`, and returns its exit code and what it printed.
+    /// Runs a command with `--json` and returns its exit code and its parsed output.
     fn json(&self, arguments: &[&str]) -> (i32, Value) {
         let output = self.run(&[arguments, &["--json"]].concat());
         let value = serde_json::from_slice(&output.stdout);
@@ -88,8 +88,8 @@
     processes.len() == 5 && processes.iter().all(have)
 }
 
-/// An operator's day: edits that are taken, stale or broken, a drain and its end, each reported
-/// with the processes that have it in force.
+/// The tool must tell accepted, stale and malformed edits apart, and report after an edit, a drain
+/// and a return which processes have it in force.
 #[test]
 fn edit_and_drain() {
     let deployment = Deployment::builder().start();
@@ -149,8 +149,8 @@
     );
 }
 
-/// An editor of one team holds its own key and not the secret, and may edit its own section only.
-/// With a mistaken key its edit is skipped by every process, and it must not be told otherwise.
+/// An editor with its own key, without the secret, may edit only its own section. With a wrong key
+/// every process skips the edit, and the tool must not report it as accepted.
 #[test]
 fn editor_key() {
     let deployment = Deployment::builder().start();
@@ -199,8 +199,8 @@
     );
 }
 
-/// An agent is frozen while its failure domain is taken out, and an entry does not answer. The
-/// operator sees which processes have the drain in force, and which could not be asked.
+/// An agent is suspended while its failure domain is drained, and an entry does not answer. The
+/// tool must report which processes have the drain in force and which ones did not answer.
 #[test]
 fn frozen_processes() {
     let deployment = Deployment::builder().start();
@@ -231,7 +231,8 @@
     });
 }
 
-/// The log takes an edit and its answer is lost; then the log is down and refuses all calls.
+/// The answer to an edit that the log has stored is lost; then the log refuses all calls. The tool
+/// must report the first edit as accepted and the outcome of later calls as not known.
 #[test]
 fn log_faults() {
     let deployment = Deployment::builder().start();
@@ -262,7 +263,7 @@
     );
 }
 
-/// A caller's jobs and requests by the tool.
+/// Submits jobs and sends requests with the tool. Repeated calls must give the same answer.
 #[test]
 fn jobs_and_requests() {
     let deployment = Deployment::builder().start();
@@ -317,10 +318,8 @@
             "load.txt",
         ])
     };
-    // Owners of keys that have just started grant none for a moment.
-    wait_until("the owner of the key to grant it", || {
-        ask("1").1["outcome"] == "done"
-    });
+    // Key owners that have just started grant no keys for a short time.
+    wait_until("the key to be granted", || ask("1").1["outcome"] == "done");
     let (exit, first) = ask("1");
     assert_eq!((exit, &first["outcome"]), (0, &json!("done")), "{first}");
     assert_eq!(ask("2"), (0, first));
@@ -332,8 +331,8 @@
     );
 }
 
-/// The log was in use before the deployment, and has dropped its first records. The tool can't tell
-/// by itself whether it has missed a configuration, and an edit made without it would be refused.
+/// The log was used before the deployment and has dropped its first records. The tool cannot tell
+/// whether it has missed a configuration, so it must not append an edit that could be rejected.
 #[test]
 fn used_log() {
     let log = LogService::start((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
--- a/standins/tests/record_checks.rs
+++ b/standins/tests/record_checks.rs
@@ -1,4 +1,4 @@
-//! The questions that failure tests ask the platform's records have to see what they look for.
+//! The checks that the failure tests run on the records must find the violations they look for.
 
 use dragonflyrun::utils::Name;
 use standins::{
@@ -32,7 +32,7 @@
     let alone = [interval(1, 0, 100, Some(900))];
     assert_eq!(longest_partial(&alone, 2, 2_000).ms, 800);
 
-    // A member that was frozen for a while, and two partial times that follow each other.
+    // A member was suspended for a while, which leaves two partial spans that are not adjacent.
     let frozen = [
         interval(1, 0, 100, Some(900)),
         interval(1, 1, 100, Some(300)),
--- a/standins/tests/standin_faults.rs
+++ b/standins/tests/standin_faults.rs
@@ -1,6 +1,6 @@
-//! The faults that the stand-ins play are the ones that `docs/PLATFORM.md` describes.
+//! The stand-ins inject the faults that `docs/PLATFORM.md` describes.
 
-#![allow(clippy::unwrap_used, reason = "a test may")]
+#![allow(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
 use std::{
     io::{Read, Write},
@@ -126,13 +126,12 @@
     }
 }
 
-/// Looks every 10 ms, as the worker's own thread does.
+/// Advances the table every 10 ms, as the worker's thread does.
 fn pass(table: &mut LeaseTable, from: u64, to: u64) {
     (from..=to).step_by(10).for_each(|ms| table.advance(at(ms)));
 }
 
-/// A holder that is frozen renews too late. The lease has lapsed by then and stays so; the tasks
-/// have stopped.
+/// A suspended holder renews its lease too late. The lease must stay lapsed and its tasks stopped.
 #[test]
 fn lapsed_lease() {
     let (mut table, lease) = (table(), Name::from("a"));
@@ -156,8 +155,8 @@
     table.obtain(at(310), &other, 8, at(300)).unwrap();
 }
 
-/// The whole worker is frozen past the end of a lease. When it goes on it stops the task before it
-/// serves the renewal that has waited meanwhile.
+/// The worker is suspended past the end of a lease. When it resumes, it must stop the task before
+/// it serves a pending renewal.
 #[test]
 fn frozen_worker() {
     let (mut table, lease) = (table(), Name::from("a"));
@@ -176,7 +175,8 @@
     assert_eq!(ran, [Some(100)]);
 }
 
-/// A worker is frozen for less than its lease. Its task has done no work meanwhile.
+/// The worker is suspended for less than the lease. The suspension must not count as work of the
+/// task.
 #[test]
 fn short_freeze() {
     let (mut table, lease) = (table(), Name::from("a"));
@@ -201,7 +201,7 @@
     assert_eq!(ran, [Some(500), Some(2_000)]);
 }
 
-/// A job is stopped with a checkpoint; its next attempt needs only the rest of the time.
+/// A job is stopped with a checkpoint. Its next attempt must need only the remaining run time.
 #[test]
 fn checkpoint_kept() {
     let (mut table, first, second) = (table(), Name::from("a"), Name::from("b"));
--- a/standins/tests/steps_quickstart.rs
+++ b/standins/tests/steps_quickstart.rs
@@ -1,8 +1,8 @@
-//! The quick start of jobs of steps.
+//! The quick start with jobs of steps.
 
 use std::path::Path;
 
-/// Somebody tries the product for the first time. Each task of each job has to run, once.
+/// Runs the example as a new user does. Each task of each job must run exactly once.
 #[test]
 fn each_task_once() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/steps");
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes: the document, requests, a gang, and a graceful stop.
+//! A fault-free run of a deployment of separate processes: the document, requests, a gang, and a
+//! graceful stop.
 
 use std::time::Duration;
 
