--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a guarded backend server. It announces itself to the agent beside it.
+//! A stand-in for a guarded backend server. It announces itself to the agent on its host.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -21,45 +21,46 @@
 
 use crate::http::{self, Refusal};
 
-/// Time between two announcements.
+/// Interval between two announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time that the agent has for an answer to an announcement.
+/// Timeout of an announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes of an answer, at the most.
+/// Maximum size of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// What a backend server is.
+/// The settings of a backend server.
 #[derive(Clone, Debug)]
 pub struct BackendSettings {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The HTTP listener of the agent beside it; none to announce itself to nobody.
+    /// The HTTP listener of the agent on its host; none to send no announcements.
     pub agent: Option<SocketAddr>,
-    /// The address that it announces; none for its own.
+    /// The address that it announces; none to announce its own.
     pub announced: Option<SocketAddr>,
     /// Its name.
     pub name: Name,
     /// The service that it runs.
     pub service: Name,
-    /// Requests that it runs at once, at the most.
+    /// Maximum number of concurrent requests that it announces.
     pub slots: u32,
-    /// Connections that it takes at once, at the most.
+    /// Maximum number of concurrent connections that it announces.
     pub connections: u32,
-    /// Its key in hexadecimal, which it sends with its announcements.
+    /// Its key in hexadecimal, sent with its announcements.
     pub token: String,
-    /// What a request asks for that does not say so itself.
+    /// The work of a request whose body specifies none.
     pub work: Work,
 }
 
-/// What a request asks for: its body as JSON, or the default where it is not that.
+/// The work of a request. It is read from the request's body as JSON; a body of another form gets
+/// [`BackendSettings::work`].
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Work {
-    /// Milliseconds for which it runs.
+    /// Run time in milliseconds.
     pub work_ms: u64,
-    /// Bytes of its answer.
+    /// Size of the answer in bytes.
     pub answer_bytes: usize,
 }
 
@@ -76,58 +77,58 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendMode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
-    /// It runs each request and answers with status 500.
+    /// Each request runs and is answered with status 500.
     Failing,
-    /// It runs each request and closes the connection in the middle of the answer.
+    /// Each request runs, and its connection is closed in the middle of the answer.
     Truncating,
-    /// It runs no request and answers with status 503.
+    /// No request runs; each is answered with status 503.
     Refusing,
 }
 
-/// What `POST /control` sets; what is absent stays as it is.
+/// The body of `POST /control`. Absent fields leave the current value unchanged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendControl {
     /// How the server behaves.
     pub mode: Option<BackendMode>,
-    /// Milliseconds that each run takes longer.
+    /// Additional run time of each request in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Whether it announces that it is leaving.
+    /// Whether the server announces that it is leaving.
     pub leaving: Option<bool>,
-    /// Whether it announces itself at all.
+    /// Whether the server sends announcements.
     pub announcing: Option<bool>,
 }
 
 /// One run of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Run {
-    /// The request, from its header `Dragonfly-Request`.
+    /// The request's id, from the header `Dragonfly-Request`.
     pub request: Name,
-    /// The key, from its header `Idempotency-Key`.
+    /// The key, from the header `Idempotency-Key`.
     pub key: Option<Name>,
-    /// The service, from its header `Dragonfly-Service`.
+    /// The service, from the header `Dragonfly-Service`.
     pub service: Name,
-    /// What [`digest`] gives for its body.
+    /// The [`digest`] of the body.
     pub digest: u64,
-    /// When it began, by the server's clock.
+    /// Start of the run in milliseconds of unix time, by the server's clock.
     pub started_unix_ms: u64,
-    /// When it ended; none while it runs.
+    /// End of the run in milliseconds of unix time; none while it runs.
     pub ended_unix_ms: Option<u64>,
 }
 
-/// What `GET /v1/record` answers.
+/// The answer to `GET /v1/record`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct BackendRecord {
-    /// All runs, in the order of their beginning.
+    /// All runs, in the order of their start.
     pub runs: Vec<Run>,
-    /// The most runs at once.
+    /// Maximum number of concurrent runs so far.
     pub most_running: usize,
-    /// Runs that have not ended.
+    /// Number of runs that have not ended.
     pub running: usize,
-    /// Requests that were answered without a run.
+    /// Number of requests that were refused without a run.
     pub refused: u64,
 }
 
@@ -164,11 +165,11 @@
 }
 
 impl Backend {
-    /// Starts a backend server, which announces itself from now on.
+    /// Starts a backend server, which sends announcements until the process ends.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// If the address cannot be bound.
     pub fn start(settings: BackendSettings) -> io::Result<Self> {
         let address = settings.address;
         let shared = Arc::new(Shared {
@@ -185,22 +186,22 @@
         Ok(Self { address, shared })
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Changes how the server behaves.
     pub fn control(&self, control: BackendControl) {
         self.shared.control(control);
     }
 
-    /// Returns what it ran.
+    /// Returns the record of its runs.
     pub fn record(&self) -> BackendRecord {
         self.shared.lock().record.clone()
     }
 
-    /// Announces that it is leaving and waits until no request has run for `quiet_time`.
+    /// Announces that the server is leaving and waits until no request has run for `quiet_time`.
     pub fn leave(&self, quiet_time: Duration) {
         self.control(BackendControl {
             leaving: Some(true),
@@ -228,7 +229,7 @@
         self.changed.notify_all();
     }
 
-    /// Announces the server at a fixed interval, and at once when it begins to leave.
+    /// Announces the server at a fixed interval, and immediately when it starts to leave.
     fn announce(&self, address: SocketAddr) {
         let Some(agent) = self.settings.agent else {
             return;
@@ -318,7 +319,8 @@
         }
     }
 
-    /// Takes note that a run begins; returns its number and its delay.
+    /// Records the start of a run and returns its index and additional run time; none if the server
+    /// refuses requests.
     fn start_run(&self, req: &Request<Body>, body: &[u8]) -> Option<(usize, Duration)> {
         let mut state = self.lock();
         if state.mode == BackendMode::Refusing {
@@ -364,15 +366,16 @@
     }
 }
 
-/// Returns a number that tells one body from another.
+/// Returns a hash of the body.
 pub fn digest(body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     body.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Returns the answer to a request with `body`: `bytes` bytes that depend on the whole of it, and
-/// each on its chunk, so that a missing, doubled or swapped piece shows.
+/// Returns the answer to a request with `body`, `bytes` bytes long. Each part of the answer depends
+/// on the complete body and on its position, so that missing, repeated or swapped parts are
+/// detected.
 pub fn answer_to(body: &[u8], bytes: usize) -> Vec<u8> {
     let seed = digest(body);
     let bytes = bytes.min(MAX_ANSWER_BYTES);
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the system: requests, jobs and questions by HTTP.
+//! A caller of the system, which sends requests, jobs and queries to an entry by HTTP.
 
 use std::{
     fmt,
@@ -18,39 +18,39 @@
 
 use crate::http::{self, Answer};
 
-/// Time added to a request's deadline before its caller gives the connection up.
+/// Time after a request's deadline at which its caller closes the connection.
 const DEADLINE_GRACE: Duration = Duration::from_secs(10);
 
-/// Time that a question has for an answer.
+/// Timeout of a call other than a request.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A final answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// It ran, with this status and body of the backend server.
+    /// It ran, and the backend server answered with this status and body.
     Done {
         /// The status.
         status: u16,
-        /// The whole body.
+        /// The complete body.
         body: Vec<u8>,
     },
     /// It did not run.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: NotRun,
-        /// When to come back.
+        /// Delay in milliseconds before the next attempt.
         retry_after_ms: u64,
     },
-    /// It ran once at the most.
+    /// It ran at most once.
     Unknown,
 }
 
-/// What a caller got.
+/// The result of one attempt of a request.
 #[derive(Debug)]
 pub enum Reply {
     /// A final answer.
     Final(RequestOutcome),
-    /// No whole answer: the connection was refused or broke. The caller knows nothing.
+    /// No complete answer was received, because the connection was refused or broke.
     Broken(io::Error),
 }
 
@@ -68,13 +68,13 @@
 }
 
 impl Reply {
-    /// Returns whether the request ran and was answered well.
+    /// Returns whether the request ran and was answered with status 200.
     pub fn is_done(&self) -> bool {
         matches!(self, Self::Final(RequestOutcome::Done { status: 200, .. }))
     }
 
-    /// Returns whether this attempt did not run for certain: the answer says so, or there was no
-    /// connection to send it on.
+    /// Returns whether it is certain that this attempt did not run: the answer says so, or the
+    /// connection was refused.
     pub fn certainly_not_run(&self) -> bool {
         match self {
             Self::Broken(error) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -94,7 +94,7 @@
     retry_after_ms: u64,
 }
 
-/// Somebody who sends requests and jobs to one entry.
+/// A client of one entry.
 #[derive(Clone, Debug)]
 pub struct Caller {
     entry: SocketAddr,
@@ -102,7 +102,7 @@
 }
 
 impl Caller {
-    /// Returns a caller of the entry at `entry`.
+    /// Returns a caller of the entry at this address.
     pub fn new(entry: SocketAddr) -> Self {
         Self { entry, key: None }
     }
@@ -121,7 +121,7 @@
     ///
     /// # Panics
     ///
-    /// Where the answer is none of the three that an entry may give.
+    /// If the answer is none of the three outcomes of the interface.
     pub fn request(
         &self,
         service: &str,
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// Where no whole answer came.
+    /// If no complete answer was received, or it is malformed.
     pub fn submit(&self, job: &str, spec: &JobSpec) -> io::Result<JobAnswer> {
         let body = serde_json::to_vec(spec)?;
         let name = [("Idempotency-Key", job)];
@@ -166,27 +166,27 @@
     ///
     /// # Errors
     ///
-    /// Where no whole answer came.
+    /// If no complete answer was received, or it is malformed.
     pub fn cancel(&self, job: &str) -> io::Result<JobAnswer> {
         let path = format!("/v1/jobs/{job}");
         self.send(Method::DELETE, &path, &[], Vec::new())?.json()
     }
 
-    /// Asks after a job.
+    /// Queries the status of a job.
     ///
     /// # Errors
     ///
-    /// Where no whole answer came, or the entry does not know the job.
+    /// If no complete answer was received, or the entry does not know the job.
     pub fn job(&self, job: &str) -> io::Result<JobStatus> {
         let path = format!("/v1/jobs/{job}");
         self.send(Method::GET, &path, &[], Vec::new())?.json()
     }
 
-    /// Asks the entry for its view of the system.
+    /// Queries the entry's view of the system.
     ///
     /// # Errors
     ///
-    /// Where no whole answer came.
+    /// If no complete answer was received, or it is malformed.
     pub fn status(&self) -> io::Result<StatusAnswer> {
         self.send(Method::GET, "/v1/status", &[], Vec::new())?
             .json()
@@ -221,9 +221,9 @@
                 reason: refused.reason,
                 retry_after_ms: refused.retry_after_ms,
             },
-            Err(error) => panic!("a refusal that does not say why: {error}"),
+            Err(error) => panic!("cannot read the body of a refusal: {error}"),
         },
         Some("unknown") => RequestOutcome::Unknown,
-        other => panic!("outcome {other:?} with status {}", answer.status),
+        other => panic!("unexpected outcome {other:?} with status {}", answer.status),
     }
 }
--- a/standins/src/editor.rs
+++ b/standins/src/editor.rs
@@ -1,4 +1,4 @@
-//! An operator who edits the document by records on the log, as the command-line tool does.
+//! An operator who edits the document with records on the log, as the command-line tool does.
 
 use std::{
     io,
@@ -15,10 +15,10 @@
     version::{RawSection, Section},
 };
 
-/// Time that the log has for an answer.
+/// Timeout of a call to the log service.
 const LOG_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Records of one read of the log.
+/// Maximum number of records per read of the log.
 const PAGE_RECORDS: usize = 1_000;
 
 /// An operator with access to the log.
@@ -30,7 +30,8 @@
 }
 
 impl Editor {
-    /// Returns the editor called `name` of the deployment with `secret` whose log is at `log`.
+    /// Returns an editor with this name for the deployment with this secret, whose log service
+    /// listens at `log`.
     pub fn new(log: SocketAddr, name: &str, secret: &str) -> Self {
         Self {
             client: LogClient::new(&log.to_string(), LOG_TIMEOUT),
@@ -44,11 +45,11 @@
         self.name.clone()
     }
 
-    /// Folds the whole log, as every process does.
+    /// Folds the complete log, as every process does.
     ///
     /// # Errors
     ///
-    /// Where the log can't be read.
+    /// If the log cannot be read.
     pub fn ledger(&self) -> io::Result<Ledger> {
         let mut ledger = Ledger::default();
         loop {
@@ -66,11 +67,11 @@
         }
     }
 
-    /// Edits a section and returns the version that results.
+    /// Edits a section and returns the resulting version.
     ///
     /// # Errors
     ///
-    /// Where the log does not take it, or it is rejected.
+    /// If the log cannot be read or appended to, or the edit is rejected.
     pub fn edit(&self, section: &str, content: Section) -> io::Result<u64> {
         let section = Name::from(section);
         let base = self.ledger()?.history.sections().get(&section).copied();
@@ -89,11 +90,12 @@
         }
     }
 
-    /// Takes a failure domain out of service or returns it; returns the version that results.
+    /// Takes a failure domain out of service or returns it to service. Returns the resulting
+    /// version.
     ///
     /// # Errors
     ///
-    /// As [`Editor::edit`], and where no section names the failure domain.
+    /// Those of [`Editor::edit`], and an error if no section names the failure domain.
     pub fn set_in_service(&self, domain: &str, in_service: bool) -> io::Result<u64> {
         let ledger = self.ledger()?;
         let sections = &ledger.history.current().document.sections;
@@ -104,14 +106,15 @@
                 .position(|d| *d.name == *domain)?;
             Some((name, section, index))
         });
-        let (name, section, index) = found.ok_or_else(|| io::Error::other("unknown domain"))?;
+        let (name, section, index) =
+            found.ok_or_else(|| io::Error::other("unknown failure domain"))?;
         let mut section = Section::clone(section);
         section.failure_domains[index].in_service = in_service;
         self.edit(name, section)
     }
 }
 
-/// Returns a name that no other call in any process on this machine returns at the same time.
+/// Returns a name that is unique among the running processes of this machine.
 pub fn unique(prefix: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins need of an HTTP server and client.
+//! The HTTP server and client of the stand-ins.
 
 use std::{
     io::{self, Read},
@@ -13,20 +13,20 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Bytes of a body, at the most.
+/// Maximum size of a request body in bytes. The rest of a larger one is ignored.
 const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// How often a free port is looked for.
+/// Number of attempts to bind a free port.
 const BIND_ATTEMPTS: usize = 20;
 
-/// Starts a server at `address` and returns the address that was bound.
+/// Starts a server at `address` and returns the bound address.
 ///
-/// The server can name no port that it chose itself, so for port 0 a free one is looked up first;
-/// another process may take it in between, and the next one is tried then.
+/// The server cannot report a port that the system chose, so for port 0 a free port is looked up
+/// first. If another process binds that port in the meantime, another one is tried.
 ///
 /// # Errors
 ///
-/// Where the address can't be bound.
+/// If the address cannot be bound.
 pub fn serve(
     address: SocketAddr,
     on_request: impl Fn(&mut Request<Body>) -> Result<Response<Body>, Refusal>
@@ -36,7 +36,7 @@
     + 'static,
 ) -> io::Result<SocketAddr> {
     let on_request = move |req: &mut Request<Body>| on_request(req).unwrap_or_else(Refusal::answer);
-    let mut last_error = io::Error::other("no free port");
+    let mut last_error = io::Error::other("no free port found");
     for _ in 0..BIND_ATTEMPTS {
         let bound = free_address(address)?;
         match Server::new(on_request.clone()).bind(bound).spawn() {
@@ -55,13 +55,13 @@
     TcpListener::bind(address)?.local_addr()
 }
 
-/// Returns an answer with `value` as JSON.
+/// Returns an answer with `value` as its JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     bytes(status, "application/json", body)
 }
 
-/// Why a call was refused.
+/// The refusal of a call.
 #[derive(Debug)]
 pub struct Refusal {
     status: StatusCode,
@@ -69,7 +69,7 @@
 }
 
 impl Refusal {
-    /// Returns a refusal with a status and a reason in words.
+    /// Returns a refusal with a status and a reason as text.
     pub fn new(status: StatusCode, reason: impl Into<String>) -> Self {
         Self {
             status,
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Returns the answer that says so.
+    /// Returns the answer with the status and the reason.
     pub fn answer(self) -> Response<Body> {
         bytes(self.status, "text/plain", self.reason.into_bytes())
     }
 }
 
-/// Returns an answer with `body`.
+/// Returns an answer with `body` and the content type `kind`.
 pub fn bytes(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Response<Body> {
     let mut answer = Response::new(Body::from(body));
     *answer.status_mut() = status;
@@ -92,13 +92,13 @@
     answer
 }
 
-/// Returns an answer whose connection is closed after `start` of its body, before its end.
+/// Returns an answer whose connection is closed after `start`, before the end of the body.
 pub fn cut_off(start: Vec<u8>) -> Response<Body> {
     let body = io::Cursor::new(start).chain(FailingReader);
     Response::new(Body::from_read(body))
 }
 
-/// A reader that fails at once, so that the server closes the connection in mid-answer.
+/// A reader that always fails, so that the server closes the connection within the answer.
 struct FailingReader;
 
 impl Read for FailingReader {
@@ -107,11 +107,11 @@
     }
 }
 
-/// Reads the whole body of `req`.
+/// Reads the body of `req`.
 ///
 /// # Errors
 ///
-/// A [`Refusal`] for the sender.
+/// Returns a [`Refusal`] for the sender if the body cannot be read.
 pub fn read_body(req: &mut Request<Body>) -> Result<Vec<u8>, Refusal> {
     let mut buf = Vec::new();
     match req.body_mut().take(MAX_BODY_BYTES).read_to_end(&mut buf) {
@@ -124,13 +124,13 @@
 ///
 /// # Errors
 ///
-/// A [`Refusal`] for the sender.
+/// Returns a [`Refusal`] for the sender if the body cannot be read or parsed.
 pub fn read_json<T: DeserializeOwned>(req: &mut Request<Body>) -> Result<T, Refusal> {
     serde_json::from_slice(&read_body(req)?)
         .map_err(|e| Refusal::new(StatusCode::BAD_REQUEST, e.to_string()))
 }
 
-/// Returns the value of `name` in the query of `req`.
+/// Returns the value of the query parameter `name`; none if it is absent or malformed.
 pub fn query<T: std::str::FromStr>(req: &Request<Body>, name: &str) -> Option<T> {
     let pairs = req.uri().query()?.split('&');
     pairs
@@ -139,33 +139,33 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// An answer to a client.
+/// An answer as its client received it.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: header::HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Where it is not a `T`.
+    /// If it is not a `T`.
     pub fn json<T: DeserializeOwned>(&self) -> io::Result<T> {
         serde_json::from_slice(&self.body).map_err(io::Error::other)
     }
 }
 
-/// Sends one request to `address` and waits for its whole answer.
+/// Sends one request to `address` and waits for the complete answer.
 ///
 /// # Errors
 ///
-/// Where no whole answer came.
+/// If no complete answer was received.
 pub fn call(
     address: SocketAddr,
     method: Method,
@@ -190,11 +190,11 @@
     })
 }
 
-/// Sends `value` as JSON and waits for the whole answer.
+/// Sends `value` as JSON and waits for the complete answer.
 ///
 /// # Errors
 ///
-/// Where no whole answer came.
+/// If no complete answer was received.
 pub fn call_json(
     address: SocketAddr,
     method: Method,
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins of the platform, for dragonflyrun's tests and its quick start only.
+//! Small stand-ins for the platform, used only by the tests and the quick start of dragonflyrun.
 //!
 //! `docs/PLATFORM.md` describes the interfaces that they serve.
 
--- a/standins/src/log.rs
+++ b/standins/src/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's append-only log service, in memory only.
+//! A stand-in for the platform's append-only log service. It keeps its records in memory.
 
 use std::{
     collections::VecDeque,
@@ -20,29 +20,29 @@
 
 use crate::http::{self, Refusal};
 
-/// Records in one answer, at the most.
+/// Maximum number of records in an answer.
 const MAX_PAGE_RECORDS: usize = 1_000;
 
-/// Bytes of the records in one answer, at the most, but for the first.
+/// Maximum size in bytes of the records in an answer. The first record may be larger.
 const MAX_PAGE_BYTES: usize = 8 << 20;
 
-/// Longest time that a read waits for a record.
+/// Maximum time for which a read waits for a record.
 const MAX_READ_WAIT: Duration = Duration::from_secs(30);
 
-/// How the service answers.
+/// How the service behaves.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogMode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
-    /// Each call is refused at once and has no effect.
+    /// Each call is refused immediately and has no effect.
     Refuse,
-    /// No call is answered before the mode changes; only then does it take effect.
+    /// Calls are held and take effect only after the mode has changed.
     Hang,
-    /// Each call takes effect, and its connection is closed before the answer's end.
+    /// Each call takes effect, but its connection is closed before the end of the answer.
     LoseAnswers,
-    /// The same for appends only; reads are answered.
+    /// As [`LogMode::LoseAnswers`], but only for appends; reads are answered.
     LoseAppends,
 }
 
@@ -58,30 +58,30 @@
     Read,
 }
 
-/// What `POST /control` sets; what is absent stays as it is.
+/// The body of `POST /control`. Absent fields leave the current value unchanged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogControl {
-    /// How the service answers.
+    /// How the service behaves.
     pub mode: Option<LogMode>,
-    /// Milliseconds by which each call is delayed.
+    /// Delay of each call in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Records that are kept; older ones are dropped now and later on.
+    /// Number of records to retain. Older records are dropped now and after each append.
     pub keep: Option<usize>,
 }
 
-/// What `GET /control` answers.
+/// The answer to `GET /control`.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct LogStatus {
-    /// How the service answers.
+    /// How the service behaves.
     pub mode: LogMode,
-    /// The oldest offset that is kept.
+    /// The offset of the oldest retained record.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// The offset of the next record.
     pub head: u64,
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appends: u64,
-    /// Reads that were answered.
+    /// Number of reads that were answered.
     pub reads: u64,
 }
 
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// If the address cannot be bound.
     pub fn start(address: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let served = shared.clone();
@@ -132,17 +132,17 @@
         Ok(Self { address, shared })
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it answers.
+    /// Changes how the service behaves.
     pub fn control(&self, control: LogControl) {
         self.shared.control(control);
     }
 
-    /// Returns how it answers and what it holds.
+    /// Returns the mode and the state of the log.
     pub fn status(&self) -> LogStatus {
         self.shared.lock().status()
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Lets `call` take effect and answers it as the mode says.
+    /// Applies the fault of the current mode to `call`.
     fn apply_fault(
         &self,
         kind: Call,
@@ -237,7 +237,7 @@
         })
     }
 
-    /// Waits until there is a record at `from` or a fault is set.
+    /// Waits until there is a record at `from` or the mode no longer serves reads.
     fn wait_for_record(&self, from: u64, wait: Duration) {
         let none = |state: &mut State| state.mode.serves_reads() && state.head() <= from;
         let waited = self.changed.wait_timeout_while(self.lock(), wait, none);
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the platform as processes of their own, and the quick start.
+//! Runs the stand-ins for the platform as separate processes, and the quick start.
 
 use std::{
     error::Error,
@@ -21,10 +21,10 @@
 };
 
 /// Time without a request after which a leaving backend server exits. It is longer than the time
-/// within which a leaving server gets no new work.
+/// for which a leaving server may still get new requests.
 const QUIET_TIME_BEFORE_EXIT: Duration = Duration::from_secs(3);
 
-/// Plays the platform's part for dragonflyrun's tests and its quick start.
+/// Stand-ins for the platform, for the tests and the quick start of dragonflyrun.
 #[derive(Options)]
 struct Arguments {
     /// Print this help.
@@ -35,15 +35,15 @@
 
 #[derive(Options)]
 enum Command {
-    /// The append-only log service.
+    /// Run the append-only log service.
     Log(LogArguments),
-    /// A worker that runs tasks under leases.
+    /// Run a worker that runs tasks under leases.
     Worker(WorkerArguments),
-    /// A backend server that announces itself to an agent.
+    /// Run a backend server that announces itself to an agent.
     Backend(BackendArguments),
-    /// A relay between two TCP ports.
+    /// Run a TCP relay.
     Relay(RelayArguments),
-    /// A whole deployment in this process, with jobs and requests.
+    /// Run a complete deployment with jobs and requests in this process.
     Quickstart(QuickstartArguments),
 }
 
@@ -51,7 +51,7 @@
 struct QuickstartArguments {
     /// Print this help.
     help: bool,
-    /// The folder of the example.
+    /// Folder of the example.
     #[options(default = "examples/murtal", meta = "FOLDER")]
     example: PathBuf,
 }
@@ -60,7 +60,7 @@
 struct LogArguments {
     /// Print this help.
     help: bool,
-    /// IP:port to listen at.
+    /// Address to listen at, as IP:port.
     #[options(default = "127.0.0.1:0")]
     listen: String,
 }
@@ -69,18 +69,18 @@
 struct WorkerArguments {
     /// Print this help.
     help: bool,
-    /// IP:port to listen at.
+    /// Address to listen at, as IP:port.
     #[options(default = "127.0.0.1:0")]
     listen: String,
-    /// The worker's name.
+    /// Name of the worker.
     #[options(required)]
     name: String,
-    /// Accelerators that it has.
+    /// Number of accelerators of the worker.
     #[options(default = "8")]
     accelerators: u32,
-    /// The failure domain that it stands in.
+    /// Failure domain of the worker.
     failure_domain: String,
-    /// Milliseconds by which reported usage lags.
+    /// Age of the reported usage in milliseconds.
     #[options(default = "2000", meta = "MS")]
     usage_lag: u64,
 }
@@ -89,26 +89,26 @@
 struct BackendArguments {
     /// Print this help.
     help: bool,
-    /// IP:port to listen at.
+    /// Address to listen at, as IP:port.
     #[options(default = "127.0.0.1:0")]
     listen: String,
-    /// IP:port of the agent beside it.
+    /// Address of the agent on the same host, as IP:port.
     agent: Option<SocketAddr>,
-    /// IP:port to print_address in place of its own.
+    /// Address to announce instead of its own, as IP:port.
     announced: Option<SocketAddr>,
-    /// The server's name.
+    /// Name of the server.
     #[options(required)]
     name: String,
-    /// The service that it runs.
+    /// Service of the server.
     #[options(required)]
     service: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     #[options(default = "8")]
     slots: u32,
-    /// Connections that it takes at once.
+    /// Maximum number of concurrent connections.
     #[options(default = "64")]
     connections: u32,
-    /// Its key, as `dragonflyrun issue-key --backend NAME` prints it.
+    /// Key of the server, as printed by `dragonflyrun issue-key --backend NAME`.
     #[options(default = "", meta = "KEY")]
     token: String,
 }
@@ -117,13 +117,13 @@
 struct RelayArguments {
     /// Print this help.
     help: bool,
-    /// IP:port to listen at.
+    /// Address to listen at, as IP:port.
     #[options(default = "127.0.0.1:0")]
     listen: String,
-    /// IP:port to forward to.
+    /// Address to forward to, as IP:port.
     #[options(required)]
     target: Option<SocketAddr>,
-    /// Milliseconds by which each piece is delayed.
+    /// Delay of each forwarded chunk in milliseconds.
     #[options(default = "0", meta = "MS")]
     delay: u64,
 }
@@ -131,7 +131,7 @@
 type MainResult = Result<(), Box<dyn Error>>;
 
 fn main() -> ExitCode {
-    // Warnings only, so that the output stays readable; the environment can ask for more.
+    // Only warnings are logged, so that the output stays readable; DRAGONFLYRUN_LOG can enable more.
     dragonflyrun::process::logging::start_at("warn");
     let arguments = Arguments::parse_args_default_or_exit();
     let Some(command) = arguments.command else {
@@ -172,7 +172,7 @@
             Ok(())
         }
         Command::Relay(arguments) => {
-            let target = arguments.target.ok_or("the target is required")?;
+            let target = arguments.target.ok_or("--target is required")?;
             let relay = Relay::start(arguments.listen.parse()?, target)?;
             relay.control(RelayControl {
                 delay_ms: Some(arguments.delay),
@@ -216,7 +216,7 @@
     }
 }
 
-/// Prints the address for the one that started the process with port 0.
+/// Prints the listening address, which the parent process needs if the port is 0.
 fn print_address(address: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(out, "listening {address}")?;
--- a/standins/src/quickstart/cluster.rs
+++ b/standins/src/quickstart/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a deployment and of its platform, within this one process.
+//! A deployment with the stand-ins for its platform, all in this process.
 
 use std::{
     io,
@@ -22,18 +22,19 @@
     worker::{Checkpoints, Interval, Worker, WorkerSettings},
 };
 
-/// The secret of the deployment, which lives only as long as this process.
+/// The secret of the deployment. The deployment exists only within this process, so the secret need
+/// not be random.
 const SECRET: &str = "a secret for as long as the quick start runs";
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The lag with which workers report usage.
+/// The age of the usage that workers report.
 const USAGE_LAG: Duration = Duration::from_secs(2);
 
-/// Time within which the deployment has to become ready.
+/// Timeout for the deployment to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks whether it is ready.
+/// Interval at which the readiness of the deployment is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running deployment.
@@ -44,7 +45,7 @@
     hosts: Vec<WorkerHost>,
 }
 
-/// A worker host with all that runs on it.
+/// The processes of a worker host.
 struct WorkerHost {
     worker: Worker,
     backend: Backend,
@@ -52,7 +53,8 @@
 }
 
 impl Cluster {
-    /// Starts all processes, puts the document on the log, and waits until all are at work.
+    /// Starts all processes, writes the document to the log and waits until the deployment is
+    /// ready.
     pub(super) fn start(plan: &Plan) -> io::Result<Self> {
         let log = LogService::start(ANY_PORT)?;
         let editor = Editor::new(log.address(), &plan.deployment.editor, SECRET);
@@ -73,33 +75,33 @@
         Ok(cluster)
     }
 
-    /// Returns a caller of the entry of this number, which wraps around.
+    /// Returns a caller of the entry with this index, modulo the number of entries.
     pub(super) fn caller(&self, number: usize) -> Caller {
         let entry = &self.entries[number % self.entries.len()];
         Caller::new(entry.http_addr()).with_key(&self.editor.name(), SECRET)
     }
 
-    /// Returns the operator who may edit every section.
+    /// Returns the editor that may edit every section.
     pub(super) fn editor(&self) -> &Editor {
         &self.editor
     }
 
-    /// Returns where the log service listens.
+    /// Returns the address of the log service.
     pub(super) fn log_address(&self) -> SocketAddr {
         self.log.address()
     }
 
-    /// Returns what the backend servers ran.
+    /// Returns the records of the backend servers.
     pub(super) fn backend_records(&self) -> Vec<BackendRecord> {
         self.hosts.iter().map(|s| s.backend.record()).collect()
     }
 
-    /// Returns when which tasks ran on the workers.
+    /// Returns the intervals in which tasks ran on the workers.
     pub(super) fn intervals(&self) -> Vec<Interval> {
         self.hosts.iter().flat_map(|s| s.worker.record()).collect()
     }
 
-    /// Stops all processes of the system.
+    /// Stops all entries and agents.
     pub(super) fn stop(self) {
         let entries = self.entries.into_iter();
         let agents = self.hosts.into_iter().map(|s| s.agent);
@@ -121,8 +123,8 @@
         Ok(())
     }
 
-    /// Returns whether every entry hears every agent, and each service is_answering a request. The
-    /// owners of keys take a moment after the start, until no earlier owner can be at work.
+    /// Returns whether every entry receives heartbeats from every agent, and each service answers a
+    /// request. After the start, key owners grant no keys until no earlier owner can be active.
     fn is_ready(&self, plan: &Plan) -> bool {
         let workers = plan.deployment.workers.len();
         let sees_all_agents = |number: usize| {
--- a/standins/src/quickstart/mod.rs
+++ b/standins/src/quickstart/mod.rs
@@ -1,4 +1,5 @@
-//! The quick start: a whole deployment in one process, a workload, and what became of it.
+//! The quick start: runs a workload on a complete deployment in one process and reports the
+//! outcome.
 
 mod cluster;
 mod outcome;
@@ -18,15 +19,15 @@
 
 use crate::steps;
 
-/// The file that an example of jobs of steps has; these run on the store's side of the product.
+/// The file that marks an example with jobs of steps, which run on the store-based processes.
 const STEPS_FILE: &str = "steps.json";
 
-/// Runs the deployment and the workload of an example's folder, prints what became of each, and
-/// returns whether nothing was lost or repeated.
+/// Runs the workload of an example's folder on its deployment, prints the outcomes, and returns
+/// whether no guarantee was violated.
 ///
 /// # Errors
 ///
-/// Where the example can't be read, a process does not start, or it does not become ready.
+/// If the example cannot be read, a process does not start, or the deployment does not become ready.
 pub fn run(example: &Path) -> io::Result<bool> {
     if example.join(STEPS_FILE).is_file() {
         return steps::run(example);
--- a/standins/src/quickstart/outcome.rs
+++ b/standins/src/quickstart/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a workload, and what of that breaks a promise.
+//! The outcome of a workload, and the violations of guarantees in it.
 
 use std::time::Duration;
 
@@ -16,43 +16,43 @@
     worker::Interval,
 };
 
-/// What became of one job.
+/// The outcome of one job.
 #[derive(Clone, Debug)]
 pub struct JobOutcome {
     /// The job.
     pub job: JobId,
-    /// Its end; none where it was refused at once.
+    /// The last reported state; none if the job was refused.
     pub end: Option<JobState>,
-    /// Why it was refused; empty where it was not.
+    /// The reason of the refusal; empty if the job was accepted.
     pub refusal: String,
-    /// Where its last attempt ran.
+    /// The workers of its last attempt.
     pub placements: Vec<Placement>,
-    /// Attempts that it duration.
+    /// Number of its attempts.
     pub attempts: u32,
     /// Time from its submission to its end.
     pub duration: Duration,
 }
 
-/// What became of one stream of requests.
+/// The outcome of one stream of requests.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTally {
     /// The service.
     pub service: Name,
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub sent: u32,
-    /// Those with their own whole answer.
+    /// Requests with the complete and correct answer.
     pub done: u32,
-    /// Those that were refused until their deadline.
+    /// Requests that were refused until their deadline.
     pub refused: u32,
-    /// Refusals after which the caller tried again.
+    /// Refusals after which the caller retried.
     pub retried: u32,
-    /// Those whose outcome is not known.
+    /// Requests with unknown outcome.
     pub unknown: u32,
-    /// Those whose answer was not their own or not whole.
+    /// Requests with an incorrect or incomplete answer.
     pub wrong: u32,
-    /// The last reason of a refusal; empty without one.
+    /// The reason of the last refusal; empty if there was none.
     pub reason: String,
-    /// The times of those that were done, in milliseconds, in order.
+    /// The sorted durations of the done requests in milliseconds.
     pub times_ms: Vec<u64>,
 }
 
@@ -61,31 +61,31 @@
 pub struct DrainOutcome {
     /// The failure domain.
     pub failure_domain: Name,
-    /// When its edit was accepted, on the workers' clock.
+    /// When the drain was accepted, in milliseconds of unix time.
     pub drained_unix_ms: u64,
-    /// When it was returned.
+    /// When its return to service was requested, in milliseconds of unix time.
     pub returned_unix_ms: u64,
 }
 
-/// What became of a whole workload.
+/// The outcome of a workload.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
     /// The jobs, in the order of the plan.
     pub jobs: Vec<JobOutcome>,
     /// The streams of requests, in the order of the plan.
     pub requests: Vec<RequestTally>,
-    /// The drains.
+    /// The drains, in the order of the plan.
     pub drains: Vec<DrainOutcome>,
-    /// When which tasks ran, by the workers' own records.
+    /// The intervals in which tasks ran, from the workers' records.
     pub intervals: Vec<Interval>,
-    /// What ran, by the backend servers' own records.
+    /// The records of the backend servers.
     pub backends: Vec<BackendRecord>,
-    /// When all had ended, on the workers' clock.
+    /// When the workload had ended, in milliseconds of unix time.
     pub ended_unix_ms: u64,
 }
 
 impl Outcomes {
-    /// Returns all that was lost, repeated or breaks another promise, each in a sentence.
+    /// Returns a sentence for each violated guarantee.
     pub fn faults(&self, plan: &Plan) -> Vec<String> {
         let mut faults = self.job_faults(plan);
         faults.extend(self.gang_faults(plan));
@@ -172,14 +172,14 @@
         own.cloned().collect()
     }
 
-    /// Returns how many members the gang has; all attempts of the examples' gangs have as many.
+    /// Returns the number of gang members. It is the same in all attempts of the examples' gangs.
     fn members_of(&self, intervals: &[Interval]) -> usize {
         let highest = intervals.iter().map(|i| i.member).max();
         highest.map_or(0, |member| member as usize + 1)
     }
 }
 
-/// Returns the service of a key that [`request_key`] made.
+/// Returns the service of a key that [`request_key`] has created.
 fn service_of(key: &str) -> &str {
     key.rsplit_once('/').map_or(key, |(service, _)| service)
 }
--- a/standins/src/quickstart/plan.rs
+++ b/standins/src/quickstart/plan.rs
@@ -1,4 +1,4 @@
-//! An example: its deployment, document and workload.
+//! The files of an example: its deployment, document and workload.
 
 use std::{
     fs,
@@ -13,7 +13,7 @@
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
-/// The sections of an example's document, in the order in which they are put on the log.
+/// The sections of an example's document, in the order in which they are written to the log.
 const SECTIONS: [&str; 5] = [
     "administration",
     "failure-domains",
@@ -22,14 +22,14 @@
     "limits",
 ];
 
-/// All that an example's folder holds.
+/// The content of an example's folder.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its processes.
+    /// The processes.
     pub deployment: DeploymentPlan,
-    /// Its document.
+    /// The document.
     pub sections: Vec<NamedSection>,
-    /// Its jobs, requests and drains.
+    /// The jobs, requests and drains.
     pub workload: Workload,
 }
 
@@ -46,15 +46,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentPlan {
-    /// Who edits the document.
+    /// The editor of the document.
     pub editor: Name,
     /// The names of the entries.
     pub entries: Vec<Name>,
-    /// The workers, each with the agent and the backend server beside it.
+    /// The workers, each with an agent and a backend server on the same host.
     pub workers: Vec<WorkerPlan>,
 }
 
-/// A worker with the backend server beside it.
+/// A worker and the backend server on the same host.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerPlan {
@@ -64,17 +64,17 @@
     pub failure_domain: Name,
     /// Its rack.
     pub rack: Name,
-    /// Its accelerators.
+    /// Number of its accelerators.
     pub accelerators: u32,
     /// The service of its backend server.
     pub service: Name,
-    /// Requests that the backend server runs at once.
+    /// Maximum number of concurrent requests of the backend server.
     pub slots: u32,
-    /// Connections that the backend server takes at once.
+    /// Maximum number of concurrent connections of the backend server.
     pub connections: u32,
 }
 
-/// What is asked of a deployment, and when.
+/// The workload of a deployment over time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
@@ -82,7 +82,7 @@
     pub jobs: Vec<JobPlan>,
     /// Streams of requests.
     pub requests: Vec<RequestPlan>,
-    /// Failure domains that are taken out and returned.
+    /// Failure domains that are taken out of service and returned.
     #[serde(default)]
     pub drains: Vec<DrainPlan>,
 }
@@ -91,25 +91,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobPlan {
-    /// Milliseconds after the start at which it is submitted.
+    /// Time of its submission in milliseconds after the start.
     pub after_ms: u64,
     /// Its name.
     pub job: JobId,
-    /// What has to become of it.
+    /// The expected outcome.
     pub expect: Expected,
-    /// What it asks for.
+    /// The specification of the job.
     pub spec: JobSpec,
 }
 
-/// What has to become of a job.
+/// The expected outcome of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum Expected {
-    /// It runs to its end.
+    /// It finishes.
     Finished,
-    /// It is refused at once.
+    /// It is refused on submission.
     Refused,
-    /// It fails as often as it may.
+    /// It fails in all permitted attempts.
     Failed,
 }
 
@@ -117,19 +117,19 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestPlan {
-    /// Milliseconds after the start at which the first is sent.
+    /// Time of the first request in milliseconds after the start.
     pub after_ms: u64,
     /// The service.
     pub service: Name,
-    /// How many are sent.
+    /// Number of requests.
     pub count: u32,
-    /// Milliseconds between two.
+    /// Interval between two requests in milliseconds.
     pub every_ms: u64,
-    /// Milliseconds for which each runs.
+    /// Run time of each request in milliseconds.
     pub work_ms: u64,
-    /// Bytes of each answer.
+    /// Size of each answer in bytes.
     pub answer_bytes: usize,
-    /// Milliseconds within which each is answered.
+    /// Deadline of each request in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -137,11 +137,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainPlan {
-    /// Milliseconds after the start at which it is taken out.
+    /// Time of the drain in milliseconds after the start.
     pub after_ms: u64,
     /// The failure domain.
     pub failure_domain: Name,
-    /// Milliseconds for which it stays out.
+    /// Time out of service in milliseconds.
     pub for_ms: u64,
 }
 
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// Where a file is missing or not of its form; the error names the file.
+    /// If a file is missing or malformed; the error names the file.
     pub fn read(example: &Path) -> io::Result<Self> {
         let sections = SECTIONS.iter().map(|name| {
             let path = example.join("document").join(format!("{name}.json"));
--- a/standins/src/quickstart/report.rs
+++ b/standins/src/quickstart/report.rs
@@ -1,4 +1,4 @@
-//! What the quick start prints.
+//! The output of the quick start.
 
 use std::{
     sync::atomic::Ordering,
@@ -12,7 +12,7 @@
     runner::Progress,
 };
 
-/// Prints what was started.
+/// Prints the started processes.
 pub(super) fn print_start(plan: &Plan, cluster: &Cluster) {
     println!(
         "started: log service at {}, {} entries, {} workers with an agent and a backend server each",
@@ -22,7 +22,7 @@
     );
 }
 
-/// Prints how far the workload is.
+/// Prints the progress of the workload.
 pub(super) fn print_progress(plan: &Plan, progress: &Progress, elapsed: Duration) {
     let requests: u32 = plan.workload.requests.iter().map(|r| r.count).sum();
     println!(
@@ -34,7 +34,7 @@
     );
 }
 
-/// Prints what became of everything.
+/// Prints the outcomes and the violated guarantees.
 pub(super) fn print_end(plan: &Plan, outcomes: &Outcomes, faults: &[String]) {
     print_jobs(plan, &outcomes.jobs);
     print_requests(&outcomes.requests);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Returns the value below which `fraction` of the sorted `values` lie; 0 without any.
+/// Returns the quantile `fraction` of the sorted `values`; 0 if there are none.
 fn quantile(values: &[u64], fraction: f64) -> u64 {
     let last = values.len().saturating_sub(1);
     let index = (last as f64 * fraction).round() as usize;
--- a/standins/src/quickstart/runner.rs
+++ b/standins/src/quickstart/runner.rs
@@ -20,26 +20,26 @@
     },
 };
 
-/// Time within which a job has to end.
+/// Timeout for a job to end.
 const JOB_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause between two questions about a job.
+/// Interval at which the state of a job is polled.
 const JOB_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two lines of progress.
+/// Interval between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often the progress looks whether all has ended.
+/// Interval at which the progress thread checks whether the workload has ended.
 const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the workload is.
+/// The progress of the workload.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) jobs: AtomicU32,
     pub(super) requests: AtomicU32,
 }
 
-/// Runs all of the workload and returns what became of it.
+/// Runs the workload and returns its outcome.
 pub(super) fn run(plan: &Plan, cluster: &Cluster) -> io::Result<Outcomes> {
     let start = Instant::now();
     let progress = Progress::default();
@@ -69,7 +69,8 @@
         let jobs: Vec<_> = jobs.into_iter().map(join).collect();
         let requests = streams.into_iter().map(join).collect();
         let drains: Vec<_> = drains.into_iter().map(join).collect();
-        // Before any error is passed on, or the progress would be shown for ever.
+        // This precedes the return of any error, or the scope would wait forever for the progress
+        // thread.
         ended.store(true, Ordering::Relaxed);
         io::Result::Ok(Outcomes {
             jobs: jobs.into_iter().collect::<io::Result<_>>()?,
@@ -84,7 +85,7 @@
     Ok(outcomes)
 }
 
-/// Returns what a thread returned; one that panicked ends the quick start the same way.
+/// Returns the result of a thread, and resumes its panic if it panicked.
 fn join<T>(handle: thread::ScopedJoinHandle<'_, T>) -> T {
     handle
         .join()
@@ -125,7 +126,7 @@
         duration: Duration::ZERO,
     };
     match caller.submit(&plan.job, &plan.spec)? {
-        // Another entry may not have read of the job yet and would not know it.
+        // The same entry is polled, because another one may not know the job yet.
         JobAnswer::Accepted { .. } => poll_job(&caller, submitted, &mut outcome)?,
         JobAnswer::NotRun { reason, .. } => outcome.refusal = format!("{reason:?}"),
         JobAnswer::Unknown { .. } => outcome.refusal = "not known".to_owned(),
@@ -135,7 +136,7 @@
     Ok(outcome)
 }
 
-/// Asks for the job until it has ended.
+/// Polls the job until it has ended or [`JOB_TIMEOUT`] is over.
 fn poll_job(caller: &Caller, since: Instant, outcome: &mut JobOutcome) -> io::Result<()> {
     while since.elapsed() < JOB_TIMEOUT {
         let status = caller.job(&outcome.job)?;
@@ -197,7 +198,7 @@
     tally
 }
 
-/// Sends one request, again after each refusal, until its deadline.
+/// Sends one request and repeats it after each refusal until its deadline.
 fn run_request(cluster: &Cluster, stream: usize, number: u32, plan: &RequestPlan) -> RequestTally {
     let caller = cluster.caller(number as usize);
     let key = request_key(&plan.service, stream, number);
@@ -212,7 +213,7 @@
     };
     loop {
         let left = deadline.saturating_sub(sent.elapsed());
-        // A refused attempt is certain not to have run, so its number is used again.
+        // A refused attempt certainly did not run, so the next one has the same number.
         let reply = caller.request(&plan.service, Some(&key), 1, left, body.as_bytes());
         let pause = match reply {
             Reply::Final(RequestOutcome::Done { status, body: got }) => {
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two TCP ports whose link can be cut, frozen and delayed.
+//! A TCP relay whose connections can be cut, frozen and delayed.
 
 use std::{
     io::{self, Read, Write},
@@ -16,31 +16,31 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes that are forwarded in one go, at the most.
+/// Maximum number of bytes that are forwarded at once.
 const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// What becomes of the bytes on the link.
+/// How the relay handles its connections.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkMode {
-    /// They are forwarded.
+    /// All bytes are forwarded.
     #[default]
     Pass,
-    /// Connections are closed, and new ones as soon as they were accepted.
+    /// All connections are closed, and new ones as soon as they are accepted.
     Cut,
-    /// Nothing is forwarded, and no connection is closed, as when a switch drops all packets.
+    /// Nothing is forwarded and no connection is closed, as if a switch dropped all packets.
     Frozen,
-    /// Only what comes from the target is is_blocked back: calls are carried out and get no answer.
+    /// Only bytes from the target are held back: calls take effect but are not answered.
     OneWay,
 }
 
-/// What `POST /control` sets; what is absent stays as it is.
+/// A change of the relay. Absent fields leave the current value unchanged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RelayControl {
-    /// What becomes of the bytes.
+    /// How connections are handled.
     pub mode: Option<LinkMode>,
-    /// Milliseconds by which each piece is delayed.
+    /// Delay of each forwarded chunk in milliseconds.
     pub delay_ms: Option<u64>,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// If the address cannot be bound.
     pub fn start(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -97,12 +97,12 @@
         Ok(Self { address, shared })
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what becomes of the bytes.
+    /// Changes how connections are handled.
     pub fn control(&self, control: RelayControl) {
         let mut link = self.shared.lock();
         link.mode = control.mode.unwrap_or(link.mode);
@@ -117,7 +117,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Sets the mode alone.
+    /// Sets the mode and leaves the delay unchanged.
     pub fn set_mode(&self, mode: LinkMode) {
         self.control(RelayControl {
             mode: Some(mode),
@@ -125,12 +125,12 @@
         });
     }
 
-    /// Forwards later connections to `target`.
+    /// Forwards new connections to `target`.
     pub fn set_target(&self, target: SocketAddr) {
         self.shared.lock().target = target;
     }
 
-    /// Returns the most connections that were open at once.
+    /// Returns the maximum number of concurrent connections so far.
     pub fn max_open(&self) -> usize {
         self.shared.lock().max_open
     }
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Forwards both ways until both sides have closed.
+    /// Forwards bytes in both directions until both sides have closed.
     fn forward_connection(&self, client: &TcpStream) {
         self.wait_while_blocked(false);
         let target = self.lock().target;
@@ -206,7 +206,7 @@
         let _ = from.shutdown(Shutdown::Read);
     }
 
-    /// Waits until the link carries this direction and returns its delay.
+    /// Waits until this direction is no longer blocked, and returns the delay of a chunk.
     fn wait_while_blocked(&self, from_target: bool) -> Duration {
         let is_blocked = |mode: LinkMode| match mode {
             LinkMode::Pass | LinkMode::Cut => false,
@@ -221,6 +221,6 @@
 }
 
 fn close(stream: &TcpStream) {
-    // The other side may have closed it already.
+    // The peer may already have closed the connection.
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment in one process, on a store and workers in memory, and jobs of steps on it.
+//! Runs jobs of steps on a deployment in one process, with a store and workers in memory.
 
 use std::{
     fs, io,
@@ -28,16 +28,16 @@
     worker::{WorkerLink, WorkerShape},
 };
 
-/// The key of the only workspace.
+/// The API key of the only workspace.
 const WORKSPACE_KEY: &str = "quick-start";
 
-/// Time for all jobs to come to their end; far above the second or two that it takes.
+/// Timeout for all jobs to end, far above the usual one or two seconds.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks.
+/// Interval at which the readiness of the entries and the states of the jobs are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the example's file says.
+/// The content of the example's `steps.json`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Plan {
@@ -46,20 +46,20 @@
     workers_per_rack: usize,
     accelerators: u64,
     task_ms: u64,
-    /// Files of jobs, in the same folder.
+    /// The job files, in the same folder.
     jobs: Vec<String>,
 }
 
-/// What became of a job.
+/// The outcome of a job.
 #[derive(Clone, Debug)]
 pub struct StepOutcome {
-    /// The job as an entry shows it at the end.
+    /// The job as an entry reports it at its end.
     pub view: StepJobView,
-    /// How long it duration.
+    /// Time from the submission of the first job to the end of this one.
     pub duration: Duration,
 }
 
-/// No queue of the example asks an advisor.
+/// An advisor that is never called, since no queue of the example uses one.
 struct NoAdvisor;
 
 impl Advisor for NoAdvisor {
@@ -70,12 +70,12 @@
 
 type Entry = StoreEntry<MemoryStore, NoAdvisor>;
 
-/// Runs the jobs of an example's folder; prints what became of each, and returns whether each task of
-/// each job ran exactly distinct.
+/// Runs the jobs of an example's folder, prints their outcomes, and returns whether all jobs were
+/// completed and each of their tasks ran exactly once.
 ///
 /// # Errors
 ///
-/// Where the example can't be read, or the deployment does not come to its end.
+/// If the example cannot be read, a job is not accepted, or the jobs do not end in time.
 pub fn run(example: &Path) -> io::Result<bool> {
     let plan: Plan = serde_json::from_slice(&fs::read(example.join("steps.json"))?)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -153,9 +153,7 @@
 
 async fn pause_until(end: Instant) -> io::Result<()> {
     if Instant::now() > end {
-        return Err(io::Error::other(
-            "the deployment did not come to its end in time",
-        ));
+        return Err(io::Error::other("the jobs did not end in time"));
     }
     sleep(POLL_INTERVAL).await;
     Ok(())
@@ -184,7 +182,7 @@
 
 fn start_entry(store: &Arc<MemoryStore>, name: &str) -> io::Result<Arc<Entry>> {
     let entry = StoreEntry::new(settings(name), store.clone(), NoAdvisor, counters()?);
-    // The only operators' record of the example is the one that `configure` writes.
+    // `configure` writes the only operator record of the example.
     entry.start(Arc::new(|_: &StoreRecord| {
         Some(OperatorRecord::Configuration(Box::new(configuration())))
     }));
--- a/standins/src/steps/mod.rs
+++ b/standins/src/steps/mod.rs
@@ -1,9 +1,9 @@
-//! Jobs of steps on a store and workers in memory: the traits of `dragonflyrun::port`, behind which
-//! the users' platform stands in their deployments.
+//! Runs jobs of steps on a store and workers in memory. They implement the traits of
+//! `dragonflyrun::port`, which the users' platform provides in real deployments.
 
 #![expect(
     clippy::arc_with_non_send_sync,
-    reason = "the product shares these by `Arc`, and runs all tasks of a process on one thread"
+    reason = "the product shares these by `Arc` and runs all tasks of a process on one thread"
 )]
 
 mod deployment;
--- a/standins/src/steps/store.rs
+++ b/standins/src/steps/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory: partitions with offsets, the newest record of each key, writers' terms.
+//! A store in memory with offsets per partition, the newest record of each key, and writers' terms.
 
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
@@ -17,11 +17,11 @@
 #[derive(Default)]
 struct PartitionState {
     records: Vec<StoreRecord>,
-    /// The term of each writer, its last sequence number and the answer to it.
+    /// The term of each writer, its last sequence number and the answer to that append.
     writers: HashMap<&'static str, (u64, u64, Option<Appended>)>,
 }
 
-/// The store.
+/// A store that keeps all partitions in memory.
 #[derive(Default)]
 pub struct MemoryStore {
     partitions: RefCell<HashMap<Partition, PartitionState>>,
@@ -33,7 +33,8 @@
         self.records.len() as u64
     }
 
-    /// Checks a writer; returns the answer to an append that is a repeat of its last one.
+    /// Checks the term and sequence number of an append. Returns the earlier answer if the append
+    /// repeats the last one of its writer.
     fn check_writer(&mut self, writer: &Writer) -> Result<Option<Appended>, AppendError> {
         let known = self.writers.entry(writer.name).or_insert((0, 0, None));
         if writer.term < known.0 {
@@ -102,7 +103,7 @@
                     records: records[from..].to_vec(),
                 }
             };
-            // A wait that is over answers with an empty page, as the platform's store does.
+            // After the wait the answer is an empty page, as from the platform's store.
             if !page.records.is_empty() || timeout_at(end, changed).await.is_err() {
                 return Ok(page.into());
             }
--- a/standins/src/steps/worker.rs
+++ b/standins/src/steps/worker.rs
@@ -1,4 +1,4 @@
-//! A worker in memory: runs tasks for their time under one lease, and lists what runs and has ended.
+//! A worker in memory. It runs timed tasks under one lease and lists running and ended runs.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,16 +17,17 @@
 };
 use tokio::time::sleep;
 
-/// How often the worker looks at its tasks.
+/// Interval at which the worker checks its tasks.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often it sends a heartbeat.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The worker's clock at its start: 0 would stand for no lease at all.
+/// The worker's clock at its start in milliseconds. It is not 0, because a lease end of 0 means that
+/// there is no lease.
 const CLOCK_START_MS: u64 = 1_000;
 
-/// What a worker has; it runs every task for the same time.
+/// The properties of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerShape {
     /// The worker's name.
@@ -37,27 +38,27 @@
     pub rack: Name,
     /// Its accelerators.
     pub accelerators: u64,
-    /// The time that each task takes.
+    /// The run time of every task.
     pub task_time: Duration,
 }
 
-/// The worker.
+/// A worker that runs its tasks as timers.
 pub struct MemoryWorker {
     shape: WorkerShape,
     started_at: Instant,
     running: RefCell<BTreeMap<TaskId, (u32, Instant)>>,
     ends: RefCell<Vec<End>>,
-    /// The newest run of each task that was stopped or has ended.
+    /// The number of the newest run of each task that was stopped or has ended.
     ended_runs: RefCell<BTreeMap<TaskId, u32>>,
     token: Cell<u64>,
     lease_until_ms: Cell<u64>,
     ended_count: Cell<u64>,
-    /// Runs that were started, for whoever counts them.
+    /// All runs that were started, in order.
     pub started_runs: RefCell<Vec<RunId>>,
 }
 
 impl MemoryWorker {
-    /// Returns a worker that runs nothing.
+    /// Returns a worker without tasks.
     pub fn new(shape: WorkerShape) -> Rc<Self> {
         Rc::new(Self {
             shape,
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Sends heartbeats to the agent beside it, and works.
+    /// Sends heartbeats to the agent on its host and ends tasks that are due, forever.
     pub async fn run<R: Registry>(self: Rc<Self>, registry: std::sync::Arc<R>) {
         let mut next_heartbeat = Instant::now();
         let mut sequence = 0;
@@ -138,7 +139,7 @@
         });
     }
 
-    /// Takes a fencing token; returns whether it is still in force.
+    /// Records a fencing token and returns whether no newer one is known.
     fn accept_token(&self, token: u64) -> bool {
         let known = self.token.get();
         self.token.set(known.max(token));
@@ -164,7 +165,7 @@
     }
 }
 
-/// The worker as its agent reaches it.
+/// The connection of an agent to its worker.
 pub(super) struct WorkerLink(pub(super) Rc<MemoryWorker>);
 
 impl Worker for WorkerLink {
@@ -226,7 +227,8 @@
             .lease_until_ms
             .set(until.max(lease_until_ms.unwrap_or(0)));
         let end = Instant::now() + wait;
-        // The agent asks again at once while an end is not confirmed, and shares this thread.
+        // The agent repeats the call immediately while an end is unconfirmed, and it runs on this
+        // thread, so it would keep all other tasks from running.
         sleep(TICK_INTERVAL).await;
         while worker.ends.borrow().is_empty() && Instant::now() < end {
             sleep(TICK_INTERVAL).await;
--- a/standins/src/worker/lease.rs
+++ b/standins/src/worker/lease.rs
@@ -1,4 +1,4 @@
-//! What is said of leases and of the tasks under them.
+//! The data types of leases and of the tasks that run under them.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -8,7 +8,7 @@
 use dragonflyrun::utils::{HashMap, Name};
 use serde::{Deserialize, Serialize};
 
-/// Progress that tasks have saved, by job and member. Workers of one deployment share it.
+/// Saved progress of tasks, by job and gang member. The workers of a deployment can share it.
 #[derive(Clone, Debug, Default)]
 pub struct Checkpoints(Arc<Mutex<HashMap<(Name, u32), Duration>>>);
 
@@ -27,95 +27,95 @@
     }
 }
 
-/// Where a lease is in its life.
+/// The state of a lease.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseState {
-    /// It holds the accelerators, and no task runs.
+    /// The lease reserves its accelerators, but no task has been started.
     Held,
-    /// Its tasks run.
+    /// Its tasks are running.
     Running,
-    /// All its tasks ended well.
+    /// All its tasks finished successfully.
     Finished,
-    /// A task ended badly.
+    /// A task failed.
     Failed,
     /// Its tasks were stopped.
     Stopped,
-    /// It was not renewed in time; its tasks were stopped then.
+    /// It was not renewed in time, and its tasks were stopped.
     Lapsed,
 }
 
-/// What a call on a lease met.
+/// The reason why a call on a lease failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseError {
-    /// The accelerators are not free.
+    /// Not enough accelerators are free.
     NotFree,
     /// There is no such lease.
     Unknown,
     /// The lease has lapsed or its tasks have ended.
     Ended,
-    /// Other tasks run under it.
+    /// The lease exists with other accelerators or other tasks.
     Conflict,
 }
 
-/// What `POST /v1/leases/{lease}/start` asks for.
+/// The body of `POST /v1/leases/{lease}/start`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Start {
     /// The job.
     pub job: Name,
     /// The attempt.
     pub attempt: u32,
-    /// The number of the gang's member.
+    /// The number of the gang member.
     pub member: u32,
-    /// Tasks to start.
+    /// Number of tasks to start.
     pub tasks: u32,
-    /// What they run.
+    /// The program that they run.
     pub program: Name,
-    /// Whether to go on from a checkpoint.
+    /// Whether to resume from a checkpoint.
     #[serde(default)]
     pub resume: bool,
 }
 
-/// A time in which the tasks of one member ran together, by the worker's clock.
+/// A time span in which the tasks of one gang member ran, by the worker's clock.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Interval {
     /// The job.
     pub job: Name,
     /// The attempt.
     pub attempt: u32,
-    /// The number of the gang's member.
+    /// The number of the gang member.
     pub member: u32,
-    /// When they began to run.
+    /// Start of the span in milliseconds of unix time.
     pub started_unix_ms: u64,
-    /// When they ceased to run; none while they run.
+    /// End of the span in milliseconds of unix time; none while the tasks run.
     pub stopped_unix_ms: Option<u64>,
     /// The failure domain of the worker.
     pub failure_domain: Name,
 }
 
-/// A lease as the worker shows it.
+/// A lease as the worker reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseView {
-    /// Its name.
+    /// The name of the lease.
     pub lease: Name,
-    /// Where it is in its life.
+    /// Its state.
     pub state: LeaseState,
-    /// Accelerators that it holds.
+    /// Number of accelerators that it reserves.
     pub accelerators: u32,
-    /// Milliseconds until it lapses.
+    /// Milliseconds until it lapses unless it is renewed.
     pub ttl_ms: u64,
     /// Whether its tasks saved a checkpoint when they were stopped.
     pub checkpointed: bool,
-    /// What its tasks were seen to use; none while nothing was measured.
+    /// The measured usage of its tasks; none before the first measurement.
     pub usage: Option<Usage>,
 }
 
-/// What tasks were seen to use.
+/// The measured usage of tasks.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Milliseconds for which they ran.
+    /// Run time in milliseconds.
     pub ran_ms: u64,
-    /// Milliseconds since this was measured.
+    /// Age of the measurement in milliseconds.
     pub age_ms: u64,
 }
 
--- a/standins/src/worker/mod.rs
+++ b/standins/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a platform worker: leases on accelerators, and tasks that are only timers.
+//! A stand-in for a platform worker. It leases accelerators and runs tasks that are only timers.
 
 mod lease;
 mod program;
@@ -26,23 +26,23 @@
 pub use lease::{Checkpoints, Interval, LeaseError, LeaseState, LeaseView, Start, Usage};
 pub use table::LeaseTable;
 
-/// Time between two looks at the leases.
+/// Interval at which leases and tasks are advanced.
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a worker is.
+/// The settings of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its name.
     pub name: Name,
-    /// Accelerators it has.
+    /// Number of its accelerators.
     pub accelerators: u32,
-    /// The failure domain it stands in; only written into its record.
+    /// Its failure domain, used only in its record.
     pub failure_domain: Name,
-    /// The lag with which it reports usage.
+    /// The age of the usage that it reports.
     pub usage_lag: Duration,
-    /// Where its tasks save their progress.
+    /// The store in which its tasks save their progress.
     pub checkpoints: Checkpoints,
 }
 
@@ -50,35 +50,35 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerMode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
     /// All tasks fail as soon as they are started.
     Broken,
-    /// Each call is refused at once and has no effect.
+    /// Each call is refused immediately and has no effect.
     Refuse,
-    /// Each call takes effect, and its connection is closed before the answer's end.
+    /// Each call takes effect, but its connection is closed before the end of the answer.
     LoseAnswers,
 }
 
-/// What `POST /control` sets; what is absent stays as it is.
+/// The body of `POST /control`. Absent fields leave the current value unchanged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkerControl {
     /// How the worker behaves.
     pub mode: Option<WorkerMode>,
-    /// Milliseconds by which each call is delayed.
+    /// Delay of each call in milliseconds.
     pub delay_ms: Option<u64>,
 }
 
-/// What `GET /v1/worker` answers.
+/// The answer to `GET /v1/worker`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerView {
     /// Its name.
     pub name: Name,
-    /// Accelerators it has.
+    /// Number of its accelerators.
     pub accelerators: u32,
-    /// All leases that were not removed.
+    /// All leases that have not been removed.
     pub leases: Vec<LeaseView>,
 }
 
@@ -115,11 +115,11 @@
 }
 
 impl Worker {
-    /// Starts a worker with no lease.
+    /// Starts a worker without leases.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// If the address cannot be bound or the thread cannot be started.
     pub fn start(settings: WorkerSettings) -> io::Result<Self> {
         let epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -152,17 +152,17 @@
         Ok(Self { address, shared })
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Changes how the worker behaves.
     pub fn control(&self, control: WorkerControl) {
         self.shared.apply_control(control);
     }
 
-    /// Returns the times in which tasks ran.
+    /// Returns the intervals in which tasks ran.
     pub fn record(&self) -> Vec<Interval> {
         self.shared.table().intervals().to_vec()
     }
@@ -268,7 +268,7 @@
         http::json(StatusCode::OK, &view)
     }
 
-    /// Lets `call` act on a lease and answers with what is to be seen of it afterwards.
+    /// Applies `call` to a lease and answers with the lease as it is afterwards.
     fn update_lease(
         &self,
         lease: &Name,
--- a/standins/src/worker/program.rs
+++ b/standins/src/worker/program.rs
@@ -1,29 +1,29 @@
-//! The programs that the worker's tasks run: timers.
+//! The programs of the worker's tasks, which are only timers.
 
 use std::time::Duration;
 
 /// How a program ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum End {
-    /// All tasks end well.
+    /// All tasks finish successfully.
     Success,
-    /// A task ends badly.
+    /// A task fails.
     Failure,
 }
 
-/// A program in the worker's own terms.
+/// A parsed program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Program {
-    /// `sleep:MS`: ends well after that much work.
+    /// `sleep:MS`: succeeds after that much work.
     Sleep(Duration),
-    /// `fail` or `fail:MS`: ends badly after that time.
+    /// `fail` or `fail:MS`: fails after that time.
     Fail(Duration),
     /// `forever`: runs until it is stopped.
     Forever,
 }
 
 impl Program {
-    /// Reads a program; one that the worker does not know fails as soon as it is started.
+    /// Parses a program. An unknown one fails as soon as it is started.
     pub(super) fn parse(text: &str) -> Self {
         let (name, argument) = text.split_once(':').unwrap_or((text, ""));
         let time = argument.parse().map(Duration::from_millis);
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Returns after what time it ends and how, where `done` of its work was done before.
+    /// Returns when it ends after its start, and how; none if it runs until stopped. `done` is the
+    /// work restored from a checkpoint.
     pub(super) fn end_after(self, done: Duration) -> Option<(Duration, End)> {
         match self {
             Self::Sleep(time) => Some((time.saturating_sub(done), End::Success)),
--- a/standins/src/worker/table.rs
+++ b/standins/src/worker/table.rs
@@ -1,4 +1,4 @@
-//! Leases and the tasks that run under them.
+//! The leases of a worker and the tasks that run under them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,8 +9,8 @@
     program::{End, Program},
 };
 
-/// Time between two looks at the clock past which the process was frozen in between. Its tasks did
-/// not run while it was.
+/// If the table was not advanced for longer than this, the process was suspended in between, and
+/// its tasks did not run during that time.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
@@ -31,12 +31,12 @@
     interval_index: usize,
 }
 
-/// Everything that a worker holds. All times are since the start of its clock.
+/// The leases and records of a worker. All times are relative to the start of its clock.
 #[derive(Debug)]
 pub struct LeaseTable {
     accelerators: u32,
     failure_domain: Name,
-    /// The clock's start in unix time.
+    /// The start of the clock as unix time.
     epoch: Duration,
     usage_lag: Duration,
     checkpoints: Checkpoints,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Brings all leases and tasks up to `now`. Every other call does this before it acts, so that
-    /// a worker that was frozen finds its lapsed leases before it serves anything.
+    /// Advances all leases and tasks to `now`. Every change of the table does this first, so that a
+    /// worker that was suspended detects lapsed leases before it serves a call.
     pub fn advance(&mut self, now: Duration) {
         let frozen = now.saturating_sub(self.advanced_at) > FREEZE_THRESHOLD;
         if frozen {
@@ -109,8 +109,9 @@
         }
     }
 
-    /// Ends the intervals of all running tasks where the process was frozen, and begins new ones
-    /// at `now` for those whose lease still holds. The time in between is no work done.
+    /// Splits the intervals of all running tasks after a suspension of the process: ends them at its
+    /// start and begins new ones at `now` for tasks whose lease has not lapsed. The time in between
+    /// does not count as work.
     fn split_intervals(&mut self, now: Duration) {
         let frozen_at = self.advanced_at;
         let gap = now - frozen_at;
@@ -137,11 +138,12 @@
         }
     }
 
-    /// Obtains a lease. Asking again for one that is held changes nothing but its time to live.
+    /// Obtains a lease. A repeated call for a live lease only extends its time to live.
     ///
     /// # Errors
     ///
-    /// [`LeaseError::NotFree`], or [`LeaseError::Ended`] where a lease of that name has ended.
+    /// [`LeaseError::NotFree`] if too few accelerators are free, [`LeaseError::Conflict`] if the
+    /// lease is live with another number of them, and [`LeaseError::Ended`] if it has ended.
     pub fn obtain(
         &mut self,
         now: Duration,
@@ -174,22 +176,24 @@
         Ok(())
     }
 
-    /// Sets when a lease lapses, also to an earlier time.
+    /// Sets the time at which a lease lapses, which may be earlier than before.
     ///
     /// # Errors
     ///
-    /// [`LeaseError::Ended`] where it has lapsed or ended, which is never undone.
+    /// [`LeaseError::Unknown`] if there is no such lease, and [`LeaseError::Ended`] if it has lapsed
+    /// or ended, which is final.
     pub fn renew(&mut self, now: Duration, name: &Name, ttl: Duration) -> Result<(), LeaseError> {
         self.advance(now);
         self.live_lease(name)?.expires_at = now + ttl;
         Ok(())
     }
 
-    /// Starts tasks under a lease. Starting the same ones again changes nothing.
+    /// Starts tasks under a lease. A repeated start of the same tasks has no effect.
     ///
     /// # Errors
     ///
-    /// [`LeaseError::Ended`] where the lease has lapsed or ended.
+    /// [`LeaseError::Unknown`] if there is no such lease, [`LeaseError::Ended`] if it has lapsed or
+    /// ended, and [`LeaseError::Conflict`] if other tasks were started under it.
     pub fn start(&mut self, now: Duration, name: &Name, start: Start) -> Result<(), LeaseError> {
         self.advance(now);
         let (broken, checkpoints) = (self.broken, self.checkpoints.clone());
@@ -223,11 +227,12 @@
         Ok(())
     }
 
-    /// Stops the tasks of a lease, or gives back one that holds none.
+    /// Stops the tasks of a lease, or releases a lease without tasks. This has no effect on a lease
+    /// that has ended.
     ///
     /// # Errors
     ///
-    /// [`LeaseError::Unknown`]; stopping what has ended changes nothing.
+    /// [`LeaseError::Unknown`] if there is no such lease.
     pub fn stop(&mut self, now: Duration, name: &Name, checkpoint: bool) -> Result<(), LeaseError> {
         self.advance(now);
         let checkpoints = self.checkpoints.clone();
@@ -246,14 +251,14 @@
         Ok(())
     }
 
-    /// Forgets a lease and stops its tasks.
+    /// Stops the tasks of a lease and removes it.
     pub fn remove(&mut self, now: Duration, name: &Name) {
         self.advance(now);
         self.close_interval(name, now);
         self.leases.remove(name);
     }
 
-    /// Returns what is to be seen of a lease.
+    /// Returns a lease as the worker reports it; none if there is no such lease.
     pub fn view(&self, now: Duration, name: &Name) -> Option<LeaseView> {
         let lease = self.leases.get(name)?;
         let usage = lease
@@ -270,7 +275,7 @@
         })
     }
 
-    /// Returns what is to be seen of all leases.
+    /// Returns all leases as the worker reports them.
     pub fn views(&self, now: Duration) -> Vec<LeaseView> {
         self.leases
             .keys()
@@ -278,7 +283,7 @@
             .collect()
     }
 
-    /// Returns the times in which tasks ran.
+    /// Returns the intervals in which tasks ran.
     pub fn intervals(&self) -> &[Interval] {
         &self.intervals
     }
