--- a/standins/src/harness/child.rs
+++ b/standins/src/harness/child.rs
@@ -159,13 +159,14 @@
 /// If the program has not been built.
 pub fn binary(program: &str) -> PathBuf {
     let path = env::current_exe().unwrap_or_default();
-    let beside = path
+    let program_path = path
         .ancestors()
         .skip(1)
         .take(2)
         .map(|dir| dir.join(program))
         .find(|path| path.is_file());
-    beside.unwrap_or_else(|| panic!("{program} is not built; run cargo build --workspace first"))
+    program_path
+        .unwrap_or_else(|| panic!("{program} is not built; run cargo build --workspace first"))
 }
 
 /// Reads the lines of `out` in a thread of its own and copies them to a file. The channel is
--- a/standins/src/quickstart/cluster.rs
+++ b/standins/src/quickstart/cluster.rs
@@ -22,8 +22,7 @@
     worker::{Checkpoints, Interval, Worker, WorkerSettings},
 };
 
-/// The secret of the deployment. The deployment exists only within this process, so the secret need
-/// not be random.
+/// The secret of the deployment, which exists only as long as this process.
 const SECRET: &str = "a secret for as long as the quick start runs";
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -93,18 +92,18 @@
 
     /// Returns the records of the backend servers.
     pub(super) fn backend_records(&self) -> Vec<BackendRecord> {
-        self.hosts.iter().map(|s| s.backend.record()).collect()
+        self.hosts.iter().map(|h| h.backend.record()).collect()
     }
 
     /// Returns the intervals in which tasks ran on the workers.
     pub(super) fn intervals(&self) -> Vec<Interval> {
-        self.hosts.iter().flat_map(|s| s.worker.record()).collect()
+        self.hosts.iter().flat_map(|h| h.worker.record()).collect()
     }
 
     /// Stops all entries and agents.
     pub(super) fn stop(self) {
         let entries = self.entries.into_iter();
-        let agents = self.hosts.into_iter().map(|s| s.agent);
+        let agents = self.hosts.into_iter().map(|h| h.agent);
         thread::scope(|scope| {
             for daemon in entries.chain(agents) {
                 scope.spawn(|| daemon.stop());
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -123,7 +123,7 @@
     configure(&store).await?;
     let end = Instant::now() + COMPLETION_TIMEOUT;
     while !entries.iter().all(|e| e.is_ready()) {
-        pause_until(end).await?;
+        sleep_poll_interval(end).await?;
     }
     let submitted_at = Instant::now();
     let mut names = Vec::new();
@@ -139,7 +139,7 @@
             let view = query_job(&entries[0], name).await;
             match view.filter(|v| !matches!(&*v.state, "queued" | "running")) {
                 Some(view) => break view,
-                None => pause_until(end).await?,
+                None => sleep_poll_interval(end).await?,
             }
         };
         outcomes.push(StepOutcome {
@@ -151,7 +151,7 @@
     Ok((outcomes, started.collect()))
 }
 
-async fn pause_until(end: Instant) -> io::Result<()> {
+async fn sleep_poll_interval(end: Instant) -> io::Result<()> {
     if Instant::now() > end {
         return Err(io::Error::other("the jobs did not end in time"));
     }
--- a/standins/src/steps/worker.rs
+++ b/standins/src/steps/worker.rs
@@ -23,8 +23,8 @@
 /// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The worker's clock at its start in milliseconds. It is not 0, because a lease end of 0 means that
-/// there is no lease.
+/// The worker's clock at its start in milliseconds. It is not 0, because 0 would mean that there is
+/// no lease.
 const CLOCK_START_MS: u64 = 1_000;
 
 /// The properties of a worker.
@@ -227,8 +227,8 @@
             .lease_until_ms
             .set(until.max(lease_until_ms.unwrap_or(0)));
         let end = Instant::now() + wait;
-        // The agent repeats the call immediately while an end is unconfirmed, and it runs on this
-        // thread, so it would keep all other tasks from running.
+        // The agent repeats the call immediately while an end is unconfirmed, and runs on this
+        // thread.
         sleep(TICK_INTERVAL).await;
         while worker.ends.borrow().is_empty() && Instant::now() < end {
             sleep(TICK_INTERVAL).await;
--- a/standins/tests/operator_tool.rs
+++ b/standins/tests/operator_tool.rs
@@ -307,7 +307,7 @@
     assert_eq!(tool.json(&["job", "volume-2"]).0, 1);
 
     std::fs::write(tool.dir.join("load.txt"), "a load of spruce").unwrap();
-    let ask = |attempt: &str| {
+    let send = |attempt: &str| {
         tool.json(&[
             "request",
             "--key",
@@ -319,10 +319,10 @@
         ])
     };
     // Key owners that have just started grant no keys for a short time.
-    wait_until("the key to be granted", || ask("1").1["outcome"] == "done");
-    let (exit, first) = ask("1");
+    wait_until("the key to be granted", || send("1").1["outcome"] == "done");
+    let (exit, first) = send("1");
     assert_eq!((exit, &first["outcome"]), (0, &json!("done")), "{first}");
-    assert_eq!(ask("2"), (0, first));
+    assert_eq!(send("2"), (0, first));
     let (exit, unknown) = tool.json(&["request", "weighing"]);
     assert_eq!(
         (exit, &unknown["outcome"]),
