--- a/standins/src/harness/mod.rs
+++ b/standins/src/harness/mod.rs
@@ -1,7 +1,8 @@
-//! For tests: a deployment of separate processes, faults in it, and what its records show.
+//! A test harness: starts a deployment of separate processes, injects faults and evaluates the
+//! records of the workers and backend servers.
 //!
-//! A step that fails for a reason other than the tested one panics with that reason, as a test
-//! would do itself.
+//! Helpers panic with the reason if a step fails that is not itself under test, so that tests
+//! don't have to handle such errors.
 
 mod child;
 mod daemon;
@@ -18,7 +19,9 @@
 pub use daemon::{Daemon, StandIn};
 pub use deployment::{Deployment, DeploymentBuilder, EDITOR, SECRET, SERVICE, WORKSPACE};
 pub use gang::job;
-pub use load::{Asked, Load, LoadShape, untrue_answers};
+pub use load::{Load, LoadShape, TrackedRequest, contradicted_answers};
 pub use platform::unix_ms;
-pub use records::{Doubled, Span, doubled_keys, in_domain_after, longest_partial, overlapping};
-pub use wait::{PATIENCE, wait_for, wait_until};
+pub use records::{
+    RepeatedKey, Span, longest_partial, overlapping, repeated_keys, starts_in_domain_after,
+};
+pub use wait::{WAIT_TIMEOUT, wait_for, wait_until};
--- a/standins/src/quickstart/cluster.rs
+++ b/standins/src/quickstart/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a deployment and of its platform, within this one process.
+//! A deployment with the stand-ins for its platform, all in this process.
 
 use std::{
     io,
@@ -22,46 +22,47 @@
     worker::{Checkpoints, Interval, Worker, WorkerSettings},
 };
 
-/// The secret of the deployment, which lives only as long as this process.
+/// The secret of the deployment, which exists only as long as this process.
 const SECRET: &str = "a secret for as long as the quick start runs";
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The lag with which workers report usage.
+/// The age of the usage that workers report.
 const USAGE_LAG: Duration = Duration::from_secs(2);
 
-/// Time within which the deployment has to become ready.
+/// Timeout for the deployment to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks whether it is ready.
-const READY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which the readiness of the deployment is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running deployment.
 pub(super) struct Cluster {
     log: LogService,
     editor: Editor,
     entries: Vec<Daemon>,
-    sites: Vec<Site>,
+    hosts: Vec<WorkerHost>,
 }
 
-/// A worker host with all that runs on it.
-struct Site {
+/// The processes of a worker host.
+struct WorkerHost {
     worker: Worker,
     backend: Backend,
     agent: Daemon,
 }
 
 impl Cluster {
-    /// Starts all processes, puts the document on the log, and waits until all are at work.
+    /// Starts all processes, writes the document to the log and waits until the deployment is
+    /// ready.
     pub(super) fn start(plan: &Plan) -> io::Result<Self> {
         let log = LogService::start(ANY_PORT)?;
         let editor = Editor::new(log.address(), &plan.deployment.editor, SECRET);
         let entries = start_entries(plan, log.address())?;
         let seeds: Vec<SocketAddr> = entries.iter().filter_map(Daemon::peers_addr).collect();
-        let sites = plan.deployment.workers.iter();
-        let sites = sites.map(|w| Site::start(w, log.address(), &seeds));
+        let hosts = plan.deployment.workers.iter();
+        let hosts = hosts.map(|w| WorkerHost::start(w, log.address(), &seeds));
         let cluster = Self {
-            sites: sites.collect::<io::Result<_>>()?,
+            hosts: hosts.collect::<io::Result<_>>()?,
             entries,
             editor,
             log,
@@ -73,38 +74,38 @@
         Ok(cluster)
     }
 
-    /// Returns a caller of the entry of this number, which wraps around.
+    /// Returns a caller of the entry with this index, modulo the number of entries.
     pub(super) fn caller(&self, number: usize) -> Caller {
         let entry = &self.entries[number % self.entries.len()];
         Caller::new(entry.http_addr()).with_key(&self.editor.name(), SECRET)
     }
 
-    /// Returns the operator who may edit every section.
+    /// Returns the editor that may edit every section.
     pub(super) fn editor(&self) -> &Editor {
         &self.editor
     }
 
-    /// Returns where the log service listens.
+    /// Returns the address of the log service.
     pub(super) fn log_address(&self) -> SocketAddr {
         self.log.address()
     }
 
-    /// Returns what the backend servers ran.
+    /// Returns the records of the backend servers.
     pub(super) fn backend_records(&self) -> Vec<BackendRecord> {
-        self.sites.iter().map(|s| s.backend.record()).collect()
+        self.hosts.iter().map(|h| h.backend.record()).collect()
     }
 
-    /// Returns when which tasks ran on the workers.
+    /// Returns the intervals in which tasks ran on the workers.
     pub(super) fn intervals(&self) -> Vec<Interval> {
-        self.sites.iter().flat_map(|s| s.worker.record()).collect()
+        self.hosts.iter().flat_map(|h| h.worker.record()).collect()
     }
 
-    /// Stops all processes of the system.
+    /// Stops all entries and agents.
     pub(super) fn stop(self) {
-        let stops = self.entries.into_iter();
-        let agents = self.sites.into_iter().map(|s| s.agent);
+        let entries = self.entries.into_iter();
+        let agents = self.hosts.into_iter().map(|h| h.agent);
         thread::scope(|scope| {
-            for daemon in stops.chain(agents) {
+            for daemon in entries.chain(agents) {
                 scope.spawn(|| daemon.stop());
             }
         });
@@ -116,16 +117,16 @@
             if start.elapsed() > READY_TIMEOUT {
                 return Err(io::Error::other("the deployment did not become ready"));
             }
-            thread::sleep(READY_PAUSE);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Returns whether every entry hears every agent, and each service answers a request. The
-    /// owners of keys take a moment after the start, until no earlier owner can be at work.
+    /// Returns whether every entry receives heartbeats from every agent, and each service answers a
+    /// request. After the start, key owners grant no keys until no earlier owner can be active.
     fn is_ready(&self, plan: &Plan) -> bool {
         let workers = plan.deployment.workers.len();
-        let hears_all = |number: usize| {
+        let sees_all_agents = |number: usize| {
             let status = self.caller(number).status();
             status.is_ok_and(|s| {
                 let live = s.peers.iter().filter(|p| p.live && p.role == Role::Agent);
@@ -133,10 +134,11 @@
             })
         };
         let services = plan.workload.requests.iter().map(|r| &r.service);
-        (0..self.entries.len()).all(hears_all) && services.into_iter().all(|s| self.answers(s))
+        (0..self.entries.len()).all(sees_all_agents)
+            && services.into_iter().all(|s| self.is_answering(s))
     }
 
-    fn answers(&self, service: &str) -> bool {
+    fn is_answering(&self, service: &str) -> bool {
         let key = crate::editor::unique("ready");
         let deadline = Duration::from_secs(1);
         let reply = self
@@ -146,7 +148,7 @@
     }
 }
 
-impl Site {
+impl WorkerHost {
     fn start(plan: &WorkerPlan, log: SocketAddr, seeds: &[SocketAddr]) -> io::Result<Self> {
         let worker = Worker::start(WorkerSettings {
             address: ANY_PORT,
@@ -162,7 +164,7 @@
             rack: Some(plan.rack.clone()),
             worker: Some(worker.address().to_string()),
             entries: Some(seeds.iter().map(ToString::to_string).collect()),
-            ..common(&plan.name, log)
+            ..base_config(&plan.name, log)
         })?;
         let name = Name::from(format!("{}-server", plan.name));
         let backend = Backend::start(BackendSettings {
@@ -193,13 +195,13 @@
             role: Some(Role::Entry),
             peers: Some(ANY_PORT.to_string()),
             entries: Some(seeds),
-            ..common(name, log)
+            ..base_config(name, log)
         })?);
     }
     Ok(entries)
 }
 
-fn common(name: &Name, log: SocketAddr) -> Config {
+fn base_config(name: &Name, log: SocketAddr) -> Config {
     Config {
         name: Some(name.clone()),
         http: Some(ANY_PORT.to_string()),
--- a/standins/src/quickstart/report.rs
+++ b/standins/src/quickstart/report.rs
@@ -1,4 +1,4 @@
-//! What the quick start prints.
+//! The output of the quick start.
 
 use std::{
     sync::atomic::Ordering,
@@ -12,7 +12,7 @@
     runner::Progress,
 };
 
-/// Prints what was started.
+/// Prints the started processes.
 pub(super) fn print_start(plan: &Plan, cluster: &Cluster) {
     println!(
         "started: log service at {}, {} entries, {} workers with an agent and a backend server each",
@@ -22,7 +22,7 @@
     );
 }
 
-/// Prints how far the workload is.
+/// Prints the progress of the workload.
 pub(super) fn print_progress(plan: &Plan, progress: &Progress, elapsed: Duration) {
     let requests: u32 = plan.workload.requests.iter().map(|r| r.count).sum();
     println!(
@@ -34,12 +34,12 @@
     );
 }
 
-/// Prints what became of everything.
+/// Prints the outcomes and the violated guarantees.
 pub(super) fn print_end(plan: &Plan, outcomes: &Outcomes, faults: &[String]) {
     print_jobs(plan, &outcomes.jobs);
     print_requests(&outcomes.requests);
     for drain in &outcomes.drains {
-        let ms = drain.back_unix_ms - drain.out_unix_ms;
+        let ms = drain.returned_unix_ms - drain.drained_unix_ms;
         println!(
             "failure domain {} was out of service for {ms} ms",
             drain.failure_domain
@@ -73,13 +73,13 @@
             shape,
             end,
             job.attempts,
-            job.took.as_secs_f64(),
-            where_placed(job),
+            job.duration.as_secs_f64(),
+            placement_text(job),
         );
     }
 }
 
-fn where_placed(job: &JobOutcome) -> String {
+fn placement_text(job: &JobOutcome) -> String {
     if !job.refusal.is_empty() {
         return job.refusal.clone();
     }
@@ -110,9 +110,9 @@
     }
 }
 
-/// Returns the value below which `share` of the sorted `values` lie; 0 without any.
-fn quantile(values: &[u64], share: f64) -> u64 {
+/// Returns the quantile `fraction` of the sorted `values`; 0 if there are none.
+fn quantile(values: &[u64], fraction: f64) -> u64 {
     let last = values.len().saturating_sub(1);
-    let index = (last as f64 * share).round() as usize;
+    let index = (last as f64 * fraction).round() as usize;
     values.get(index).copied().unwrap_or(0)
 }
--- a/standins/src/quickstart/runner.rs
+++ b/standins/src/quickstart/runner.rs
@@ -14,39 +14,39 @@
     caller::{Caller, Reply, RequestOutcome},
     quickstart::{
         cluster::Cluster,
-        outcome::{DrainOutcome, JobOutcome, Outcomes, RequestTally, key},
+        outcome::{DrainOutcome, JobOutcome, Outcomes, RequestTally, request_key},
         plan::{DrainPlan, JobPlan, Plan, RequestPlan},
         report,
     },
 };
 
-/// Time within which a job has to end.
+/// Timeout for a job to end.
 const JOB_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause between two questions about a job.
-const JOB_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which the state of a job is polled.
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(2);
+/// Interval between two lines of progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often the progress looks whether all has ended.
-const PROGRESS_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which the progress thread checks whether the workload has ended.
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the workload is.
+/// The progress of the workload.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) jobs: AtomicU32,
     pub(super) requests: AtomicU32,
 }
 
-/// Runs all of the workload and returns what became of it.
+/// Runs the workload and returns its outcome.
 pub(super) fn run(plan: &Plan, cluster: &Cluster) -> io::Result<Outcomes> {
     let start = Instant::now();
     let progress = Progress::default();
     let ended = AtomicBool::new(false);
     let workload = &plan.workload;
     let mut outcomes = thread::scope(|scope| {
-        scope.spawn(|| show(plan, &progress, start, &ended));
+        scope.spawn(|| print_progress(plan, &progress, start, &ended));
         let jobs: Vec<_> = workload
             .jobs
             .iter()
@@ -69,7 +69,8 @@
         let jobs: Vec<_> = jobs.into_iter().map(join).collect();
         let requests = streams.into_iter().map(join).collect();
         let drains: Vec<_> = drains.into_iter().map(join).collect();
-        // Before any error is passed on, or the progress would be shown for ever.
+        // This precedes the return of any error, or the scope would wait forever for the progress
+        // thread.
         ended.store(true, Ordering::Relaxed);
         io::Result::Ok(Outcomes {
             jobs: jobs.into_iter().collect::<io::Result<_>>()?,
@@ -84,25 +85,25 @@
     Ok(outcomes)
 }
 
-/// Returns what a thread returned; one that panicked ends the quick start the same way.
+/// Returns the result of a thread, and resumes its panic if it panicked.
 fn join<T>(handle: thread::ScopedJoinHandle<'_, T>) -> T {
     handle
         .join()
         .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
 }
 
-fn show(plan: &Plan, progress: &Progress, start: Instant, ended: &AtomicBool) {
-    let mut next = PROGRESS;
+fn print_progress(plan: &Plan, progress: &Progress, start: Instant, ended: &AtomicBool) {
+    let mut next = PROGRESS_INTERVAL;
     while !ended.load(Ordering::Relaxed) {
         if start.elapsed() >= next {
             report::print_progress(plan, progress, start.elapsed());
-            next += PROGRESS;
+            next += PROGRESS_INTERVAL;
         }
-        thread::sleep(PROGRESS_PAUSE);
+        thread::sleep(PROGRESS_POLL_INTERVAL);
     }
 }
 
-fn wait_for(start: Instant, after_ms: u64) {
+fn sleep_until(start: Instant, after_ms: u64) {
     let at = start + Duration::from_millis(after_ms);
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
@@ -113,7 +114,7 @@
     start: Instant,
     progress: &Progress,
 ) -> io::Result<JobOutcome> {
-    wait_for(start, plan.after_ms);
+    sleep_until(start, plan.after_ms);
     let submitted = Instant::now();
     let caller = cluster.caller(plan.after_ms as usize);
     let mut outcome = JobOutcome {
@@ -122,21 +123,21 @@
         refusal: String::new(),
         placements: Vec::new(),
         attempts: 0,
-        took: Duration::ZERO,
+        duration: Duration::ZERO,
     };
     match caller.submit(&plan.job, &plan.spec)? {
-        // Another entry may not have read of the job yet and would not know it.
-        JobAnswer::Accepted { .. } => follow(&caller, submitted, &mut outcome)?,
+        // The same entry is polled, because another one may not know the job yet.
+        JobAnswer::Accepted { .. } => poll_job(&caller, submitted, &mut outcome)?,
         JobAnswer::NotRun { reason, .. } => outcome.refusal = format!("{reason:?}"),
         JobAnswer::Unknown { .. } => outcome.refusal = "not known".to_owned(),
     }
-    outcome.took = submitted.elapsed();
+    outcome.duration = submitted.elapsed();
     progress.jobs.fetch_add(1, Ordering::Relaxed);
     Ok(outcome)
 }
 
-/// Asks for the job until it has ended.
-fn follow(caller: &Caller, since: Instant, outcome: &mut JobOutcome) -> io::Result<()> {
+/// Polls the job until it has ended or [`JOB_TIMEOUT`] is over.
+fn poll_job(caller: &Caller, since: Instant, outcome: &mut JobOutcome) -> io::Result<()> {
     while since.elapsed() < JOB_TIMEOUT {
         let status = caller.job(&outcome.job)?;
         outcome.attempts = status.attempt.max(outcome.attempts);
@@ -147,26 +148,26 @@
         if !matches!(status.state, JobState::Waiting | JobState::Running) {
             return Ok(());
         }
-        thread::sleep(JOB_PAUSE);
+        thread::sleep(JOB_POLL_INTERVAL);
     }
     Ok(())
 }
 
 fn run_drain(cluster: &Cluster, plan: &DrainPlan, start: Instant) -> io::Result<DrainOutcome> {
-    wait_for(start, plan.after_ms);
+    sleep_until(start, plan.after_ms);
     cluster
         .editor()
         .set_in_service(&plan.failure_domain, false)?;
-    let out_unix_ms = unix_ms();
-    wait_for(start, plan.after_ms + plan.for_ms);
-    let back_unix_ms = unix_ms();
+    let drained_unix_ms = unix_ms();
+    sleep_until(start, plan.after_ms + plan.for_ms);
+    let returned_unix_ms = unix_ms();
     cluster
         .editor()
         .set_in_service(&plan.failure_domain, true)?;
     Ok(DrainOutcome {
         failure_domain: plan.failure_domain.clone(),
-        out_unix_ms,
-        back_unix_ms,
+        drained_unix_ms,
+        returned_unix_ms,
     })
 }
 
@@ -181,7 +182,7 @@
         let calls: Vec<_> = (0..plan.count)
             .map(|number| {
                 scope.spawn(move || {
-                    wait_for(start, plan.after_ms + u64::from(number) * plan.every_ms);
+                    sleep_until(start, plan.after_ms + u64::from(number) * plan.every_ms);
                     let tally = run_request(cluster, stream, number, plan);
                     progress.requests.fetch_add(1, Ordering::Relaxed);
                     tally
@@ -197,10 +198,10 @@
     tally
 }
 
-/// Sends one request, again after each refusal, until its deadline.
+/// Sends one request and repeats it after each refusal until its deadline.
 fn run_request(cluster: &Cluster, stream: usize, number: u32, plan: &RequestPlan) -> RequestTally {
     let caller = cluster.caller(number as usize);
-    let key = key(&plan.service, stream, number);
+    let key = request_key(&plan.service, stream, number);
     let (work_ms, answer_bytes) = (plan.work_ms, plan.answer_bytes);
     let body =
         format!(r#"{{"request":"{key}","work_ms":{work_ms},"answer_bytes":{answer_bytes}}}"#);
@@ -212,7 +213,7 @@
     };
     loop {
         let left = deadline.saturating_sub(sent.elapsed());
-        // A refused attempt is certain not to have run, so its number is used again.
+        // A refused attempt certainly did not run, so the next one has the same number.
         let reply = caller.request(&plan.service, Some(&key), 1, left, body.as_bytes());
         let pause = match reply {
             Reply::Final(RequestOutcome::Done { status, body: got }) => {
@@ -242,10 +243,10 @@
 }
 
 impl RequestTally {
-    fn finish(&mut self, own: bool, took: Duration) {
+    fn finish(&mut self, own: bool, duration: Duration) {
         if own {
             self.done = 1;
-            self.times_ms = vec![u64::try_from(took.as_millis()).unwrap_or(u64::MAX)];
+            self.times_ms = vec![u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)];
         } else {
             self.wrong = 1;
         }
--- a/standins/src/worker/mod.rs
+++ b/standins/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a platform worker: leases on accelerators, and tasks that are only timers.
+//! A stand-in for a platform worker. It leases accelerators and runs tasks that are only timers.
 
 mod lease;
 mod program;
@@ -24,25 +24,25 @@
 use crate::http::{self, Refusal};
 
 pub use lease::{Checkpoints, Interval, LeaseError, LeaseState, LeaseView, Start, Usage};
-pub use table::Table;
+pub use table::LeaseTable;
 
-/// Time between two looks at the leases.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which leases and tasks are advanced.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a worker is.
+/// The settings of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its name.
     pub name: Name,
-    /// Accelerators it has.
+    /// Number of its accelerators.
     pub accelerators: u32,
-    /// The failure domain it stands in; only written into its record.
+    /// Its failure domain, used only in its record.
     pub failure_domain: Name,
-    /// The lag with which it reports usage.
+    /// The age of the usage that it reports.
     pub usage_lag: Duration,
-    /// Where its tasks save their progress.
+    /// The store in which its tasks save their progress.
     pub checkpoints: Checkpoints,
 }
 
@@ -50,35 +50,35 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerMode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
     /// All tasks fail as soon as they are started.
     Broken,
-    /// Each call is refused at once and has no effect.
+    /// Each call is refused immediately and has no effect.
     Refuse,
-    /// Each call takes effect, and its connection is closed before the answer's end.
+    /// Each call takes effect, but its connection is closed before the end of the answer.
     LoseAnswers,
 }
 
-/// What `POST /control` sets; what is absent stays as it is.
+/// The body of `POST /control`. Absent fields leave the current value unchanged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkerControl {
     /// How the worker behaves.
     pub mode: Option<WorkerMode>,
-    /// Milliseconds by which each call is delayed.
+    /// Delay of each call in milliseconds.
     pub delay_ms: Option<u64>,
 }
 
-/// What `GET /v1/worker` answers.
+/// The answer to `GET /v1/worker`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerView {
     /// Its name.
     pub name: Name,
-    /// Accelerators it has.
+    /// Number of its accelerators.
     pub accelerators: u32,
-    /// All leases that were not removed.
+    /// All leases that have not been removed.
     pub leases: Vec<LeaseView>,
 }
 
@@ -110,21 +110,21 @@
     name: Name,
     accelerators: u32,
     clock: Instant,
-    table: Mutex<Table>,
+    table: Mutex<LeaseTable>,
     control: Mutex<(WorkerMode, Duration)>,
 }
 
 impl Worker {
-    /// Starts a worker with no lease.
+    /// Starts a worker without leases.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// If the address cannot be bound or the thread cannot be started.
     pub fn start(settings: WorkerSettings) -> io::Result<Self> {
         let epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let table = Table::new(
+        let table = LeaseTable::new(
             settings.accelerators,
             settings.failure_domain,
             epoch,
@@ -140,51 +140,51 @@
         });
         let served = shared.clone();
         let address = http::serve(settings.address, move |req| served.answer(req))?;
-        let looking = shared.clone();
+        let advancing = shared.clone();
         thread::Builder::new()
             .name("tasks".to_owned())
             .spawn(move || {
                 loop {
-                    looking.look();
-                    thread::sleep(LOOK_PAUSE);
+                    advancing.advance();
+                    thread::sleep(ADVANCE_INTERVAL);
                 }
             })?;
         Ok(Self { address, shared })
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Changes how the worker behaves.
     pub fn control(&self, control: WorkerControl) {
-        self.shared.set(control);
+        self.shared.apply_control(control);
     }
 
-    /// Returns the times in which tasks ran.
+    /// Returns the intervals in which tasks ran.
     pub fn record(&self) -> Vec<Interval> {
         self.shared.table().intervals().to_vec()
     }
 }
 
 impl Shared {
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, LeaseTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn look(&self) {
+    fn advance(&self) {
         let mut table = self.table();
-        table.look(self.clock.elapsed());
+        table.advance(self.clock.elapsed());
     }
 
-    fn set(&self, control: WorkerControl) {
-        let mut set = self.control.lock().unwrap_or_else(PoisonError::into_inner);
-        set.0 = control.mode.unwrap_or(set.0);
+    fn apply_control(&self, control: WorkerControl) {
+        let mut current = self.control.lock().unwrap_or_else(PoisonError::into_inner);
+        current.0 = control.mode.unwrap_or(current.0);
         if let Some(ms) = control.delay_ms {
-            set.1 = Duration::from_millis(ms);
+            current.1 = Duration::from_millis(ms);
         }
-        self.table().broken = set.0 == WorkerMode::Broken;
+        self.table().broken = current.0 == WorkerMode::Broken;
     }
 
     fn answer(&self, req: &mut Request<Body>) -> Result<Response<Body>, Refusal> {
@@ -192,18 +192,18 @@
         match (req.method().clone(), path.as_str()) {
             (Method::POST, "/control") => {
                 let control = http::read_json(req)?;
-                self.set(control);
+                self.apply_control(control);
                 Ok(http::json(StatusCode::OK, &control))
             }
             (Method::GET, "/v1/record") => {
-                self.look();
+                self.advance();
                 Ok(http::json(StatusCode::OK, &self.table().intervals()))
             }
-            _ => self.under_fault(req, &path),
+            _ => self.apply_fault(req, &path),
         }
     }
 
-    fn under_fault(&self, req: &mut Request<Body>, path: &str) -> Result<Response<Body>, Refusal> {
+    fn apply_fault(&self, req: &mut Request<Body>, path: &str) -> Result<Response<Body>, Refusal> {
         let (mode, delay) = *self.control.lock().unwrap_or_else(PoisonError::into_inner);
         thread::sleep(delay);
         if mode == WorkerMode::Refuse {
@@ -226,14 +226,14 @@
         let (lease, verb) = rest.split_once('/').unwrap_or((rest, ""));
         let lease = Name::from(lease);
         match (method, verb) {
-            (Method::GET, "") => self.change(&lease, |_, _| Ok(())),
+            (Method::GET, "") => self.update_lease(&lease, |_, _| Ok(())),
             (Method::PUT, "") => {
                 let Obtain {
                     accelerators,
                     ttl_ms,
                 } = http::read_json(req)?;
                 let ttl = Duration::from_millis(ttl_ms);
-                self.change(&lease, |t, now| t.obtain(now, &lease, accelerators, ttl))
+                self.update_lease(&lease, |t, now| t.obtain(now, &lease, accelerators, ttl))
             }
             (Method::DELETE, "") => {
                 let now = self.clock.elapsed();
@@ -243,22 +243,22 @@
             (Method::POST, "renew") => {
                 let Renew { ttl_ms } = http::read_json(req)?;
                 let ttl = Duration::from_millis(ttl_ms);
-                self.change(&lease, |t, now| t.renew(now, &lease, ttl))
+                self.update_lease(&lease, |t, now| t.renew(now, &lease, ttl))
             }
             (Method::POST, "start") => {
                 let start: Start = http::read_json(req)?;
-                self.change(&lease, |t, now| t.start(now, &lease, start))
+                self.update_lease(&lease, |t, now| t.start(now, &lease, start))
             }
             (Method::POST, "stop") => {
                 let Stop { checkpoint } = http::read_json(req)?;
-                self.change(&lease, |t, now| t.stop(now, &lease, checkpoint))
+                self.update_lease(&lease, |t, now| t.stop(now, &lease, checkpoint))
             }
             _ => Err(not_found()),
         }
     }
 
     fn view(&self) -> Response<Body> {
-        self.look();
+        self.advance();
         let leases = self.table().views(self.clock.elapsed());
         let view = WorkerView {
             name: self.name.clone(),
@@ -268,27 +268,27 @@
         http::json(StatusCode::OK, &view)
     }
 
-    /// Lets `call` act on a lease and answers with what is to be seen of it afterwards.
-    fn change(
+    /// Applies `call` to a lease and answers with the lease as it is afterwards.
+    fn update_lease(
         &self,
         lease: &Name,
-        call: impl FnOnce(&mut Table, Duration) -> Result<(), LeaseError>,
+        call: impl FnOnce(&mut LeaseTable, Duration) -> Result<(), LeaseError>,
     ) -> Result<Response<Body>, Refusal> {
         let mut table = self.table();
         let now = self.clock.elapsed();
-        table.look(now);
-        call(&mut table, now).map_err(lease_refused)?;
+        table.advance(now);
+        call(&mut table, now).map_err(lease_refusal)?;
         let view = table.view(now, lease).ok_or_else(not_found)?;
         Ok(http::json(StatusCode::OK, &view))
     }
 }
 
-fn lease_refused(error: LeaseError) -> Refusal {
+fn lease_refusal(error: LeaseError) -> Refusal {
     match error {
         LeaseError::NotFree => Refusal::new(StatusCode::CONFLICT, "not free"),
         LeaseError::Conflict => Refusal::new(StatusCode::CONFLICT, "the lease is used otherwise"),
         LeaseError::Unknown => not_found(),
-        LeaseError::Over => Refusal::new(StatusCode::GONE, "the lease is over"),
+        LeaseError::Ended => Refusal::new(StatusCode::GONE, "the lease is over"),
     }
 }
 
--- a/standins/tests/attempt_numbers.rs
+++ b/standins/tests/attempt_numbers.rs
@@ -1,4 +1,4 @@
-//! What a caller reads about the number of its next attempt.
+//! The answer to a caller states the number of its next attempt.
 
 use std::time::Duration;
 
@@ -12,36 +12,36 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Deserialize)]
-struct NotDone {
+struct FailureBody {
     outcome: String,
     reason: Option<String>,
     next_attempt: u32,
 }
 
-fn ask(deployment: &Deployment, service: &str, headers: &[(&str, &str)]) -> NotDone {
+fn send(deployment: &Deployment, service: &str, headers: &[(&str, &str)]) -> FailureBody {
     let path = format!("/v1/services/{service}/requests");
     let entry = deployment.entries[0].http;
     let answer = http::call(entry, Method::POST, &path, headers, Vec::new(), TIMEOUT);
     answer.unwrap().json().unwrap()
 }
 
-/// A caller that does not count its attempts repeats a booking after a broken connection. Taken for
-/// a first attempt by an owner of the key that does not know of the first, it could run twice; so
-/// it is refused before it runs. One that counts is told which number comes next.
+/// A caller that sends no attempt number repeats a request after a broken connection. A key owner
+/// without a record of the first attempt would run it a second time, so the request must be
+/// refused. A caller that counts its attempts must learn the next number.
 #[test]
 fn next_attempt() {
     let deployment = Deployment::builder().start();
     let key = ("Idempotency-Key", "booth-7");
     for headers in [&[key][..], &[key, ("Dragonfly-Attempt", "0")][..]] {
-        let refused = ask(&deployment, SERVICE, headers);
+        let refused = send(&deployment, SERVICE, headers);
         assert_eq!(refused.outcome, "not_run");
         assert_eq!(refused.reason.as_deref(), Some("malformed"));
     }
-    let refused = ask(&deployment, "nobody", &[key, ("Dragonfly-Attempt", "1")]);
+    let refused = send(&deployment, "nobody", &[key, ("Dragonfly-Attempt", "1")]);
     assert_eq!(refused.reason.as_deref(), Some("unknown_service"));
     assert_eq!(refused.next_attempt, 1);
-    // The owners have known all keys for seconds only, and an earlier attempt may have run.
-    let unknown = ask(&deployment, SERVICE, &[key, ("Dragonfly-Attempt", "3")]);
+    // The key owners have just started, so an earlier attempt may have run without their knowledge.
+    let unknown = send(&deployment, SERVICE, &[key, ("Dragonfly-Attempt", "3")]);
     assert_eq!(unknown.outcome, "unknown");
     assert_eq!(unknown.next_attempt, 4);
     let records = deployment.backend_records();
--- a/standins/tests/double_faults.rs
+++ b/standins/tests/double_faults.rs
@@ -1,4 +1,4 @@
-//! Two faults at once: each promise holds all the same.
+//! Every guarantee holds with two faults at the same time.
 
 use std::{thread::sleep, time::Duration};
 
@@ -8,21 +8,23 @@
         Deployment,
         Load,
         LoadShape,
-        doubled_keys,
-        in_domain_after,
+        contradicted_answers,
         job,
+        repeated_keys,
+        starts_in_domain_after,
         unix_ms,
-        untrue_answers,
         wait_until, //
     },
     log::LogMode,
 };
 
-const PARTIAL_MS: u64 = 4_000;
-const DRAIN_MS: u64 = 6_000;
+/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
+const MAX_PARTIAL_MS: u64 = 4_000;
+/// Maximum time in milliseconds from a drain to the last start in the failure domain.
+const MAX_LATE_START_MS: u64 = 6_000;
 
-/// During an outage of the log the planner dies and a worker's agent with it, while a gang runs and
-/// tickets come. The gang stops whole; when the log is back the job goes on and ends.
+/// The planner and the agent of a gang member are killed during a log outage under load. All
+/// members must stop; after the outage the job must run again and finish.
 #[test]
 fn outage_and_kills() {
     let mut deployment = Deployment::builder().start();
@@ -34,23 +36,26 @@
     deployment.set_log(LogMode::Refuse);
     deployment.entries[planner].child.kill();
     deployment.agents[0].child.kill();
-    wait_until("the stop of all members", || {
+    wait_until("all members to stop", || {
         deployment.running_members("reconstruction", first) == 0
     });
     deployment.restart_entry(planner);
     deployment.restart_agent(0);
     deployment.set_log(LogMode::Up);
     deployment.wait_for_end("reconstruction", JobState::Finished);
-    deployment.check_gang("reconstruction", 3, PARTIAL_MS);
+    deployment.check_gang("reconstruction", 3, MAX_PARTIAL_MS);
     load.wait_for_done(50);
-    let asked = load.stop();
+    let requests = load.stop();
     let records = deployment.backend_records();
-    assert_eq!(doubled_keys(&records), []);
-    assert_eq!(untrue_answers(&asked, &records), Vec::<String>::new());
+    assert_eq!(repeated_keys(&records), []);
+    assert_eq!(
+        contradicted_answers(&requests, &records),
+        Vec::<String>::new()
+    );
 }
 
-/// A failure domain is taken out in the middle of a burst of jobs, and the log then goes down. No
-/// job starts there, and each finishes when all is back.
+/// A failure domain is drained during a burst of jobs, and then the log hangs. No job may start
+/// there, and each must finish after the outage.
 #[test]
 fn drain_burst_outage() {
     let deployment = Deployment::builder().start();
@@ -65,12 +70,16 @@
     for number in 0..20 {
         deployment.wait_for_end(&format!("grading-{number}"), JobState::Finished);
     }
-    let late = in_domain_after(&deployment.intervals(), "judenburg", drained + DRAIN_MS);
+    let late = starts_in_domain_after(
+        &deployment.intervals(),
+        "judenburg",
+        drained + MAX_LATE_START_MS,
+    );
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// A wave of cancellations meets a log that loses its answers. Each job that was told to be
-/// cancelled ends so, or had finished before, and none is left behind on a worker.
+/// Many jobs are cancelled while the log loses the answers to appends. Each job must end, cancelled
+/// or finished, and no task may be left on a worker.
 #[test]
 fn lost_answers() {
     let deployment = Deployment::builder().start();
@@ -80,13 +89,13 @@
     deployment.set_log(LogMode::LoseAppends);
     let callers = deployment.callers();
     for number in 0..12 {
-        // The answer may be that the outcome is unknown; it is asked for again below.
+        // The outcome may be unknown; the cancellation is repeated below.
         let _ = callers[number % 2].cancel(&format!("grading-{number}"));
     }
     deployment.set_log(LogMode::Up);
     for number in 0..12 {
         let name = format!("grading-{number}");
-        wait_until("the cancellation or the end", || {
+        wait_until("the job to be cancelled or to end", || {
             let _ = callers[0].cancel(&name);
             !matches!(
                 deployment.job(&name).state,
@@ -94,7 +103,7 @@
             )
         });
     }
-    wait_until("no task left", || {
+    wait_until("all tasks to stop", || {
         deployment
             .intervals()
             .iter()
--- a/standins/tests/drain_cut.rs
+++ b/standins/tests/drain_cut.rs
@@ -1,4 +1,4 @@
-//! Nothing starts in a failure domain a few seconds after operators have taken it out.
+//! Nothing starts in a failure domain from a few seconds after it was taken out of service.
 
 use std::{thread::sleep, time::Duration};
 
@@ -9,49 +9,49 @@
         Load,
         LoadShape,
         Signal,
-        in_domain_after,
         job,
+        starts_in_domain_after,
         unix_ms,
         wait_until, //
     },
     relay::LinkMode,
 };
 
-/// Time after the edit within which a start may still have been under way.
-const DRAIN_MS: u64 = 6_000;
+/// Maximum time in milliseconds from the edit to a start that was already in progress.
+const MAX_LATE_START_MS: u64 = 6_000;
 
-/// How long the failure domain stays out.
-const OUT_MS: u64 = 12_000;
+/// Time in milliseconds for which the failure domain is out of service under load.
+const OUT_OF_SERVICE_MS: u64 = 12_000;
 
-const OUT_DOMAIN: &str = "judenburg";
+const DRAINED_DOMAIN: &str = "judenburg";
 
-/// Keeps small jobs and requests coming while the domain is out, then returns it and waits until
-/// something starts there, which shows that it could have before.
+/// Submits small jobs and requests while the domain is out of service, then returns it and waits
+/// for a start there, which proves that only the drain had prevented starts.
 fn drain_under_load(deployment: &Deployment, drained: u64) {
     let load = Load::start(deployment.callers(), LoadShape::default());
-    let until = unix_ms() + OUT_MS;
+    let until = unix_ms() + OUT_OF_SERVICE_MS;
     let mut number = 0;
     while unix_ms() < until {
         deployment.submit(&format!("grading-{number}"), &job(1, 4, "sleep:300"));
         number += 1;
         sleep(Duration::from_millis(200));
     }
-    let late = drained + DRAIN_MS;
-    let starts = in_domain_after(&deployment.intervals(), OUT_DOMAIN, late);
+    let late = drained + MAX_LATE_START_MS;
+    let starts = starts_in_domain_after(&deployment.intervals(), DRAINED_DOMAIN, late);
     assert!(starts.is_empty(), "{starts:#?}");
     let records = deployment.backend_records();
     let mut runs = records[2].runs.iter();
     assert!(
         runs.all(|r| r.started_unix_ms <= late),
-        "a request ran there"
+        "a request ran in the drained domain"
     );
 
     let returned = unix_ms();
-    deployment.set_in_service(OUT_DOMAIN, true);
+    deployment.set_in_service(DRAINED_DOMAIN, true);
     wait_until("a start in the returned domain", || {
         deployment.submit(&format!("grading-{number}"), &job(1, 4, "sleep:300"));
         number += 1;
-        !in_domain_after(&deployment.intervals(), OUT_DOMAIN, returned).is_empty()
+        !starts_in_domain_after(&deployment.intervals(), DRAINED_DOMAIN, returned).is_empty()
     });
     load.stop();
     for number in 0..number {
@@ -59,29 +59,29 @@
     }
 }
 
-/// The agent of the only worker in the domain can't reach the log, so it can't read the edit there.
+/// The agent of the only worker in the domain cannot reach the log, so it cannot read the edit.
 #[test]
 fn agent_cut_off() {
     let deployment = Deployment::builder().start();
-    deployment.agents[2].log_link.set(LinkMode::Frozen);
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.agents[2].log_link.set_mode(LinkMode::Frozen);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     drain_under_load(&deployment, unix_ms());
 }
 
-/// The planner is paused before the edit and goes on some seconds after it, with the old document.
+/// The planner is suspended before the edit and resumes seconds later with the old document.
 #[test]
 fn planner_frozen() {
     let deployment = Deployment::builder().start();
     let planner = &deployment.entries[deployment.planner()].child;
     planner.signal(Signal::Stop);
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     let drained = unix_ms();
     sleep(Duration::from_secs(7));
     planner.signal(Signal::Continue);
     drain_under_load(&deployment, drained);
 }
 
-/// The agent itself is paused with orders in its buffers, and goes on after the edit.
+/// The agent is suspended with orders in its buffers and resumes after the edit.
 #[test]
 fn agent_frozen() {
     let deployment = Deployment::builder().start();
@@ -90,7 +90,7 @@
     for number in 0..4 {
         deployment.submit(&format!("early-{number}"), &job(1, 8, "sleep:200"));
     }
-    deployment.set_in_service(OUT_DOMAIN, false);
+    deployment.set_in_service(DRAINED_DOMAIN, false);
     let drained = unix_ms();
     sleep(Duration::from_secs(7));
     agent.signal(Signal::Continue);
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -1,29 +1,34 @@
-//! An answer "not run" is true, and "done" carries the request's own whole answer.
+//! A request answered with "not run" did not run, and "done" carries the complete answer to this
+//! request.
 
 use std::{thread::sleep, time::Duration};
 
 use standins::{
     backend::{BackendControl, BackendMode},
     caller::Reply,
-    harness::{Asked, Deployment, Load, LoadShape, Signal, untrue_answers},
+    harness::{Deployment, Load, LoadShape, Signal, TrackedRequest, contradicted_answers},
 };
 
-const SOME: usize = 40;
+/// Requests that are done in each phase of a test.
+const REQUESTS_PER_PHASE: usize = 40;
 
-fn check(deployment: &Deployment, asked: &[Asked]) {
+fn check(deployment: &Deployment, requests: &[TrackedRequest]) {
     let records = deployment.backend_records();
     assert_eq!(records.len(), deployment.backends.len());
-    assert_eq!(untrue_answers(asked, &records), Vec::<String>::new());
+    assert_eq!(
+        contradicted_answers(requests, &records),
+        Vec::<String>::new()
+    );
 }
 
-fn refusals(asked: &[Asked]) -> usize {
-    let replies = asked.iter().flat_map(|a| &a.replies);
+fn refusals(requests: &[TrackedRequest]) -> usize {
+    let replies = requests.iter().flat_map(|a| &a.replies);
     replies.filter(|r| r.is_not_run()).count()
 }
 
 /// Far more callers than slots, with short deadlines: requests are refused in queues, at their
-/// deadlines and by agents, while an agent and an entry die. Each ticket that was refused in every
-/// attempt did not run.
+/// deadlines and by agents, while an agent and an entry are killed. A request that was refused in
+/// every attempt must not have run.
 #[test]
 fn overload_with_kills() {
     let mut deployment = Deployment::builder().slots(1).start();
@@ -35,29 +40,30 @@
         ..LoadShape::default()
     };
     let load = Load::start(deployment.callers(), shape);
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.agents[1].child.kill();
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.restart_agent(1);
     deployment.entries[0].child.kill();
-    load.wait_for_done(SOME);
+    load.wait_for_done(REQUESTS_PER_PHASE);
     deployment.restart_entry(0);
-    load.wait_for_done(SOME);
-    let asked = load.stop();
-    check(&deployment, &asked);
+    load.wait_for_done(REQUESTS_PER_PHASE);
+    let requests = load.stop();
+    check(&deployment, &requests);
     assert!(
-        refusals(&asked) > 0,
-        "the load was too small to see refusals"
+        refusals(&requests) > 0,
+        "the load was too low to cause refusals"
     );
     let in_use = deployment.backend_records();
     assert!(
         in_use.iter().all(|r| r.most_running <= 1),
-        "more runs than slots"
+        "more concurrent runs than slots"
     );
 }
 
-/// Backend servers break off in mid-answer, fail, refuse and vanish. A caller may be told that the
-/// outcome is unknown, but never a piece of an answer as the whole one, nor "not run" of a run.
+/// Backend servers truncate answers, fail, refuse requests and are suspended. A caller may learn
+/// that the outcome is unknown, but must never get a partial answer as a complete one, nor "not
+/// run" for a request that ran.
 #[test]
 fn bad_backends() {
     let deployment = Deployment::builder().start();
@@ -73,16 +79,16 @@
         BackendMode::Refusing,
     ] {
         set(&deployment, 0, mode);
-        load.wait_for_done(SOME);
+        load.wait_for_done(REQUESTS_PER_PHASE);
     }
     set(&deployment, 0, BackendMode::Up);
     deployment.backends[1].child.signal(Signal::Stop);
     sleep(Duration::from_secs(2));
     deployment.backends[1].child.signal(Signal::Continue);
-    load.wait_for_done(SOME);
-    let asked = load.stop();
-    check(&deployment, &asked);
-    let replies = asked.iter().flat_map(|a| &a.replies);
+    load.wait_for_done(REQUESTS_PER_PHASE);
+    let requests = load.stop();
+    check(&deployment, &requests);
+    let replies = requests.iter().flat_map(|a| &a.replies);
     assert!(
         replies
             .filter(|r| !matches!(r, Reply::Broken(_)))
