--- a/dragonflyrun/src/process/agent.rs
+++ b/dragonflyrun/src/process/agent.rs
@@ -66,10 +66,7 @@
         if !is_backend_token(&self.cx.settings.secret, &announcement.name, token) {
             log::warn!(backend:% = announcement.name; "announcement_refused");
             self.cx.counters.event("announcement_refused");
-            return HttpResponse::text(
-                StatusCode::FORBIDDEN,
-                "the token does not match the name\n",
-            );
+            return HttpResponse::text(StatusCode::FORBIDDEN, "the token does not fit the name\n");
         }
         self.requests.announce(announcement);
         HttpResponse::text(StatusCode::OK, "announced\n")
--- a/dragonflyrun/src/process/context.rs
+++ b/dragonflyrun/src/process/context.rs
@@ -62,9 +62,7 @@
             return Err("the document is in a format of a later release");
         }
         if !ledger.is_complete() {
-            return Err(
-                "records of the log are missing; waiting for the planner to repeat its state",
-            );
+            return Err("records of the log were missed, waiting for the planner to repeat them");
         }
         if ledger.history.current().offset == 0 {
             return Err("no configuration yet");
--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -243,11 +243,11 @@
             return Some(not_run(JobRefusal::Leaving, Some(FRESHNESS_RETRY_AFTER_MS)));
         }
         if !is_job_name(job) {
-            let rule = "a job's name must consist of 1 to 128 letters, digits, '.', '_' or '-'";
+            let rule = "a job's name has up to 128 letters, digits, '.', '_' and '-'";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
         if spec.program.len() + spec.workspace.len() > MAX_JOB_TEXT_BYTES {
-            let rule = "a job's program and workspace must not exceed 65,536 bytes together";
+            let rule = "a job's program and workspace have up to 65,536 bytes";
             return Some(not_run(JobRefusal::Malformed(rule.to_owned()), None));
         }
         if !self.cx.is_fresh() {
@@ -330,7 +330,7 @@
 }
 
 fn name_taken() -> JobAnswer {
-    let rule = "the name belongs to another job";
+    let rule = "the name is that of another job";
     not_run(JobRefusal::Malformed(rule.to_owned()), None)
 }
 
--- a/dragonflyrun/src/process/settings.rs
+++ b/dragonflyrun/src/process/settings.rs
@@ -13,7 +13,8 @@
     version::Finding, //
 };
 
-/// Minimum length of the secret, in bytes.
+/// Minimum length of the secret in bytes. The error message says characters, but the check counts
+/// bytes, so a secret with non-ASCII characters may have fewer characters.
 const MIN_SECRET_BYTES: usize = 16;
 
 const DEFAULT_CONNECTIONS: u32 = 256;
