--- a/dragonflyrun/src/connection/message.rs
+++ b/dragonflyrun/src/connection/message.rs
@@ -150,7 +150,8 @@
         /// The idempotency key, if the caller gave one.
         key: Option<Name>,
         /// The request that holds the grant of the key, if the request may run only once.
-        claim: Option<RequestId>,
+        #[serde(rename = "claim")]
+        granted_request: Option<RequestId>,
         /// The caller's deadline on the agent's own clock, computed from its last heartbeat.
         ///
         /// A message that was delayed by a frozen process or a network failure can arrive
--- a/dragonflyrun/src/job/coverage.rs
+++ b/dragonflyrun/src/job/coverage.rs
@@ -16,8 +16,8 @@
     /// count as borrowing as long as there is room.
     pub(super) fn update_guarantees(&mut self) {
         let changed = std::mem::take(&mut self.changed);
-        let uncovered = std::mem::take(&mut self.uncovered);
-        if changed.is_empty() && uncovered.is_empty() {
+        let workspaces = std::mem::take(&mut self.workspaces_to_cover);
+        if changed.is_empty() && workspaces.is_empty() {
             return;
         }
         if !self.guarantees.reallot(&mut self.inventory, &changed) {
@@ -25,7 +25,7 @@
             self.reallot_without_temporary();
         }
         self.evacuate_reserved();
-        for workspace in uncovered {
+        for workspace in workspaces {
             self.cover_borrowers(&workspace);
         }
     }
--- a/dragonflyrun/src/job/holding.rs
+++ b/dragonflyrun/src/job/holding.rs
@@ -62,7 +62,8 @@
                 let stopping = i64::from(accelerators);
                 self.inventory.stopping(worker, stopping);
             }
-            self.uncovered.insert(entry.spec.workspace.clone());
+            self.workspaces_to_cover
+                .insert(entry.spec.workspace.clone());
         }
     }
 
@@ -100,7 +101,7 @@
         if let Some(holding) = self.holding.get_mut(&workspace) {
             holding.remove(&aged);
         }
-        self.uncovered.insert(workspace);
+        self.workspaces_to_cover.insert(workspace);
     }
 
     /// Ends the coverage of `job` by a guarantee.
@@ -130,7 +131,8 @@
             return;
         };
         self.changed.extend(parts.iter().map(|p| p.worker));
-        self.uncovered.insert(entry.spec.workspace.clone());
+        self.workspaces_to_cover
+            .insert(entry.spec.workspace.clone());
     }
 
     /// Revokes all pledges that include a worker and puts their jobs back into the queue.
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -67,7 +67,7 @@
     /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
     /// Workspaces with running jobs that borrow and that a guarantee may be able to cover now.
-    pub(super) uncovered: BTreeSet<Name>,
+    pub(super) workspaces_to_cover: BTreeSet<Name>,
     /// Whether anything has changed since the last pass over the queue.
     pub(super) needs_pass: bool,
     pub(super) last_pass: Timestamp,
@@ -164,7 +164,7 @@
         let before = self.covered_jobs();
         self.guarantees.configure(version, &mut self.inventory);
         self.renumber_covers(before);
-        self.uncovered
+        self.workspaces_to_cover
             .extend(version.workspaces().map(|w| w.name.clone()));
         self.version = Some(version.clone());
         self.needs_pass = true;
@@ -253,7 +253,7 @@
             }
         }
         self.hold(now, &job.job, parts);
-        self.uncovered.insert(job.spec.workspace.clone());
+        self.workspaces_to_cover.insert(job.spec.workspace.clone());
         self.needs_pass = true;
     }
 
--- a/dragonflyrun/src/port/operator.rs
+++ b/dragonflyrun/src/port/operator.rs
@@ -81,7 +81,7 @@
         /// The failure domain.
         failure_domain: Name,
         /// Whether it is out of service.
-        out: bool,
+        out_of_service: bool,
     },
     /// A record that this program does not use.
     Other,
--- a/dragonflyrun/src/port/worker.rs
+++ b/dragonflyrun/src/port/worker.rs
@@ -100,7 +100,7 @@
     /// The running tasks.
     pub running: Vec<RunningTask>,
     /// The ends that have not been confirmed, oldest first.
-    pub ends: Vec<End>,
+    pub run_ends: Vec<End>,
 }
 
 /// An order to start a run.
@@ -181,13 +181,13 @@
     /// Stops a run, or ensures that it never starts.
     async fn stop(&self, worker: &str, run: &RunId, token: u64) -> Result<(), CallError>;
 
-    /// Confirms ends up to number `confirmed`, extends the lease to `lease_until_ms` of the
+    /// Confirms ends up to number `confirmed_end`, extends the lease to `lease_until_ms` of the
     /// worker's clock if given, and waits up to `wait` for a run to end.
     async fn renew(
         &self,
         worker: &str,
         token: u64,
-        confirmed: u64,
+        confirmed_end: u64,
         lease_until_ms: Option<u64>,
         wait: Duration,
     ) -> Result<WorkerLists, CallError>;
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -113,7 +113,7 @@
                 incarnation,
                 service,
                 key,
-                claim,
+                granted_request,
                 deadline_ms,
                 body,
             } => {
@@ -122,7 +122,7 @@
                     incarnation,
                     service,
                     key,
-                    claim,
+                    granted_request,
                     deadline: Timestamp::from_millis(deadline_ms),
                     body,
                 };
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -194,10 +194,10 @@
                 }
                 Some(OperatorRecord::Evacuation {
                     failure_domain,
-                    out,
+                    out_of_service,
                 }) => {
-                    log::info!(failure_domain:% = failure_domain, out; "evacuation");
-                    if out {
+                    log::info!(failure_domain:% = failure_domain, out = out_of_service; "evacuation");
+                    if out_of_service {
                         evacuated.insert(failure_domain);
                     } else {
                         evacuated.remove(&failure_domain);
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -289,7 +289,7 @@
             let answer = match timeout(REPORT_READ_OVERDUE, &mut read).await {
                 Ok(answer) => answer,
                 Err(_) => {
-                    self.set_readable(number, false);
+                    self.set_report_partition_readable(number, false);
                     read.await
                 }
             };
@@ -299,10 +299,10 @@
                         .log_reachability(&mut reachable, true, "workers", "");
                     let is_current = batch.is_current;
                     self.apply_reports(batch);
-                    self.set_readable(number, is_current);
+                    self.set_report_partition_readable(number, is_current);
                 }
                 Err(error) => {
-                    self.set_readable(number, false);
+                    self.set_report_partition_readable(number, false);
                     let why = error.to_string();
                     self.entry
                         .log_reachability(&mut reachable, false, "workers", &why);
@@ -314,12 +314,12 @@
 
     /// Records whether a report partition can be read. A missing report counts as an agent's
     /// silence only while all partitions can be read.
-    fn set_readable(&self, number: u32, readable: bool) {
+    fn set_report_partition_readable(&self, partition: u32, readable: bool) {
         let mut unread_partitions = self.unread_partitions.take();
         if readable {
-            unread_partitions.remove(&number);
+            unread_partitions.remove(&partition);
         } else {
-            unread_partitions.insert(number);
+            unread_partitions.insert(partition);
         }
         let all_readable = unread_partitions.is_empty();
         self.unread_partitions.set(unread_partitions);
--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -46,7 +46,7 @@
     /// The caller's key.
     pub key: Option<Name>,
     /// The request that holds the key's grant.
-    pub claim: Option<RequestId>,
+    pub granted_request: Option<RequestId>,
     /// The deadline on this agent's clock.
     pub deadline: Timestamp,
     /// The complete body.
@@ -100,7 +100,7 @@
     backend: Name,
     service: Name,
     key: Option<Name>,
-    claim: Option<RequestId>,
+    granted_request: Option<RequestId>,
     deadline: Timestamp,
 }
 
@@ -192,7 +192,7 @@
                     backend: name,
                     service: order.service.clone(),
                     key: order.key.clone(),
-                    claim: order.claim.clone(),
+                    granted_request: order.granted_request.clone(),
                     deadline,
                 };
                 self.runs.insert(order.id.clone(), run);
@@ -348,14 +348,15 @@
     /// that can't. Only a request that ran is reported: for any other outcome the entry may know
     /// better.
     fn settle(&self, outcome: &Outcome) -> Option<KeyMessage> {
-        let (Some(key), Some(claim), Outcome::Done { .. }) = (&self.key, &self.claim, outcome)
+        let (Some(key), Some(granted_request), Outcome::Done { .. }) =
+            (&self.key, &self.granted_request, outcome)
         else {
             return None;
         };
         Some(KeyMessage::Settle {
             service: self.service.clone(),
             key: key.clone(),
-            id: claim.clone(),
+            id: granted_request.clone(),
             outcome: outcome.clone(),
         })
     }
--- a/dragonflyrun/src/request/entry_table/dispatch.rs
+++ b/dragonflyrun/src/request/entry_table/dispatch.rs
@@ -90,7 +90,7 @@
             incarnation: target.incarnation,
             service: pending.service.clone(),
             key: pending.key.clone(),
-            claim: pending.granted_by.as_ref().map(|_| self.id(target.request)),
+            granted_request: pending.granted_by.as_ref().map(|_| self.id(target.request)),
             deadline_ms: target.deadline_ms,
             body: pending.body.clone(),
         }))
--- a/dragonflyrun/src/request/entry_table/keys.rs
+++ b/dragonflyrun/src/request/entry_table/keys.rs
@@ -208,8 +208,8 @@
                 let refusal = Refusal::new(NotRun::KeyUnsettled, UNSETTLED_RETRY_AFTER_MS);
                 self.give_up_claim(now, id.number, refusal);
             }
-            KeyMessage::Settle { .. } if self.settlements.len() < MAX_SETTLEMENTS => {
-                self.settlements.push(Settlement {
+            KeyMessage::Settle { .. } if self.undelivered_settlements.len() < MAX_SETTLEMENTS => {
+                self.undelivered_settlements.push(Settlement {
                     owner: to.clone(),
                     message: message.clone(),
                     expires_at: now + SETTLEMENT_TTL,
@@ -239,11 +239,11 @@
     /// Sends undelivered settlements again and removes expired ones.
     pub(super) fn tick_keys(&mut self, now: Timestamp) {
         self.abandoned.retain(|a| a.expires_at > now);
-        for settlement in std::mem::take(&mut self.settlements) {
+        for settlement in std::mem::take(&mut self.undelivered_settlements) {
             if settlement.expires_at <= now {
                 self.actions.push(EntryAction::Event("settlement_lost"));
             } else if self.loads.is_silent(now, &settlement.owner) {
-                self.settlements.push(settlement);
+                self.undelivered_settlements.push(settlement);
             } else {
                 self.send_key(settlement.owner, settlement.message);
             }
--- a/dragonflyrun/src/workload/agent_table.rs
+++ b/dragonflyrun/src/workload/agent_table.rs
@@ -381,7 +381,7 @@
         });
         let confirmed = incarnation.confirmed;
         let ends: Vec<End> = lists
-            .ends
+            .run_ends
             .into_iter()
             .filter(|e| e.number > confirmed)
             .collect();
--- a/dragonflyrun/src/workload/demands.rs
+++ b/dragonflyrun/src/workload/demands.rs
@@ -29,7 +29,7 @@
 
 /// The last attempt of a task waits for proven workers, counted from the previous failure, for at
 /// most the job's time to its objective divided by this number.
-const PROVEN_WAIT_DIVISOR: u64 = 3;
+const PROVEN_WORKER_WAIT_DIVISOR: u64 = 3;
 
 /// Builds the demands of one pass.
 pub(super) struct Demands<'a, 'v> {
@@ -147,7 +147,7 @@
         }
         let failed = live.failed_at.map(|at| self.view.now.since(at));
         let time_ms = live.objective_ms(self.times, occurrence) - live.waiting_since_ms(occurrence);
-        let max_wait = Duration::from_millis(time_ms / PROVEN_WAIT_DIVISOR);
+        let max_wait = Duration::from_millis(time_ms / PROVEN_WORKER_WAIT_DIVISOR);
         if self.workers_faulty && failed.is_some_and(|ago| ago < max_wait) {
             Caution::OnlyProven
         } else {
--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -61,7 +61,7 @@
         clock_ms,
         born_ms: Some(5),
         running: running.collect(),
-        ends: Vec::new(),
+        run_ends: Vec::new(),
     }
 }
 
--- a/dragonflyrun/tests/run_progress.rs
+++ b/dragonflyrun/tests/run_progress.rs
@@ -54,7 +54,7 @@
                 checkpoint: String::new(),
                 percent: *percent,
             }],
-            ends: Vec::new(),
+            run_ends: Vec::new(),
         };
         table.lists(requested_at, session, lists);
     }
--- a/dragonflyrun/tests/simulation/nodes.rs
+++ b/dragonflyrun/tests/simulation/nodes.rs
@@ -325,7 +325,7 @@
                     incarnation,
                     service,
                     key,
-                    claim,
+                    granted_request,
                     deadline_ms,
                     body,
                 } => {
@@ -335,7 +335,7 @@
                         incarnation,
                         service,
                         key,
-                        claim,
+                        granted_request,
                         deadline,
                         body,
                     };
--- a/dragonflyrun/tests/tables/mod.rs
+++ b/dragonflyrun/tests/tables/mod.rs
@@ -163,7 +163,7 @@
         incarnation: 1,
         service: "checks".into(),
         key: None,
-        claim: None,
+        granted_request: None,
         deadline: at(5_000),
         body: Vec::new(),
     }
--- a/dragonflyrun/tests/workload_world/worker.rs
+++ b/dragonflyrun/tests/workload_world/worker.rs
@@ -163,7 +163,7 @@
             clock_ms: self.clock(now),
             born_ms: Some(self.born_ms),
             running: running.collect(),
-            ends: self.ends.clone(),
+            run_ends: self.ends.clone(),
         };
         Some((lists, counted))
     }
--- a/standins/src/steps/worker.rs
+++ b/standins/src/steps/worker.rs
@@ -159,7 +159,7 @@
             clock_ms: self.clock_ms(),
             born_ms: Some(1),
             running: running.collect(),
-            ends: self.ends.borrow().clone(),
+            run_ends: self.ends.borrow().clone(),
         }
     }
 }
@@ -212,7 +212,7 @@
         &self,
         _worker: &str,
         token: u64,
-        confirmed: u64,
+        confirmed_end: u64,
         lease_until_ms: Option<u64>,
         wait: Duration,
     ) -> Result<WorkerLists, CallError> {
@@ -220,7 +220,10 @@
         if !worker.admit(token) {
             return Err(CallError::Refused(409));
         }
-        worker.ends.borrow_mut().retain(|e| e.number > confirmed);
+        worker
+            .ends
+            .borrow_mut()
+            .retain(|e| e.number > confirmed_end);
         let until = worker.lease_until_ms.get();
         worker
             .lease_until_ms
