--- a/dragonflyrun/src/job/closing.rs
+++ b/dragonflyrun/src/job/closing.rs
@@ -133,6 +133,8 @@
         }
     }
 
+    /// Appends the records of ended attempts and jobs that are due, for the first time or again after
+    /// an append that did not reach the log.
     pub(super) fn append_closing_records(
         &mut self,
         now: Timestamp,
--- a/dragonflyrun/src/job/coverage.rs
+++ b/dragonflyrun/src/job/coverage.rs
@@ -72,6 +72,8 @@
         entry.cover = self.guarantees.protect(&mut self.inventory, &cover, shape);
     }
 
+    /// Covers running jobs of `workspace` that borrow by its guarantees, as far as they fit into the
+    /// allotments.
     fn cover_borrowers(&mut self, workspace: &Name) {
         if self.guarantees.of(workspace).is_empty() {
             return;
--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -2,7 +2,9 @@
 //!
 //! Each guarantee is allotted accelerators on workers in service that make up its shape; no
 //! accelerator is allotted twice. A job of the workspace that lies within an allotment is covered
-//! by the guarantee. Every other job borrows and may be evicted. So as long as a guarantee has an
+//! by the guarantee. Every other job borrows: it runs on accelerators that may be allotted to a
+//! guarantee of any workspace, and may be evicted when a job that the guarantee covers needs them.
+//! So as long as a guarantee has an
 //! allotment, its shape is free, in use by its workspace, or available by evicting borrowers alone.
 //!
 //! An allotment without a job holds no accelerators. It is moved whenever that lets a job start
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -66,7 +66,10 @@
     pub(super) out_of_service: BTreeSet<WorkerId>,
     /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
-    /// Workspaces with running jobs that borrow and that a guarantee may be able to cover now.
+    /// Workspaces to search at the next update of the guarantees for running jobs that borrow but
+    /// that one of their workspace's guarantees can cover now. A workspace is added when one of its
+    /// jobs gets, moves or releases accelerators and when the configuration changes. See the
+    /// `guarantee` module for covered and borrowing jobs.
     pub(super) workspaces_to_cover: BTreeSet<Name>,
     /// Whether anything has changed since the last pass over the queue.
     pub(super) needs_pass: bool,
@@ -88,7 +91,8 @@
     pub(super) accepted: u64,
     pub(super) waiting_since: Timestamp,
     pub(super) evictions: u32,
-    /// The guarantee that covers the job; none if it waits or borrows.
+    /// The guarantee within whose allotment the job runs, which therefore covers it; none if the job
+    /// waits or borrows.
     pub(super) cover: Option<GuaranteeId>,
     pub(super) stage: Stage,
 }
--- a/dragonflyrun/src/port/advisor.rs
+++ b/dragonflyrun/src/port/advisor.rs
@@ -7,7 +7,7 @@
 /// A question to the advisor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdviceQuestion {
-    /// The job.
+    /// The name of the job that the step belongs to.
     pub job: Name,
     /// Which occurrence of the job.
     pub occurrence: u32,
@@ -15,7 +15,7 @@
     pub step: u32,
     /// The workers that could run it.
     pub workers: Vec<Name>,
-    /// The longest time that the answer takes.
+    /// The time limit for the answer.
     pub within: Duration,
 }
 
--- a/dragonflyrun/src/port/caller.rs
+++ b/dragonflyrun/src/port/caller.rs
@@ -20,7 +20,7 @@
 pub struct CallerRequest {
     /// The host that the request names, without a port.
     pub host: String,
-    /// The path.
+    /// The path of the request's URL, without the query.
     pub path: String,
     /// The workspace key, if the request carries one.
     pub key: Option<String>,
--- a/dragonflyrun/src/port/operator.rs
+++ b/dragonflyrun/src/port/operator.rs
@@ -9,11 +9,11 @@
 pub struct Configuration {
     /// Increases with each change, not always by one.
     pub version: u64,
-    /// The queues.
+    /// The queues that callers submit jobs to.
     pub queues: Vec<Queue>,
     /// The pools of workers.
     pub services: Vec<Service>,
-    /// The workspaces.
+    /// The workspaces that callers submit jobs for, with their keys.
     pub workspaces: Vec<Workspace>,
 }
 
--- a/dragonflyrun/src/port/store.rs
+++ b/dragonflyrun/src/port/store.rs
@@ -30,7 +30,7 @@
 /// A part of a topic within which the store keeps records in order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Partition {
-    /// The topic.
+    /// The topic that the partition belongs to.
     pub topic: Topic,
     /// The number of the partition within its topic.
     pub number: u32,
@@ -59,7 +59,7 @@
 pub struct StoreRecord {
     /// The key; empty in a topic without keys.
     pub key: Name,
-    /// The content.
+    /// The encoded content; `None` in a record that deletes its key.
     pub value: Option<Vec<u8>>,
 }
 
--- a/dragonflyrun/src/port/worker.rs
+++ b/dragonflyrun/src/port/worker.rs
@@ -99,7 +99,7 @@
     pub born_ms: Option<u64>,
     /// The running tasks.
     pub running: Vec<RunningTask>,
-    /// The ends that have not been confirmed, oldest first.
+    /// The ends of runs that the agent has not confirmed yet, oldest first.
     pub run_ends: Vec<End>,
 }
 
@@ -181,7 +181,8 @@
     /// Stops a run, or ensures that it never starts.
     async fn stop(&self, worker: &str, run: &RunId, token: u64) -> Result<(), CallError>;
 
-    /// Confirms ends up to number `confirmed_end`, extends the lease to `lease_until_ms` of the
+    /// Confirms all ends of runs whose number is at most `confirmed_end`, so that the worker need not
+    /// list them again, extends the lease to `lease_until_ms` of the
     /// worker's clock if given, and waits up to `wait` for a run to end.
     async fn renew(
         &self,
--- a/dragonflyrun/src/process/agent.rs
+++ b/dragonflyrun/src/process/agent.rs
@@ -55,8 +55,9 @@
 
     /// Registers the backend server that announces itself.
     ///
-    /// The agent sends requests to the announced address, so the announcement has to carry a token
-    /// that proves knowledge of the deployment's secret.
+    /// The agent sends requests to whatever address is announced, so an unauthorized process must not
+    /// be able to announce one. The announcement therefore carries the key of the named backend
+    /// server, which is derived from the deployment's secret.
     fn announce(&self, req: &HttpRequest) -> HttpResponse {
         let announcement = match serde_json::from_slice::<BackendAnnouncement>(&req.body) {
             Ok(announcement) => announcement,
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -242,6 +242,7 @@
         match action {
             AgentAction::Start { order, address } => self.start(order, address),
             AgentAction::Send { to, message } => {
+                // The table keeps the answer and sends it again until it is acknowledged or expires.
                 if let Err(error) = self.cx.links.send(&to, message) {
                     log::debug!(peer:% = to, error:% = error; "answer_not_sent");
                 }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -124,7 +124,7 @@
         self.planner.term()
     }
 
-    /// Checks that the known workers could run a job.
+    /// Checks that the quota of its workspace allows a job and that the known workers could run it.
     ///
     /// # Errors
     ///
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -190,7 +190,8 @@
                 }
                 table.clock_ms()
             };
-            // An order gets its lease in the worker's own time, so the clock must be known first.
+            // An order states the end of its lease as a time on the worker's clock, so that clock
+            // must be known first.
             if worker_clock_ms.is_none() {
                 sleep(FIRST_POLL_DELAY).await;
                 continue;
--- a/dragonflyrun/src/process/on_store/caller_records.rs
+++ b/dragonflyrun/src/process/on_store/caller_records.rs
@@ -154,9 +154,9 @@
     /// Returns whether the store is reachable, judging by a recent answer or by a short read that
     /// ends by `deadline`.
     ///
-    /// Once a record has been sent, a caller without a confirmation can't know whether it was
-    /// stored until its time runs out. A read without an answer has no such effect: the caller is
-    /// refused for certain and tries another entry.
+    /// If a record is sent while the network to the store is partitioned, the caller waits until its
+    /// time runs out and still does not know whether the record was stored. A read without an answer
+    /// has no such effect: the caller is refused for certain and tries another entry.
     async fn probe_store(&self, deadline: Instant) -> bool {
         let (is_recent, delay, end) = {
             let state = lock(&self.state);
--- a/dragonflyrun/src/process/status.rs
+++ b/dragonflyrun/src/process/status.rs
@@ -146,7 +146,7 @@
     Failed,
     /// It was cancelled.
     Cancelled,
-    /// No known set of workers can run it any more.
+    /// Its requirements can no longer be met.
     Impossible,
 }
 
@@ -215,7 +215,8 @@
     UnknownWorkspace,
     /// The job is unknown.
     UnknownJob,
-    /// No set of workers can ever run the job.
+    /// The requirements of the job can never be met: it has no tasks, exceeds the quota of its
+    /// workspace, or does not fit on the known workers.
     Impossible(ImpossibleReason),
     /// The limit of live jobs is reached.
     TooManyJobs,
--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -45,7 +45,8 @@
     pub service: Name,
     /// The caller's key.
     pub key: Option<Name>,
-    /// The request that holds the key's grant.
+    /// The id under which the entry's request was granted the key by its owner; `None` if the request
+    /// needed no grant. Its outcome is reported to the owner under this id.
     pub granted_request: Option<RequestId>,
     /// The deadline on this agent's clock.
     pub deadline: Timestamp,
--- a/dragonflyrun/src/request/entry_table/dispatch.rs
+++ b/dragonflyrun/src/request/entry_table/dispatch.rs
@@ -90,6 +90,7 @@
             incarnation: target.incarnation,
             service: pending.service.clone(),
             key: pending.key.clone(),
+            // The owner granted the key under the id of the request, not under that of the dispatch.
             granted_request: pending.granted_by.as_ref().map(|_| self.id(target.request)),
             deadline_ms: target.deadline_ms,
             body: pending.body.clone(),
--- a/dragonflyrun/src/request/entry_table/keys.rs
+++ b/dragonflyrun/src/request/entry_table/keys.rs
@@ -22,7 +22,8 @@
 /// answers "unknown" for the key.
 const MAX_SETTLEMENTS: usize = 64;
 
-/// An outcome to send to an owner once there is a link to it again.
+/// The outcome of a request that was granted a key, to be sent to an owner of the key once there is
+/// a link to it again.
 #[derive(Debug)]
 pub(super) struct Settlement {
     owner: Name,
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -154,7 +154,9 @@
         self.epochs.last().map(|e| &e.ring)
     }
 
-    /// Handles a claim; `fresh` is true if this process knows the latest state of the log.
+    /// Decides whether the request that an entry claims a key for may run, and queues the verdict for
+    /// that entry. If the key is granted, this request alone may run until its outcome is known.
+    /// `fresh` is true if this process knows the latest state of the log.
     pub fn claim(&mut self, now: Timestamp, claim: KeyClaim, fresh: bool) {
         let id = KeyId::of(&claim);
         let mut superseded = false;
--- a/dragonflyrun/src/workload/demands.rs
+++ b/dragonflyrun/src/workload/demands.rs
@@ -27,8 +27,10 @@
 /// reserved for more urgent work. Its callers would otherwise see it wait next to free workers.
 const STARVED_AFTER_MS: u64 = 8_000;
 
-/// The last attempt of a task waits for proven workers, counted from the previous failure, for at
-/// most the job's time to its objective divided by this number.
+/// While workers are faulty, the last attempt of a task starts only on a proven worker, which is one
+/// on which a run has succeeded or has lasted a while since workers began to fail. The attempt waits
+/// for such a worker until the job's total time to its objective, divided by this number, has passed
+/// since the previous failure; after that it only prefers proven workers.
 const PROVEN_WORKER_WAIT_DIVISOR: u64 = 3;
 
 /// Builds the demands of one pass.
--- a/dragonflyrun/src/workload/tickets.rs
+++ b/dragonflyrun/src/workload/tickets.rs
@@ -17,7 +17,9 @@
 /// Maximum number of open questions. More would only queue at the advisor.
 const MAX_OPEN_QUESTIONS: usize = 4;
 
-/// Time allowed for an answer on top of the advisor's own time for the open questions.
+/// Margin added to the time limit of a question. The rest of the limit is the time that the advisor
+/// takes, by its configured times ([`Advice`]), for the maximum number of open questions of this
+/// size, since it answers them one after the other.
 const ANSWER_MARGIN: Duration = Duration::from_secs(2);
 
 /// Time before its expiry from which on a ticket isn't used any more, because the order takes a
