--- a/dragonflyrun/src/connection/http_server/message.rs
+++ b/dragonflyrun/src/connection/http_server/message.rs
@@ -11,13 +11,13 @@
 /// A complete request.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path without the query.
     pub path: String,
     /// The query without the question mark.
     pub query: Option<String>,
-    /// The headers.
+    /// All headers of the request.
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Vec<u8>,
@@ -47,7 +47,7 @@
 /// A complete response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// The status.
+    /// The HTTP status code.
     pub status: StatusCode,
     /// The headers. The server adds `Content-Length` and `Connection`.
     pub headers: HeaderMap,
--- a/dragonflyrun/src/connection/links.rs
+++ b/dragonflyrun/src/connection/links.rs
@@ -86,19 +86,19 @@
 pub enum LinkEvent {
     /// A link to a peer opened; the peer has proved that it knows the secret.
     Up {
-        /// The peer.
+        /// The identity of the peer.
         peer: Peer,
     },
     /// The link to a peer closed.
     Down {
-        /// The peer.
+        /// The identity of the peer.
         peer: Peer,
     },
     /// A peer sent a message.
     Received {
-        /// The peer's name.
+        /// The name of the peer that sent the message.
         from: Name,
-        /// The message.
+        /// The message, as decoded from its frame.
         message: Message,
     },
 }
@@ -106,7 +106,7 @@
 /// An open link.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct OpenLink {
-    /// The peer.
+    /// The name of the peer.
     pub peer: Name,
     /// A number that distinguishes the link from earlier links to the same peer.
     pub link: u64,
--- a/dragonflyrun/src/connection/message.rs
+++ b/dragonflyrun/src/connection/message.rs
@@ -193,7 +193,7 @@
     },
     /// The request did not run and will not run.
     NotRun {
-        /// The reason.
+        /// The reason why it does not run.
         reason: NotRun,
         /// Milliseconds after which the caller should try again.
         retry_after_ms: u64,
@@ -245,7 +245,7 @@
         id: RequestId,
         /// The service that the request is for.
         service: Name,
-        /// The caller's key.
+        /// The idempotency key of the caller.
         key: Name,
         /// The number of this attempt with the key, counted by the caller from 1.
         attempt: u32,
@@ -261,14 +261,14 @@
     Verdict {
         /// The request that claimed the key.
         id: RequestId,
-        /// The verdict.
+        /// The decision on the claim.
         verdict: KeyVerdict,
     },
     /// Entry or agent to owner: the outcome of a request that held the grant of a key.
     Settle {
         /// The service that the key belongs to.
         service: Name,
-        /// The caller's key.
+        /// The idempotency key of the caller.
         key: Name,
         /// The request that held the grant.
         id: RequestId,
@@ -286,7 +286,7 @@
     Known(Outcome),
     /// The request may not run now and did not run in this attempt.
     Refused {
-        /// The reason.
+        /// The reason why it does not run.
         reason: NotRun,
         /// Milliseconds after which the caller should try again.
         retry_after_ms: u64,
@@ -304,7 +304,7 @@
     Go {
         /// The planner's term, which may be later than that of the gang.
         term: u64,
-        /// The gang.
+        /// The job, attempt and term that identify the gang.
         gang: GangId,
         /// An offset of the log; the start is known to be recorded at or before it.
         offset: u64,
@@ -313,7 +313,7 @@
     Stop {
         /// The planner's term, which may be later than that of the gang.
         term: u64,
-        /// The gang.
+        /// The job, attempt and term that identify the gang.
         gang: GangId,
         /// Whether to save a checkpoint first.
         checkpoint: bool,
@@ -329,7 +329,7 @@
     },
     /// Entry to agent: a member of the gang is lost, so the others stop with a checkpoint.
     Broken {
-        /// The gang.
+        /// The job, attempt and term that identify the gang.
         gang: GangId,
     },
 }
@@ -360,7 +360,7 @@
     /// The sequence number of the member in the agent's process. A number is short, which matters
     /// because renewals name members often.
     pub number: u64,
-    /// The gang.
+    /// The job, attempt and term that identify the gang.
     pub gang: GangId,
     /// Number of members of the gang; 0 if the agent was ordered to stop a member that it never
     /// held.
--- a/dragonflyrun/src/connection/record.rs
+++ b/dragonflyrun/src/connection/record.rs
@@ -30,55 +30,55 @@
     Edit(Edit),
     /// An entry claims to be the planner.
     Term {
-        /// The entry.
+        /// The name of the entry.
         entry: Name,
         /// The claimed term; the claim is valid only if this term follows the current one.
         term: u64,
     },
     /// An entry has started.
     EntryJoined {
-        /// The entry.
+        /// The name of the entry.
         entry: Name,
         /// The address of its peer listener.
         address: Name,
     },
     /// An entry has stopped, or has been unreachable for a long time.
     EntryLeft {
-        /// The entry.
+        /// The name of the entry.
         entry: Name,
     },
     /// The agents that own keys from this record on.
     Ring {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
-        /// The agents.
+        /// The names of the agents, which own the keys.
         members: Vec<Name>,
     },
     /// A job was accepted. It will either finish or be refused with the true reason.
     JobAccepted {
-        /// The job.
+        /// The id of the job.
         job: JobId,
         /// The specification of the job.
         spec: JobSpec,
     },
     /// An attempt has been reserved on all of its workers and starts.
     JobStarted {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// The attempt.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
         /// The workers that its members run on.
         placements: Vec<Placement>,
     },
     /// An attempt has certainly ended on all of its workers, and the job waits again.
     JobStopped {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// The attempt.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
         /// Whether the next attempt resumes from a checkpoint.
         checkpointed: bool,
@@ -88,25 +88,25 @@
     /// The planner can't reach a member of an attempt. No entry renews the attempt's leases after
     /// this record, so the member is known to have stopped once they have lapsed.
     JobFenced {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// The attempt.
+        /// The number of the attempt, counted from 1.
         attempt: u32,
     },
     /// A job ended.
     JobEnded {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
-        /// The job.
+        /// The id of the job.
         job: JobId,
         /// How it ended.
         end: JobEnd,
     },
     /// The cancellation of a job was requested.
     JobCancelled {
-        /// The job.
+        /// The id of the job.
         job: JobId,
     },
     /// The planner repeats live state before the log drops the records that it was built from.
@@ -147,7 +147,7 @@
     Configuration(RepeatedConfiguration),
     /// A live job.
     Job {
-        /// The planner's term.
+        /// The term of the planner that wrote the record.
         term: u64,
         /// The job as built from the log.
         job: Box<LiveJob>,
@@ -159,7 +159,7 @@
 /// All state that applying an edit depends on; see [`History`](crate::version::History).
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RepeatedConfiguration {
-    /// The planner's term.
+    /// The term of the planner that wrote the record.
     pub term: u64,
     /// The offset up to which the planner had applied the log when it captured this state. The log
     /// may contain edits between that offset and this record.
@@ -177,7 +177,7 @@
 /// The version of one section in a repeated configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RepeatedSection {
-    /// The section.
+    /// The name of the section.
     pub section: Name,
     /// The offset after its last accepted edit.
     pub version: u64,
@@ -190,18 +190,18 @@
     pub term: u64,
     /// The offset of the last record that changed this state.
     pub updated: u64,
-    /// The planner.
+    /// The name of the entry that holds the current term.
     pub planner: Name,
     /// The entries with their addresses.
     pub entries: Vec<RepeatedEntry>,
-    /// The owners of keys.
+    /// The names of the agents that own keys.
     pub ring: Vec<Name>,
 }
 
 /// An entry in a repeated membership.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RepeatedEntry {
-    /// The entry.
+    /// The name of the entry.
     pub entry: Name,
     /// The address of its peer listener.
     pub address: Name,
@@ -221,7 +221,7 @@
 /// The number of tasks of a gang on one worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Placement {
-    /// The worker.
+    /// The name of the worker, which is also that of its agent.
     pub worker: Name,
     /// Number of tasks on the worker.
     pub tasks: u32,
--- a/dragonflyrun/src/connection/worker_client.rs
+++ b/dragonflyrun/src/connection/worker_client.rs
@@ -101,7 +101,7 @@
 /// The tasks to start under a lease.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct StartTasks {
-    /// The job.
+    /// The name of the job that the tasks belong to.
     pub job: Name,
     /// The number of the attempt.
     pub attempt: u32,
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -21,11 +21,11 @@
 /// All tables folded from the log, as of one offset.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// The configuration.
+    /// The configuration with the verdicts on its edits.
     pub history: History,
     /// The terms, entries and key owners.
     pub membership: Membership,
-    /// The jobs.
+    /// The live jobs and the ends of earlier ones.
     pub jobs: JobTable,
     next_offset: u64,
     gaps: u64,
@@ -41,7 +41,7 @@
 pub struct Folded {
     /// The offset of the record.
     pub offset: u64,
-    /// The record.
+    /// The record that was folded.
     pub record: Record,
     /// Whether its author was entitled to write it. A planner's record that comes after its
     /// successor's claim is still folded, so that those who wait for it see it, but it changes
--- a/dragonflyrun/src/process/log_reader.rs
+++ b/dragonflyrun/src/process/log_reader.rs
@@ -71,7 +71,8 @@
     pub(crate) fn on_missing(&self, peer: &Name, from_offset: u64) {
         let records = lock(&self.cx.ledger).kept_from(from_offset, MAX_RELAYED_RECORDS);
         if !records.is_empty() {
-            // If the link is full or gone, the peer requests them again after its next heartbeat.
+            // If the link is full or gone, the peer requests them again when it receives the next
+            // heartbeat of this process.
             let _ = self.cx.links.send(peer, Message::Records(records));
         }
     }
--- a/dragonflyrun/src/process/on_store/api.rs
+++ b/dragonflyrun/src/process/on_store/api.rs
@@ -29,11 +29,11 @@
 pub struct ApiCall<'a> {
     /// The HTTP method.
     pub method: &'a str,
-    /// The path.
+    /// The path of the request's URL, without the query.
     pub path: &'a str,
     /// The workspace key, if the call carries one.
     pub key: Option<&'a str>,
-    /// The body.
+    /// The complete body of the request.
     pub body: &'a [u8],
 }
 
--- a/dragonflyrun/src/process/on_store/follower.rs
+++ b/dragonflyrun/src/process/on_store/follower.rs
@@ -17,7 +17,7 @@
     pub is_current: bool,
     /// Whether these are the newest records of all keys and replace everything read before.
     pub replaces: bool,
-    /// The records.
+    /// The records that were read, in the order of their offsets.
     pub records: Vec<StoreRecord>,
     /// The offset up to which everything has been read.
     pub end: u64,
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -312,8 +312,8 @@
         }
     }
 
-    /// Records whether the report partition with the number `partition` can be read. A missing report counts as an agent's
-    /// silence only while all partitions can be read.
+    /// Records whether the report partition with the number `partition` can be read. A missing report
+    /// counts as an agent's silence only while all partitions can be read.
     fn set_report_partition_readable(&self, partition: u32, readable: bool) {
         let mut unread_partitions = self.unread_partitions.take();
         if readable {
--- a/dragonflyrun/src/process/on_store/view.rs
+++ b/dragonflyrun/src/process/on_store/view.rs
@@ -30,7 +30,7 @@
     pub jobs_age_ms: Option<u64>,
     /// The entry that plans.
     pub planner: Name,
-    /// Its term.
+    /// The term that it holds.
     pub term: u64,
     /// Whether it is the one that answers.
     pub plans_here: bool,
@@ -53,9 +53,9 @@
 /// The answer to `GET /v1/jobs/ID` and `GET /v1/why/ID`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StepJobView {
-    /// The job.
+    /// The name of the job.
     pub job: Name,
-    /// Its queue.
+    /// The name of the queue that the job was submitted to.
     pub queue: Name,
     /// The workspace of the key that it was submitted with.
     pub workspace: Option<Name>,
@@ -65,7 +65,7 @@
     pub state: Name,
     /// When it was accepted, in Unix milliseconds.
     pub accepted_ms: u64,
-    /// Its steps.
+    /// The progress of each of its steps.
     pub steps: Vec<StepView>,
     /// Why it waits, as the planner found in its last pass; `None` if nothing of the job waits for
     /// room, and at entries that do not plan.
@@ -96,7 +96,7 @@
     /// The input for its tasks.
     #[serde(default)]
     pub payload: String,
-    /// Its steps.
+    /// The steps of the job, each with its tasks.
     pub steps: Vec<StepFile>,
     /// The occurrences of a timed job.
     #[serde(default)]
--- a/dragonflyrun/src/process/status.rs
+++ b/dragonflyrun/src/process/status.rs
@@ -69,7 +69,7 @@
 /// A failure domain with the hardware that its agents report to the answering entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DomainStatus {
-    /// The failure domain.
+    /// The name of the failure domain.
     pub failure_domain: Name,
     /// Whether tasks and requests may start in it.
     pub in_service: bool,
@@ -82,7 +82,7 @@
 /// A service as the answering entry sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceStatus {
-    /// The service.
+    /// The name of the service.
     pub service: Name,
     /// Number of requests queued at this entry.
     pub queued: u32,
@@ -95,7 +95,7 @@
 /// A workspace as the answering entry sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkspaceStatus {
-    /// The workspace.
+    /// The name of the workspace.
     pub workspace: Name,
     /// Number of accelerators held by its running gangs.
     pub running_accelerators: u32,
@@ -115,7 +115,7 @@
 /// The state of a job; the answer to `GET /v1/jobs/{job}`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
     /// The state of the job.
     pub state: JobState,
@@ -167,12 +167,12 @@
 pub enum JobAnswer {
     /// The job, or its cancellation, is on the log. Sent with status 202.
     Accepted {
-        /// The job.
+        /// The id of the job.
         job: JobId,
     },
     /// It is not on the log and never will be. Sent with status 400, 403, 404, 422 or 503.
     NotRun {
-        /// The reason.
+        /// The reason for the refusal.
         reason: JobRefusal,
         /// Milliseconds after which the call may be repeated; `None` if a repeat can't succeed.
         #[serde(default)]
@@ -181,7 +181,7 @@
     /// The answer of the log was lost, so the job may or may not be accepted. Sent with status 502.
     /// The job can safely be submitted again with the same id, since an id is accepted only once.
     Unknown {
-        /// The job.
+        /// The id of the job.
         job: JobId,
     },
 }
--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -37,13 +37,13 @@
 /// A request that an entry orders the agent to run.
 #[derive(Clone, Debug)]
 pub struct RunOrder {
-    /// The request.
+    /// The id under which the entry expects the answer.
     pub id: RequestId,
     /// The incarnation of this agent to which the entry addressed the request.
     pub incarnation: u64,
-    /// The service.
+    /// The service that is to run the request.
     pub service: Name,
-    /// The caller's key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<Name>,
     /// The id under which the entry's request was granted the key by its owner; `None` if the request
     /// needed no grant. Its outcome is reported to the owner under this id.
@@ -59,14 +59,14 @@
 pub enum AgentAction {
     /// Send the request to the backend server at `address`.
     Start {
-        /// The request.
+        /// The order of the entry to run the request.
         order: RunOrder,
         /// The address at which the backend server accepts requests.
         address: SocketAddr,
     },
     /// Send a message to an entry. The table sends it again if it is lost.
     Send {
-        /// The entry.
+        /// The name of the entry.
         to: Name,
         /// The message.
         message: Message,
--- a/dragonflyrun/src/request/entry_table.rs
+++ b/dragonflyrun/src/request/entry_table.rs
@@ -68,23 +68,23 @@
 pub enum EntryAction {
     /// Pass a message to the link to a peer; if that fails, call [`EntryTable::send_failed`].
     Send {
-        /// The peer.
+        /// The name of the agent.
         to: Name,
         /// The message.
         message: Message,
     },
     /// Pass a message that the peer may already have to its link; a failure can be ignored.
     Resend {
-        /// The peer.
+        /// The name of the agent.
         to: Name,
         /// The message.
         message: Message,
     },
     /// Send the caller its final answer.
     Answer {
-        /// The request.
+        /// The number of the request in the table.
         number: u64,
-        /// The answer.
+        /// The outcome that the caller receives.
         outcome: Outcome,
     },
     /// Count a retry.
@@ -96,7 +96,7 @@
 /// Counts that an entry reports for one service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceStats {
-    /// The service.
+    /// The name of the service.
     pub service: Name,
     /// Number of requests that wait for a slot.
     pub queued: usize,
--- a/dragonflyrun/src/request/key_owner.rs
+++ b/dragonflyrun/src/request/key_owner.rs
@@ -48,9 +48,9 @@
     pub from: Name,
     /// The entry's request.
     pub id: RequestId,
-    /// The service.
+    /// The service that the request is for.
     pub service: Name,
-    /// The caller's key.
+    /// The idempotency key of the caller.
     pub key: Name,
     /// The caller's attempt number, from 1.
     pub attempt: u32,
@@ -67,11 +67,11 @@
 /// The outcome for a key that a request holds or has claimed.
 #[derive(Clone, Debug)]
 pub struct KeyOutcome {
-    /// The service.
+    /// The service that the request is for.
     pub service: Name,
-    /// The caller's key.
+    /// The idempotency key of the caller.
     pub key: Name,
-    /// The request.
+    /// The id of the request that holds or has claimed the key.
     pub id: RequestId,
     /// The outcome of the request.
     pub outcome: Outcome,
@@ -82,11 +82,11 @@
 /// A verdict for an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OwnerAction {
-    /// The entry.
+    /// The name of the entry that claimed the key.
     pub to: Name,
     /// The entry's request.
     pub id: RequestId,
-    /// The verdict.
+    /// The decision on the claim.
     pub verdict: KeyVerdict,
 }
 
--- a/dragonflyrun/src/workload/message.rs
+++ b/dragonflyrun/src/workload/message.rs
@@ -66,12 +66,12 @@
     /// across all processes and incarnations, so it also serves as the fencing token of the agent's
     /// calls to its worker.
     Session {
-        /// The worker.
+        /// The name of the worker.
         worker: Name,
     },
     /// An order for one session of a worker's agent.
     Order {
-        /// The worker.
+        /// The name of the worker.
         worker: Name,
         /// The session.
         session: u64,
