--- a/dragonflyrun/src/port/operator.rs
+++ b/dragonflyrun/src/port/operator.rs
@@ -9,11 +9,11 @@
 pub struct Configuration {
     /// Increases with each change, not always by one.
     pub version: u64,
-    /// The queues.
+    /// The queues that callers submit jobs to.
     pub queues: Vec<Queue>,
     /// The pools of workers.
     pub services: Vec<Service>,
-    /// The workspaces.
+    /// The workspaces that callers submit jobs for, with their keys.
     pub workspaces: Vec<Workspace>,
 }
 
@@ -81,7 +81,7 @@
         /// The failure domain.
         failure_domain: Name,
         /// Whether it is out of service.
-        out: bool,
+        out_of_service: bool,
     },
     /// A record that this program does not use.
     Other,
--- a/dragonflyrun/src/process/agent_requests.rs
+++ b/dragonflyrun/src/process/agent_requests.rs
@@ -113,7 +113,7 @@
                 incarnation,
                 service,
                 key,
-                claim,
+                granted_request,
                 deadline_ms,
                 body,
             } => {
@@ -122,7 +122,7 @@
                     incarnation,
                     service,
                     key,
-                    claim,
+                    granted_request,
                     deadline: Timestamp::from_millis(deadline_ms),
                     body,
                 };
@@ -242,6 +242,7 @@
         match action {
             AgentAction::Start { order, address } => self.start(order, address),
             AgentAction::Send { to, message } => {
+                // The table keeps the answer and sends it again until it is acknowledged or expires.
                 if let Err(error) = self.cx.links.send(&to, message) {
                     log::debug!(peer:% = to, error:% = error; "answer_not_sent");
                 }
--- a/dragonflyrun/src/request/agent_table.rs
+++ b/dragonflyrun/src/request/agent_table.rs
@@ -37,16 +37,17 @@
 /// A request that an entry orders the agent to run.
 #[derive(Clone, Debug)]
 pub struct RunOrder {
-    /// The request.
+    /// The id under which the entry expects the answer.
     pub id: RequestId,
     /// The incarnation of this agent to which the entry addressed the request.
     pub incarnation: u64,
-    /// The service.
+    /// The service that is to run the request.
     pub service: Name,
-    /// The caller's key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<Name>,
-    /// The request that holds the key's grant.
-    pub claim: Option<RequestId>,
+    /// The id under which the entry's request was granted the key by its owner; `None` if the request
+    /// needed no grant. Its outcome is reported to the owner under this id.
+    pub granted_request: Option<RequestId>,
     /// The deadline on this agent's clock.
     pub deadline: Timestamp,
     /// The complete body.
@@ -58,14 +59,14 @@
 pub enum AgentAction {
     /// Send the request to the backend server at `address`.
     Start {
-        /// The request.
+        /// The order of the entry to run the request.
         order: RunOrder,
         /// The address at which the backend server accepts requests.
         address: SocketAddr,
     },
     /// Send a message to an entry. The table sends it again if it is lost.
     Send {
-        /// The entry.
+        /// The name of the entry.
         to: Name,
         /// The message.
         message: Message,
@@ -100,7 +101,7 @@
     backend: Name,
     service: Name,
     key: Option<Name>,
-    claim: Option<RequestId>,
+    granted_request: Option<RequestId>,
     deadline: Timestamp,
 }
 
@@ -192,7 +193,7 @@
                     backend: name,
                     service: order.service.clone(),
                     key: order.key.clone(),
-                    claim: order.claim.clone(),
+                    granted_request: order.granted_request.clone(),
                     deadline,
                 };
                 self.runs.insert(order.id.clone(), run);
@@ -348,14 +349,15 @@
     /// that can't. Only a request that ran is reported: for any other outcome the entry may know
     /// better.
     fn settle(&self, outcome: &Outcome) -> Option<KeyMessage> {
-        let (Some(key), Some(claim), Outcome::Done { .. }) = (&self.key, &self.claim, outcome)
+        let (Some(key), Some(granted_request), Outcome::Done { .. }) =
+            (&self.key, &self.granted_request, outcome)
         else {
             return None;
         };
         Some(KeyMessage::Settle {
             service: self.service.clone(),
             key: key.clone(),
-            id: claim.clone(),
+            id: granted_request.clone(),
             outcome: outcome.clone(),
         })
     }
