--- a/dragonflyrun/src/version/check.rs
+++ b/dragonflyrun/src/version/check.rs
@@ -83,7 +83,7 @@
         findings.add(place.key("format"), what);
     }
     if section.format == Some(0) {
-        findings.add(place.key("format"), "The lowest format is 1.");
+        findings.add(place.key("format"), "It begins at 1.");
     }
     if section.items() > MAX_SECTION_ITEMS {
         let what = format!("It has more than {MAX_SECTION_ITEMS} items.");
--- a/dragonflyrun/src/version/explain/warnings.rs
+++ b/dragonflyrun/src/version/explain/warnings.rs
@@ -22,8 +22,7 @@
     let mut findings = Findings::default();
     let root = Place::Root("/sections");
     if document.format() > FORMAT {
-        let what =
-            "The format is newer than this program supports; the explanation may be incomplete.";
+        let what = "The format is newer than this program; the explanation may be incomplete.";
         findings.add(Place::Root("/sections/administration/format"), what);
     }
     let domains = count_domains(document);
--- a/dragonflyrun/src/version/finding.rs
+++ b/dragonflyrun/src/version/finding.rs
@@ -86,7 +86,7 @@
         } else if self.list.len() == MAX_FINDINGS {
             self.list.push(Finding {
                 place: String::new(),
-                what: "There are more findings; fix these first.".to_owned(),
+                what: "There is more; mend these first.".to_owned(),
             });
         }
     }
