--- a/dragonflyrun/src/tool/commands/document.rs
+++ b/dragonflyrun/src/tool/commands/document.rs
@@ -156,7 +156,8 @@
     require_complete(settings, &reader.ledger().history)
 }
 
-/// Returns `history` if it is complete.
+/// Returns `history` if it is complete, and if any presumption that there was no configuration is
+/// confirmed by the entries.
 ///
 /// The tool starts with the records that the log still keeps. If these contain no configuration,
 /// the entries may still know one, and would reject an edit that is not based on it.
--- a/dragonflyrun/src/tool/commands/edit.rs
+++ b/dragonflyrun/src/tool/commands/edit.rs
@@ -190,7 +190,7 @@
         base: base.unwrap_or(current),
         content: content.map(RawSection::from),
     };
-    // An edit that would be rejected now is not appended to the log.
+    // An edit that would be rejected now does not deserve a record on the log.
     match publisher.predict_verdict(&edit) {
         Some(Verdict::Accepted) | None => {}
         Some(verdict) => {
--- a/dragonflyrun/src/tool/commands/job.rs
+++ b/dragonflyrun/src/tool/commands/job.rs
@@ -27,8 +27,8 @@
 
 /// Submits a job.
 ///
-/// The tool chooses the id of the job, and an id is accepted only once. So if the answer of an
-/// entry is lost, the job can be submitted to the next one.
+/// The id of the job is chosen before it is sent, and an id is accepted only once. So if the answer
+/// of an entry is lost, the job can be submitted to the next one.
 pub(super) fn submit(
     settings: &ToolSettings,
     options: &SubmitOptions,
--- a/dragonflyrun/src/tool/commands/status.rs
+++ b/dragonflyrun/src/tool/commands/status.rs
@@ -141,12 +141,12 @@
     let guaranteed = entry.workspaces.iter().map(|w| w.guaranteed_accelerators);
     let guaranteed: u32 = guaranteed.sum();
     let domains = entry.failure_domains.iter().filter(|d| d.in_service);
-    let available: u32 = domains.map(|d| d.accelerators).sum();
+    let in_service_total: u32 = domains.map(|d| d.accelerators).sum();
     write!(
         f,
-        "\nguaranteed {guaranteed} of the {available} accelerators in service"
+        "\nguaranteed {guaranteed} of the {in_service_total} accelerators in service"
     )?;
-    if guaranteed > available {
+    if guaranteed > in_service_total {
         write!(f, ": NOT ALL GUARANTEES CAN BE HONOURED")?;
     }
     Ok(())
--- a/dragonflyrun/src/tool/commands/steps.rs
+++ b/dragonflyrun/src/tool/commands/steps.rs
@@ -27,8 +27,8 @@
     value.is_ok_and(|v| v.get("steps").is_some())
 }
 
-/// Submits a job of steps. The tool chooses the name of the job, and a name is accepted only once.
-/// So if the answer of an entry is lost, the job is submitted to the next one.
+/// Submits a job of steps. The name of the job is chosen before it is sent, and a name is accepted
+/// only once. So if the answer of an entry is lost, the job is submitted to the next one.
 pub(super) fn submit(
     settings: &ToolSettings,
     options: &SubmitOptions,
--- a/dragonflyrun/src/tool/in_force.rs
+++ b/dragonflyrun/src/tool/in_force.rs
@@ -16,7 +16,7 @@
     utils::Name,
 };
 
-/// The time after which an edit should be in force in every process.
+/// The time within which an edit is in force in every process.
 pub(super) const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The pause before the entries are queried again.
@@ -112,8 +112,8 @@
         self.processes.iter().any(|p| p.version >= self.version)
     }
 
-    /// Returns whether all running entries answered, at least one of them, and the version is in
-    /// force in every live process that they reported.
+    /// Returns whether at least one entry answered, no entry that may be running left the query
+    /// unanswered, and the version is in force in every live process that they reported.
     pub fn is_everywhere(&self) -> bool {
         !self.processes.is_empty() && self.unanswered.is_empty() && self.behind().next().is_none()
     }
--- a/dragonflyrun/src/tool/options.rs
+++ b/dragonflyrun/src/tool/options.rs
@@ -40,7 +40,7 @@
     Remove(RemoveOptions),
     /// print the document in force, or one section of it
     Show(ShowOptions),
-    /// explain what the system does under a document
+    /// explain what the system does under a document, from the document alone
     Explain(ExplainOptions),
     /// take a failure domain out of service
     Drain(DomainOptions),
@@ -58,7 +58,7 @@
     Cancel(JobOptions),
     /// show the progress of a job of steps and what it waits for
     Why(JobOptions),
-    /// show the planner, and the state and its age at each entry that uses the store
+    /// show the planner, and what each entry on the store knows and how fresh that is
     Deployment(PlainOptions),
     /// send a request to a service
     Request(RequestOptions),
@@ -93,7 +93,7 @@
     /// print JSON
     #[options(no_short)]
     pub json: bool,
-    /// check the file as the section of this name
+    /// name of the section, if the file holds only this section
     #[options(no_short, meta = "NAME", parse(from_str = "Name::from"))]
     pub section: Option<Name>,
     /// file to check, or - for the standard input
@@ -149,7 +149,7 @@
     pub section: Option<Name>,
 }
 
-/// Explain what the system does under a document.
+/// Explain what the system does under a document, from the document alone.
 #[derive(Debug, Options)]
 pub struct ExplainOptions {
     /// print this help
@@ -231,7 +231,7 @@
     /// number of the attempt with this key, starting at 1
     #[options(no_short, meta = "N", default = "1")]
     pub attempt: u32,
-    /// deadline of the answer in milliseconds
+    /// time in milliseconds within which an answer is of use
     #[options(no_short, meta = "MS")]
     pub deadline_ms: Option<u64>,
     /// urgent, normal or patient, to lower the urgency of the service
--- a/dragonflyrun/src/tool/settings.rs
+++ b/dragonflyrun/src/tool/settings.rs
@@ -34,7 +34,7 @@
     pub editor: Option<Name>,
     /// The editor's key in hexadecimal, as `issue-key` printed it.
     pub key: Option<String>,
-    /// The deployment's secret, instead of a key; only for administrators of the processes.
+    /// The deployment's secret, instead of a key; only for those who operate the processes.
     pub secret: Option<Name>,
     /// The timeout of a call to the log or an entry, in milliseconds. Default: 2,000.
     pub timeout_ms: Option<u64>,
--- a/dragonflyrun/src/version/check.rs
+++ b/dragonflyrun/src/version/check.rs
@@ -5,7 +5,7 @@
 //! verdicts, describes how to introduce a new format.
 //!
 //! A document does not tell whether the hardware suffices for the guarantees;
-//! `dragonflyrun status` shows the available accelerators.
+//! `dragonflyrun status` compares them with the accelerators in service.
 
 use crate::{
     utils::{HashSet, Name},
@@ -197,7 +197,7 @@
         let window = place.key("key_window_ms");
         check_range(self.key_window_ms, 1_000, DAY_MS, window, findings);
         if !self.repeatable && self.key_window_ms < self.deadline_ms {
-            // The key of a caller that waits for the deadline and then retries would be gone.
+            // A caller that waits until the deadline and then retries would find its key forgotten.
             findings.add(window, "A key is forgotten before the request's deadline.");
         }
     }
--- a/dragonflyrun/src/version/document.rs
+++ b/dragonflyrun/src/version/document.rs
@@ -21,7 +21,7 @@
 /// The whole configuration: sections by name, each owned by a team.
 ///
 /// A new version shares the sections that an edit did not change with the version before it: with
-/// 160 sections, copying all of them took most of the time of applying an edit.
+/// 160 sections, copying all of them took most of the time of folding an edit.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -177,7 +177,8 @@
     /// The deadline of a request in milliseconds, unless the request states a shorter one.
     #[serde(default = "Service::default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether a request may run twice. If not, callers have to send an idempotency key.
+    /// Whether running a request twice does no harm. Otherwise callers have to send an
+    /// idempotency key.
     #[serde(default)]
     pub repeatable: bool,
     /// The maximum number of requests that wait at one entry.
@@ -191,9 +192,9 @@
 impl Service {
     /// Returns the longest deadline of a request, in milliseconds.
     ///
-    /// A caller that got no answer within the deadline retries with the same idempotency key. The
-    /// key still has to be remembered then, so the deadline is at most half of the time for which
-    /// keys are remembered.
+    /// If requests are not repeatable, a caller that got no answer within the deadline retries with
+    /// the same idempotency key. The key still has to be remembered then, so the deadline is at
+    /// most half of the time for which keys are remembered.
     pub fn max_deadline_ms(&self) -> u64 {
         if self.repeatable {
             return self.deadline_ms;
--- a/dragonflyrun/src/version/finding.rs
+++ b/dragonflyrun/src/version/finding.rs
@@ -4,7 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The maximum number of findings in a report. A longer list is of no use to an operator, and a
+/// The maximum number of findings in a report, not counting the last one, which says that there are
+/// more. A longer list is of no use to an operator, and a
 /// malicious section could consist of nothing but mistakes.
 const MAX_FINDINGS: usize = 100;
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// A list of findings, limited to [`MAX_FINDINGS`].
+/// A list of findings. After [`MAX_FINDINGS`] of them, one more says that the list is not complete.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
     list: Vec<Finding>,
--- a/dragonflyrun/src/version/parse.rs
+++ b/dragonflyrun/src/version/parse.rs
@@ -20,8 +20,8 @@
     },
 };
 
-/// The maximum size of a document or a section in JSON, in bytes: the size of a log record. The
-/// parser limits the depth to 128 nested values.
+/// The maximum size of a document or a section in JSON, in bytes, which is also the maximum size
+/// of a log record. The parser limits the depth to 128 nested values.
 pub const MAX_DOCUMENT_BYTES: usize = MAX_RECORD_BYTES;
 
 /// The content of a section in an edit, before its keys and types are checked.
@@ -57,8 +57,8 @@
 ///
 /// # Errors
 ///
-/// The syntax error, or all mismatches with the schema. The values themselves are checked by
-/// [`check`](super::check).
+/// The excess length, the syntax error, or all duplicate keys and mismatches with the schema. The
+/// values themselves are checked by [`check`](super::check).
 pub fn parse_document(bytes: &[u8]) -> Result<Document, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, "")?;
     schema::check_document(&value, Place::Root(""), &mut findings);
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// The syntax error, or all mismatches with the schema.
+/// The excess length, the syntax error, or all duplicate keys and mismatches with the schema.
 pub fn parse_section(bytes: &[u8], pointer: &str) -> Result<Section, Vec<Finding>> {
     let (value, mut findings) = parse(bytes, pointer)?;
     schema::check_section(&value, Place::Root(pointer), &mut findings);
--- a/dragonflyrun/src/version/tables.rs
+++ b/dragonflyrun/src/version/tables.rs
@@ -17,8 +17,8 @@
     pub document: Document,
     /// The limits in force.
     pub limits: Limits,
-    /// Built on first use: a process that starts may apply the edits of a whole day at once, and
-    /// uses only the last version.
+    /// Built on first use: a process that starts may fold the edits of a whole day at once, and
+    /// makes decisions only under the last version.
     tables: OnceLock<Tables>,
 }
 
