--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -165,7 +165,7 @@
 }
 
 impl Backend {
-    /// Starts a backend server, which sends announcements until the process ends.
+    /// Starts a backend server, which announces itself from now on if its settings name an agent.
     ///
     /// # Errors
     ///
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -221,9 +221,9 @@
                 reason: refused.reason,
                 retry_after_ms: refused.retry_after_ms,
             },
-            Err(error) => panic!("cannot read the body of a refusal: {error}"),
+            Err(error) => panic!("a refusal that does not say why: {error}"),
         },
         Some("unknown") => RequestOutcome::Unknown,
-        other => panic!("unexpected outcome {other:?} with status {}", answer.status),
+        other => panic!("outcome {other:?} with status {}", answer.status),
     }
 }
--- a/standins/src/editor.rs
+++ b/standins/src/editor.rs
@@ -111,15 +111,15 @@
                 .position(|d| *d.name == *domain)?;
             Some((name, section, index))
         });
-        let (name, section, index) =
-            found.ok_or_else(|| io::Error::other("unknown failure domain"))?;
+        let (name, section, index) = found.ok_or_else(|| io::Error::other("unknown domain"))?;
         let mut section = Section::clone(section);
         section.failure_domains[index].in_service = in_service;
         self.edit(name, section)
     }
 }
 
-/// Returns a name that is unique among the running processes of this machine.
+/// Returns a name that no other call in this process or another running process of this machine
+/// returns.
 pub fn unique(prefix: &str) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -36,7 +36,7 @@
     + 'static,
 ) -> io::Result<SocketAddr> {
     let on_request = move |req: &mut Request<Body>| on_request(req).unwrap_or_else(Refusal::answer);
-    let mut last_error = io::Error::other("no free port found");
+    let mut last_error = io::Error::other("no free port");
     for _ in 0..BIND_ATTEMPTS {
         let bound = free_address(address)?;
         match Server::new(on_request.clone()).bind(bound).spawn() {
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -102,10 +102,10 @@
     /// Service of the server.
     #[options(required)]
     service: String,
-    /// Maximum number of concurrent requests.
+    /// Maximum number of concurrent requests to announce.
     #[options(default = "8")]
     slots: u32,
-    /// Maximum number of concurrent connections.
+    /// Maximum number of concurrent connections to announce.
     #[options(default = "64")]
     connections: u32,
     /// Key of the server, as printed by `dragonflyrun issue-key --backend NAME`.
@@ -172,7 +172,7 @@
             Ok(())
         }
         Command::Relay(arguments) => {
-            let target = arguments.target.ok_or("--target is required")?;
+            let target = arguments.target.ok_or("the target is required")?;
             let relay = Relay::start(arguments.listen.parse()?, target)?;
             relay.control(RelayControl {
                 delay_ms: Some(arguments.delay),
--- a/standins/src/quickstart/outcome.rs
+++ b/standins/src/quickstart/outcome.rs
@@ -61,9 +61,10 @@
 pub struct DrainOutcome {
     /// The failure domain.
     pub failure_domain: Name,
-    /// When the drain was accepted, in milliseconds of unix time.
+    /// When the drain was accepted, in milliseconds of unix time on the workers' clock.
     pub drained_unix_ms: u64,
-    /// When its return to service was requested, in milliseconds of unix time.
+    /// When its return to service was requested, in milliseconds of unix time on the workers'
+    /// clock.
     pub returned_unix_ms: u64,
 }
 
@@ -80,7 +81,7 @@
     pub intervals: Vec<Interval>,
     /// The records of the backend servers.
     pub backends: Vec<BackendRecord>,
-    /// When the workload had ended, in milliseconds of unix time.
+    /// When the workload had ended, in milliseconds of unix time on the workers' clock.
     pub ended_unix_ms: u64,
 }
 
--- a/standins/src/steps/deployment.rs
+++ b/standins/src/steps/deployment.rs
@@ -153,7 +153,9 @@
 
 async fn sleep_poll_interval(end: Instant) -> io::Result<()> {
     if Instant::now() > end {
-        return Err(io::Error::other("the jobs did not end in time"));
+        return Err(io::Error::other(
+            "the deployment did not come to its end in time",
+        ));
     }
     sleep(POLL_INTERVAL).await;
     Ok(())
