--- a/standins/tests/double_faults.rs
+++ b/standins/tests/double_faults.rs
@@ -18,7 +18,7 @@
     log::LogMode,
 };
 
-/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
+/// Maximum partial run time in milliseconds: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
 /// Maximum time in milliseconds from a drain to the last start in the failure domain.
 const MAX_LATE_START_MS: u64 = 6_000;
@@ -78,8 +78,8 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// Many jobs are cancelled while the log loses the answers to appends. Each job must end, cancelled
-/// or finished, and no task may be left on a worker.
+/// Many jobs are cancelled while the log loses the answers to appends. Each job must end, either
+/// cancelled or because it had finished before, and no task may be left on a worker.
 #[test]
 fn lost_answers() {
     let deployment = Deployment::builder().start();
--- a/standins/tests/gang_freeze.rs
+++ b/standins/tests/gang_freeze.rs
@@ -6,7 +6,7 @@
 use standins::caller::Caller;
 use standins::harness::{Deployment, Signal, job, wait_until};
 
-/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
+/// Maximum partial run time in milliseconds: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
 
 /// Suspension time, longer than any lease.
--- a/standins/tests/gang_kills.rs
+++ b/standins/tests/gang_kills.rs
@@ -9,7 +9,7 @@
     log::LogMode,
 };
 
-/// Maximum partial run time: the gang lease of 3 s plus 1 s for a busy machine.
+/// Maximum partial run time in milliseconds: the gang lease of 3 s plus 1 s for a busy machine.
 const MAX_PARTIAL_MS: u64 = 4_000;
 
 const GANG: &str = "reconstruction";
--- a/standins/tests/key_kills.rs
+++ b/standins/tests/key_kills.rs
@@ -109,8 +109,8 @@
     check(&deployment, &load.stop());
 }
 
-/// An agent is killed and restarted during a log outage. No key may run twice, also not when the
-/// key owners change after the outage.
+/// An agent is killed and restarted during a log outage, while callers keep sending requests. No
+/// key may run twice, also not when the key owners change after the outage.
 #[test]
 fn killed_in_outage() {
     let mut deployment = Deployment::builder().slots(8).start();
