--- a/dragonflyrun/src/connection/handshake.rs
+++ b/dragonflyrun/src/connection/handshake.rs
@@ -98,7 +98,7 @@
 }
 
 /// Confirms to the dialer that its proof was accepted.
-pub(crate) async fn confirm(socket: &mut Stream) -> Result<(), Error> {
+pub(crate) async fn confirm_proof(socket: &mut Stream) -> Result<(), Error> {
     send(socket, &Confirmation {}).await
 }
 
--- a/dragonflyrun/src/connection/links.rs
+++ b/dragonflyrun/src/connection/links.rs
@@ -276,7 +276,7 @@
     let role = tungstenite::protocol::Role::Server;
     let message_config = socket_config(MAX_MESSAGE_BYTES);
     let mut socket = WebSocketStream::from_raw_socket(stream, role, Some(message_config)).await;
-    handshake::confirm(&mut socket).await?;
+    handshake::confirm_proof(&mut socket).await?;
     Ok((socket, peer))
 }
 
--- a/dragonflyrun/src/process/appender.rs
+++ b/dragonflyrun/src/process/appender.rs
@@ -52,7 +52,8 @@
     tx: Sender<QueuedRecord>,
     rx: Receiver<QueuedRecord>,
     waiters: Mutex<HashMap<Name, Sender<Result<Folded, AppendError>>>>,
-    not_folded: Mutex<HashSet<Name>>,
+    /// The ids of records that were sent to the log and have not been read back and folded yet.
+    unfolded_ids: Mutex<HashSet<Name>>,
     stopping: AtomicBool,
 }
 
@@ -70,7 +71,7 @@
             tx,
             rx,
             waiters: Mutex::default(),
-            not_folded: Mutex::default(),
+            unfolded_ids: Mutex::default(),
             stopping: AtomicBool::new(false),
         }
     }
@@ -104,7 +105,7 @@
     /// Marks a record as folded and wakes the caller that waits for it.
     pub fn on_folded(&self, folded: &Folded) {
         let id = &folded.record.id;
-        lock(&self.not_folded).remove(id);
+        lock(&self.unfolded_ids).remove(id);
         if let Some(tx) = lock(&self.waiters).remove(id) {
             // The caller may have timed out in the meantime.
             let _ = tx.try_send(Ok(folded.clone()));
@@ -151,7 +152,7 @@
         let mut uncertain = false;
         while !batch.is_empty() {
             let data: Vec<String> = batch.iter().map(|p| p.data.clone()).collect();
-            lock(&self.not_folded).extend(batch.iter().map(|p| p.id.clone()));
+            lock(&self.unfolded_ids).extend(batch.iter().map(|p| p.id.clone()));
             match log.append(&data) {
                 Ok(_) => break,
                 // An earlier attempt that got no answer may still have taken effect.
@@ -181,8 +182,8 @@
     }
 
     fn drop_folded(&self, batch: &mut Vec<QueuedRecord>) {
-        let not_folded = lock(&self.not_folded);
-        batch.retain(|p| not_folded.contains(&p.id));
+        let unfolded_ids = lock(&self.unfolded_ids);
+        batch.retain(|p| unfolded_ids.contains(&p.id));
     }
 
     fn fail_batch(
@@ -192,7 +193,7 @@
         on_failed: &impl Fn(&Name, &AppendError),
     ) {
         for QueuedRecord { id, .. } in batch {
-            lock(&self.not_folded).remove(id);
+            lock(&self.unfolded_ids).remove(id);
             if let Some(tx) = lock(&self.waiters).remove(id) {
                 let _ = tx.try_send(Err(error.clone()));
             }
--- a/dragonflyrun/src/process/gang_table.rs
+++ b/dragonflyrun/src/process/gang_table.rs
@@ -101,7 +101,8 @@
     /// Entries that the planner has removed, with the time until which they may still renew gangs.
     /// An entry that is cut off from everything but the agents does not know that it was removed.
     removed: HashMap<Name, Timestamp>,
-    gaps: u64,
+    /// The value of [`Ledger::log_gaps`] when the table was last reset.
+    seen_log_gaps: u64,
 }
 
 impl GangTable {
@@ -115,7 +116,7 @@
             silence_grace_until: now + MAX_PEER_SILENCE,
             fresh_at: None,
             removed: HashMap::default(),
-            gaps: 0,
+            seen_log_gaps: 0,
         }
     }
 
@@ -164,7 +165,7 @@
 
     /// Applies the record that was last folded into `ledger`.
     pub fn on_folded(&mut self, now: Timestamp, folded: &Folded, ledger: &Ledger) {
-        if ledger.gaps() != self.gaps {
+        if ledger.log_gaps() != self.seen_log_gaps {
             self.reset_after_gap(now, ledger);
         }
         if !folded.in_effect {
@@ -270,7 +271,7 @@
         *self = Self::new(now, me.clone(), ledger.history.current().clone());
         self.removed
             .insert(me, now + MAX_HEAD_AGE + RENEWAL_WITHOUT_LOG);
-        self.gaps = ledger.gaps();
+        self.seen_log_gaps = ledger.log_gaps();
     }
 
     fn apply_report(
--- a/dragonflyrun/src/process/ledger.rs
+++ b/dragonflyrun/src/process/ledger.rs
@@ -28,7 +28,8 @@
     /// The live jobs and the ends of earlier ones.
     pub jobs: JobTable,
     next_offset: u64,
-    gaps: u64,
+    /// How many times records had to be skipped because the log no longer held them.
+    log_gaps: u64,
     /// Whether a planner's record has been read since the last gap.
     saw_planner: bool,
     ids: HashSet<Name>,
@@ -112,7 +113,7 @@
         if first > self.next_offset {
             log::warn!(from = self.next_offset, to = first; "log_gap");
             self.next_offset = first;
-            self.gaps += 1;
+            self.log_gaps += 1;
             self.saw_planner = false;
             self.kept.clear();
             self.history.mark_incomplete(first);
@@ -141,9 +142,10 @@
         self.membership.is_complete() && self.history.is_complete()
     }
 
-    /// Returns the number of gaps after which the tables were reset.
-    pub fn gaps(&self) -> u64 {
-        self.gaps
+    /// Returns how many times records had to be skipped because the log no longer held them. The
+    /// tables are reset each time.
+    pub fn log_gaps(&self) -> u64 {
+        self.log_gaps
     }
 
     /// Returns up to `limit` kept records starting at offset `from`; none if the record at `from`
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -74,7 +74,8 @@
     run: RunId,
     job: usize,
     worker: usize,
-    done_before_ms: u64,
+    /// Work that earlier runs of the task saved and that this run starts from.
+    restored_work_ms: u64,
     started_ms: u64,
     /// The milliseconds of work done in this run.
     worked_ms: f64,
@@ -229,7 +230,7 @@
                     run,
                     job,
                     worker,
-                    done_before_ms: done_ms,
+                    restored_work_ms: done_ms,
                     started_ms: self.now_ms,
                     worked_ms: 0.0,
                     stop_at_ms: None,
@@ -263,7 +264,7 @@
             let speed = self.speed(&self.running[i]);
             self.running[i].worked_ms += TICK_MS as f64 * speed;
             let run = &self.running[i];
-            let total = run.done_before_ms as f64 + run.worked_ms;
+            let total = run.restored_work_ms as f64 + run.worked_ms;
             let fails = self.state[run.worker] == Change::Failing;
             let stopped = run.stop_at_ms.is_some_and(|at| at <= self.now_ms);
             if fails && self.now_ms > run.started_ms {
@@ -346,7 +347,7 @@
         let (accelerators, checkpoints) =
             (pattern_step.accelerators as f64, pattern_step.checkpoints);
         let run = self.running.remove(at);
-        let total = run.done_before_ms + run.worked_ms as u64;
+        let total = run.restored_work_ms + run.worked_ms as u64;
         let saved_ms = if checkpoints {
             total - total % CHECKPOINT_MS
         } else {
@@ -355,12 +356,12 @@
         let kept_ms = if done {
             total
         } else {
-            saved_ms.max(run.done_before_ms)
+            saved_ms.max(run.restored_work_ms)
         };
-        let kept_in_run_ms = (kept_ms - run.done_before_ms) as f64;
+        let kept_in_run_ms = (kept_ms - run.restored_work_ms) as f64;
         self.outcome.useful += kept_in_run_ms * accelerators / 1_000.0;
         self.outcome.wasted += (run.worked_ms - kept_in_run_ms).max(0.0) * accelerators / 1_000.0;
-        Some((run.worker, saved_ms.max(run.done_before_ms)))
+        Some((run.worker, saved_ms.max(run.restored_work_ms)))
     }
 
     fn summarize(mut self) -> Outcome {
--- a/standins/tests/gang_freeze.rs
+++ b/standins/tests/gang_freeze.rs
@@ -15,7 +15,8 @@
 const GANG: &str = "reconstruction";
 const MEMBERS: usize = 3;
 
-fn running_gang(deployment: &Deployment) -> u32 {
+/// Submits the gang, waits until all its members run, and returns the number of their attempt.
+fn start_gang(deployment: &Deployment) -> u32 {
     deployment.submit(GANG, &job(3, 8, "forever"));
     deployment.wait_for_gang(GANG, MEMBERS, 0)
 }
@@ -26,7 +27,7 @@
 #[test]
 fn agent_frozen() {
     let deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     deployment.agents[0].child.signal(Signal::Stop);
     sleep(FREEZE);
     assert_eq!(deployment.running_members(GANG, first), 0);
@@ -40,7 +41,7 @@
 #[test]
 fn worker_frozen() {
     let deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     deployment.workers[1].child.signal(Signal::Stop);
     sleep(FREEZE);
     deployment.workers[1].child.signal(Signal::Continue);
--- a/standins/tests/gang_kills.rs
+++ b/standins/tests/gang_kills.rs
@@ -15,7 +15,8 @@
 const GANG: &str = "reconstruction";
 const MEMBERS: usize = 3;
 
-fn running_gang(deployment: &Deployment) -> u32 {
+/// Submits the gang, waits until all its members run, and returns the number of their attempt.
+fn start_gang(deployment: &Deployment) -> u32 {
     deployment.submit(GANG, &job(3, 8, "forever"));
     deployment.wait_for_gang(GANG, MEMBERS, 0)
 }
@@ -26,7 +27,7 @@
 #[test]
 fn agent_killed() {
     let mut deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     deployment.agents[0].child.kill();
     wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
@@ -41,7 +42,7 @@
 #[test]
 fn worker_killed() {
     let mut deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     deployment.kill_worker(1);
     wait_until("all members to stop", || {
         deployment.running_members(GANG, first) == 0
@@ -54,7 +55,7 @@
 #[test]
 fn planner_killed() {
     let mut deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     let planner = deployment.planner();
     deployment.entries[planner].child.kill();
     wait_until("another planner", || deployment.planner() != planner);
@@ -72,7 +73,7 @@
 #[test]
 fn outage_while_running() {
     let deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     deployment.set_log(LogMode::Refuse);
     std::thread::sleep(std::time::Duration::from_secs(9));
     assert_eq!(deployment.running_members(GANG, first), MEMBERS);
@@ -105,7 +106,7 @@
 #[test]
 fn agents_stopped() {
     let mut deployment = Deployment::builder().start();
-    let first = running_gang(&deployment);
+    let first = start_gang(&deployment);
     for agent in &deployment.agents {
         agent.child.signal(Signal::Terminate);
     }
--- a/standins/tests/record_checks.rs
+++ b/standins/tests/record_checks.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn late_start_found() {
+fn start_in_drained_domain_found() {
     let intervals = [interval(1, 0, 100, None), interval(1, 1, 300, None)];
     assert_eq!(starts_in_domain_after(&intervals, "murau", 200).len(), 1);
     assert!(starts_in_domain_after(&intervals, "leoben", 200).is_empty());
