--- a/dragonflyrun/src/job/decision.rs
+++ b/dragonflyrun/src/job/decision.rs
@@ -13,7 +13,7 @@
     /// Reserve and start a waiting job. The scheduler counts the accelerators as held from here on,
     /// until the planner reports that the job waits again or has ended.
     Start {
-        /// The job.
+        /// The waiting job to start.
         job: JobId,
         /// Where its members run, with one element for each worker.
         placements: Vec<Placement>,
@@ -29,7 +29,7 @@
     /// End a waiting job that no set of known workers can hold, in service or not, or that exceeds
     /// its quota.
     Impossible {
-        /// The job.
+        /// The waiting job to end.
         job: JobId,
         /// Why the job can never run.
         why: ImpossibleReason,
@@ -39,7 +39,7 @@
 /// A report of the run time of a job, which may arrive after the end of the job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// The job.
+    /// The job whose run time is reported.
     pub job: JobId,
     /// Run time in milliseconds over all its attempts, without time that was lost.
     pub ran_ms: u64,
--- a/dragonflyrun/src/job/gang.rs
+++ b/dragonflyrun/src/job/gang.rs
@@ -17,9 +17,9 @@
 pub enum GangAction {
     /// Send an order to an agent.
     Send {
-        /// The receiving agent.
+        /// The name of the agent that receives the order.
         to: Name,
-        /// The order.
+        /// The message about the gang's members at that agent.
         message: GangMessage,
     },
     /// Append the start of the attempt to the log.
--- a/dragonflyrun/src/job/gang_id.rs
+++ b/dragonflyrun/src/job/gang_id.rs
@@ -11,7 +11,7 @@
 /// their attempts.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct GangId {
-    /// The job.
+    /// The job that the attempt runs.
     pub job: JobId,
     /// The term of the planner that started the attempt.
     pub term: u64,
@@ -25,7 +25,7 @@
 /// replaced, since hosts store nothing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseName {
-    /// The gang.
+    /// The attempt of the job that the member belongs to.
     pub gang: GangId,
     /// The number of the member, from 0.
     pub member: u32,
--- a/dragonflyrun/src/job/placement.rs
+++ b/dragonflyrun/src/job/placement.rs
@@ -12,9 +12,9 @@
 /// Tasks of a gang on one worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Part {
-    /// The worker.
+    /// The worker that runs the tasks.
     pub(super) worker: WorkerId,
-    /// Tasks on it.
+    /// Number of the gang's tasks on this worker.
     pub(super) tasks: u32,
 }
 
--- a/dragonflyrun/src/job/planner.rs
+++ b/dragonflyrun/src/job/planner.rs
@@ -62,9 +62,9 @@
     Send(AgentMessage),
     /// Append a record, and pass its id to [`Planner::appended`].
     Append {
-        /// The record.
+        /// The content of the record to append.
         body: Box<RecordBody>,
-        /// Its purpose.
+        /// What the planner appends the record for.
         purpose: Purpose,
     },
     /// Append a record that repeats a state as it is on the log now.
--- a/dragonflyrun/src/job/planner_records.rs
+++ b/dragonflyrun/src/job/planner_records.rs
@@ -12,9 +12,9 @@
 pub struct JobRecord<'a> {
     /// The offset of the record.
     pub offset: u64,
-    /// The record.
+    /// The record as it was read from the log.
     pub record: &'a Record,
-    /// The current term.
+    /// The planner's term in force after the record was folded.
     pub term: u64,
     /// The job that the record is about, if that is live.
     pub live: Option<&'a LiveJob>,
--- a/dragonflyrun/src/job/renewal.rs
+++ b/dragonflyrun/src/job/renewal.rs
@@ -25,9 +25,9 @@
 /// A message to an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentMessage {
-    /// The receiving agent.
+    /// The name of the agent that receives the message.
     pub to: Name,
-    /// The message.
+    /// The message about a member of a gang.
     pub message: GangMessage,
 }
 
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -120,18 +120,18 @@
 /// A guarantee that can't be met together with the others on the hardware in service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnmetGuarantee {
-    /// The workspace.
+    /// The workspace that has the guarantee.
     pub workspace: Name,
-    /// The shape.
+    /// The guaranteed shape.
     pub shape: Shape,
 }
 
 /// The accelerators that are allotted to a guarantee.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Allotment {
-    /// The workspace.
+    /// The workspace that has the guarantee.
     pub workspace: Name,
-    /// The shape.
+    /// The guaranteed shape.
     pub shape: Shape,
     /// The workers, each with its number of tasks of the shape; fewer tasks than the shape has if
     /// the guarantee is unmet.
--- a/dragonflyrun/src/job/worker_op.rs
+++ b/dragonflyrun/src/job/worker_op.rs
@@ -19,7 +19,7 @@
         number: u64,
         /// The name of the lease.
         lease: Name,
-        /// The operation.
+        /// The operation to perform on that lease.
         op: WorkerOp,
     },
     /// Remove a lease that is no longer needed.
--- a/dragonflyrun/src/process/on_store/lanes.rs
+++ b/dragonflyrun/src/process/on_store/lanes.rs
@@ -9,7 +9,10 @@
 /// partition, so there are about as many partitions as the store's limit on topics allows.
 const ORDER_TOPICS: u32 = 64;
 
-/// The partitions for orders, called lanes, and those for reports.
+/// Maps each worker to its lane and to the partition of its reports.
+///
+/// A lane is one of the partitions that carry orders. All orders for a worker go through the same
+/// lane, which several workers share.
 #[derive(Clone, Copy, Debug)]
 pub struct Lanes {
     partitions: u32,
--- a/dragonflyrun/src/process/on_store/settings.rs
+++ b/dragonflyrun/src/process/on_store/settings.rs
@@ -16,7 +16,8 @@
     pub keep_ended: Duration,
     /// Time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// How many times longer a task takes when it runs far from its data or its gang.
+    /// The factor by which a task's run time grows outside the rack that holds its data, or when
+    /// its gang is spread over several racks.
     pub far_factor: f64,
     /// Amount of work after which a run saves a checkpoint; zero if unknown.
     pub checkpoint_every: Duration,
--- a/dragonflyrun/src/tool/commands/document.rs
+++ b/dragonflyrun/src/tool/commands/document.rs
@@ -124,7 +124,7 @@
     Ok(Printed::new(&answer, Exit::Done))
 }
 
-/// Explains the document in a file.
+/// Returns a text, with warnings, on what the system does under the document in a file.
 pub(super) fn explain_file(file: &str) -> Result<Printed, ToolError> {
     let bytes = read_file(file, MAX_DOCUMENT_BYTES)?;
     let document = parse_document(&bytes).map_err(ToolError::Findings)?;
--- a/dragonflyrun/src/tool/in_force.rs
+++ b/dragonflyrun/src/tool/in_force.rs
@@ -39,7 +39,7 @@
 /// The processes in which a version is in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct InForce {
-    /// The version.
+    /// The configuration version that was looked for in each process.
     pub version: u64,
     /// All processes that the entries know, sorted by name.
     pub processes: Vec<ProcessVersion>,
--- a/dragonflyrun/src/version/history.rs
+++ b/dragonflyrun/src/version/history.rs
@@ -70,7 +70,7 @@
     pub id: Name,
     /// The editor who wrote it.
     pub editor: Name,
-    /// The edit itself.
+    /// The change to a section that the editor requests.
     pub edit: Edit,
 }
 
--- a/dragonflyrun/src/workload/agent_table.rs
+++ b/dragonflyrun/src/workload/agent_table.rs
@@ -28,7 +28,7 @@
 /// The result of a start call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartResult {
-    /// The worker answered.
+    /// The worker answered the call with this outcome.
     Answered(StartOutcome),
     /// The call had no answer; the start has to be retried.
     Unknown,
--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -103,7 +103,7 @@
 /// A run that is over.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunOver {
-    /// The run.
+    /// The run that is over.
     pub run: RunId,
     /// The worker to which the run was assigned.
     pub worker: Name,
--- a/dragonflyrun/src/workload/message.rs
+++ b/dragonflyrun/src/workload/message.rs
@@ -19,7 +19,7 @@
 /// A run that an agent has to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskStart {
-    /// The run.
+    /// The task and the number of the run to start.
     pub run: RunId,
     /// The input that the caller submitted.
     pub payload: Arc<str>,
@@ -73,9 +73,9 @@
     Order {
         /// The name of the worker.
         worker: Name,
-        /// The session.
+        /// The number of the session that the order is for.
         session: u64,
-        /// The order.
+        /// What the agent has to start, stop or confirm, and whether the session is fenced.
         order: Order,
     },
 }
@@ -107,7 +107,7 @@
     /// The starts that the worker or the agent refused, each with the reason.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<(RunId, StartOutcome)>,
-    /// The running tasks.
+    /// The tasks that run on the worker.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<RunningTask>,
     /// The progress of the running tasks, in the same order; shorter or empty if the agent doesn't
--- a/dragonflyrun/src/workload/pace.rs
+++ b/dragonflyrun/src/workload/pace.rs
@@ -24,7 +24,7 @@
 /// The measured pace of a run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pace {
-    /// The run.
+    /// The run whose pace was measured.
     #[serde(rename = "r")]
     pub run: RunId,
     /// The number of checkpoint intervals that the run has completed while it was timed.
--- a/dragonflyrun/src/workload/plan.rs
+++ b/dragonflyrun/src/workload/plan.rs
@@ -27,7 +27,7 @@
 /// The worker to which a run of a task is assigned.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Place {
-    /// The worker.
+    /// The name of the worker that the run is assigned to.
     #[serde(rename = "w")]
     pub worker: Name,
     /// The session of the worker's agent.
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -58,7 +58,8 @@
     pub lease_expiry: Duration,
     /// How long the state of an ended job is kept.
     pub keep_ended: Duration,
-    /// How many times longer a task takes away from its data, or from the rest of its gang.
+    /// The factor by which a task's run time grows outside the rack that holds its data, or when
+    /// its gang is spread over several racks.
     pub far_factor: f64,
     /// The amount of work after which a run saves a checkpoint; zero if it isn't known.
     pub checkpoint_every: Duration,
--- a/dragonflyrun/src/workload/task.rs
+++ b/dragonflyrun/src/workload/task.rs
@@ -27,7 +27,7 @@
 /// under the same number.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RunId {
-    /// The task.
+    /// The task that is run.
     #[serde(rename = "t")]
     pub task: TaskId,
     /// The number of the run.
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -229,7 +229,8 @@
             planner.random_event(u)?;
         }
     }
-    // A repeat that was read before the last change of its item is repeated again at once.
+    // The planner repeats a state again at once if it changed between the read of the state and the
+    // append of its repeat. A few ticks without new events let it finish these repeats.
     for _ in 0..5 {
         planner.tick(&mut Unstructured::new(&[0xff; 64]))?;
     }
--- a/dragonflyrun/tests/workload_world/store.rs
+++ b/dragonflyrun/tests/workload_world/store.rs
@@ -12,7 +12,8 @@
     Plans(Vec<JobRecord>),
     /// An order for the lane of its worker.
     Order(WorkerOrder),
-    /// No record: from now on earlier planners can't write to the worker's lane.
+    /// Fences the lane of the named worker, the partition that carries its orders: the store rejects
+    /// all later writes of earlier planners there. This write adds no record to the lane.
     Fence(String),
 }
 
--- a/standins/src/harness/load.rs
+++ b/standins/src/harness/load.rs
@@ -51,7 +51,7 @@
 /// A request with all replies that its caller received.
 #[derive(Debug)]
 pub struct TrackedRequest {
-    /// Its key.
+    /// The idempotency key under which the caller sends and repeats the request.
     pub key: Name,
     /// The expected answer.
     pub answer: Vec<u8>,
