--- a/dragonflyrun/src/job/guarantee.rs
+++ b/dragonflyrun/src/job/guarantee.rs
@@ -39,7 +39,7 @@
     pub(super) shape: Shape,
     /// The allotment; empty or incomplete if the hardware in service can't meet the guarantee.
     pub(super) shares: Vec<Share>,
-    /// The covered jobs.
+    /// The jobs whose accelerators count as used in `shares`.
     pub(super) jobs: Vec<JobId>,
     /// Whether the guarantee was created to protect one running job and belongs to no workspace's
     /// configuration.
--- a/dragonflyrun/src/job/worker_op.rs
+++ b/dragonflyrun/src/job/worker_op.rs
@@ -15,7 +15,7 @@
     ListLeases,
     /// Perform an operation on the lease of one member.
     Lease {
-        /// The number of the member.
+        /// The number that the agent has given the member.
         number: u64,
         /// The name of the lease.
         lease: Name,
--- a/dragonflyrun/src/workload/job_table.rs
+++ b/dragonflyrun/src/workload/job_table.rs
@@ -9,11 +9,11 @@
 /// The state of one job in the table.
 #[derive(Clone, Debug, Default)]
 pub struct KnownJob {
-    /// The job; `None` if only later records of it have been read so far.
+    /// The accepted job; `None` if only later records of it have been read so far.
     pub job: Option<Box<Job>>,
     /// Whether a caller has cancelled the job.
     pub cancelled: bool,
-    /// The progress of the job.
+    /// The newest plan of the job: how far its tasks are and how it ended.
     pub plan: JobPlan,
 }
 
--- a/dragonflyrun/src/workload/record.rs
+++ b/dragonflyrun/src/workload/record.rs
@@ -45,11 +45,11 @@
 /// A record of the jobs' topic.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobRecord {
-    /// A job was accepted.
+    /// A job was accepted, with the settings that its queue had then.
     Accepted(Box<Job>),
-    /// A job was cancelled.
+    /// The job of this name was cancelled by a caller.
     Cancelled(Name),
-    /// The progress of a job; `None` deletes the job with all its keys.
+    /// The plan of the job of this name; `None` deletes the job with all its keys.
     Plan(Name, Option<Box<JobPlan>>),
     /// The planner's term: a claim, a heartbeat or a resignation.
     Planner(Term),
