--- a/dragonflyrun/tests/ending_runs.rs
+++ b/dragonflyrun/tests/ending_runs.rs
@@ -23,7 +23,8 @@
     orders.iter().map(|o| o.order.stops.len()).sum()
 }
 
-/// Guards against stopping runs whose room would be free just as soon by itself.
+/// Guards against work that is lost because a run is stopped although its room would be free just
+/// as soon by itself.
 #[test]
 fn ending_awaited() {
     assert_eq!(stopped_for_urgent(100), 0);
--- a/dragonflyrun/tests/gang_protocol.rs
+++ b/dragonflyrun/tests/gang_protocol.rs
@@ -410,7 +410,8 @@
 }
 
 /// One member, its worker or its links fail in each possible way, for a short or a long time, at
-/// each step from reservation to run. Guards against jobs that don't finish after such a failure.
+/// each step from reservation to run. Guards against jobs that don't finish after such a failure,
+/// run twice at once or run partially for longer than the bound.
 #[test]
 fn member_fails() {
     let job: Name = "job-0".into();
--- a/dragonflyrun/tests/guarantee_reclaim.rs
+++ b/dragonflyrun/tests/guarantee_reclaim.rs
@@ -443,9 +443,10 @@
     })
 }
 
-/// Jobs come and go, operators edit guarantees and drain failure domains, and workers are lost and
-/// return. Guards against two guarantees on the same accelerators, or a job there that can't be
-/// evicted: an owner who asks for its shape would not get it.
+/// Jobs of all workspaces come and go on all accelerators, operators edit guarantees and drain
+/// failure domains, and workers are lost and return. Guards against two guarantees on the same
+/// accelerators, or a job there that can't be evicted: an owner who asks for its shape would never
+/// get it.
 #[test]
 fn always_reclaimable() {
     for seed in 0..seeds() {
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -95,8 +95,8 @@
 pub(crate) struct Outcome {
     /// The results by priority.
     pub(crate) by_priority: [PriorityOutcome; 3],
-    /// Accelerator-seconds of work that counted, that was lost, and that were idle until the last
-    /// job's arrival.
+    /// Accelerator-seconds of work that counted and of work that was lost, and idle ones until the
+    /// last job's arrival.
     pub(crate) useful: f64,
     pub(crate) wasted: f64,
     pub(crate) idle: f64,
--- a/dragonflyrun/tests/replay/naive.rs
+++ b/dragonflyrun/tests/replay/naive.rs
@@ -9,7 +9,7 @@
 
 use super::{ACCELERATORS, Command, Policy, job_name, job_number, pattern::PatternJob};
 
-/// Processor time and memory of a worker.
+/// Processor capacity and memory of a worker.
 const CPU_MILLIS: u64 = 64_000;
 const MEMORY_MB: u64 = 128_000;
 
