--- a/dragonflyrun/tests/agent_orders.rs
+++ b/dragonflyrun/tests/agent_orders.rs
@@ -203,8 +203,8 @@
     assert_eq!(table.worker(), None);
 }
 
-/// Guards against starts on a worker that has announced its departure, if the order was given at
-/// that moment.
+/// Guards against starts on a worker that has announced its departure, also of orders given at the
+/// same moment.
 #[test]
 fn leaving_worker() {
     let mut table = agent();
--- a/dragonflyrun/tests/gang_world/node.rs
+++ b/dragonflyrun/tests/gang_world/node.rs
@@ -38,7 +38,7 @@
     pub roster: Roster,
     pub freshness: Freshness,
     pub table: RoleTable,
-    /// Appends of this process that are not yet on the log, and whether their answer was lost.
+    /// Appends that this process has not read from the log yet, and whether their answer was lost.
     pub pending: HashMap<Name, bool>,
     /// The report last sent to each peer, and the time of the last heartbeat to it.
     sent: HashMap<Name, (Option<Report>, u64)>,
