--- a/dragonflyrun/tests/key_ownership.rs
+++ b/dragonflyrun/tests/key_ownership.rs
@@ -107,9 +107,9 @@
     );
 }
 
-/// Guards against a second run of a retried request, and against a run after "not run". Processes
-/// are killed and frozen, links break and are restored, agents lose access to the log, and the
-/// owners of keys change, several of these at once.
+/// Guards against a second run of a request that is retried at another entry, and against a run
+/// after "not run". Processes are killed and frozen, links break and are restored, agents lose
+/// access to the log, and the owners of keys change, several of these at once.
 #[test]
 fn processes_fail() {
     check_seeds(Faults {
@@ -256,7 +256,8 @@
 }
 
 /// Guards against two runs after an agent becomes the owner of a key whose first attempt may have
-/// run under the previous owner. A repeat is answered "unknown" until the key window has passed.
+/// run under the previous owner. A repeat is answered "unknown" until the key window has passed,
+/// after which the previous owner would have forgotten the run anyway.
 #[test]
 fn new_owner() {
     let mut owner = owner();
--- a/dragonflyrun/tests/owner_ring.rs
+++ b/dragonflyrun/tests/owner_ring.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// An agent is killed. Guards against keys that stay with it: bookings with these keys would fail
-/// until other agents own them, which takes some seconds.
+/// The host of an agent is lost. Guards against keys that stay with the agent: bookings with these
+/// keys would fail from then on. Other agents own them after some seconds.
 #[test]
 fn host_lost() {
     let mut world = World::new(2, 3, AGENTS);
--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -219,7 +219,8 @@
     }
 }
 
-/// Guards against replacing a planner that was stale only briefly.
+/// Guards against replacing a planner for a short stale period, which is already over when an entry
+/// learns of it.
 #[test]
 fn briefly_stale() {
     let mut election = Election::new("one".into(), 17, at(0));
--- a/dragonflyrun/tests/request_load.rs
+++ b/dragonflyrun/tests/request_load.rs
@@ -26,8 +26,9 @@
     most_unknown_at_twice: usize,
 }
 
-/// Guards against lower throughput under overload, against urgent requests that wait behind others,
-/// and against refusals for an exhausted retry budget when a poor choice of agents causes retries.
+/// Guards against lower throughput under overload than at full load, against urgent requests that
+/// wait behind others, and against refusals for an exhausted retry budget when a poor choice of
+/// agents causes retries.
 #[test]
 fn overload() {
     let workloads: Workloads = serde_json::from_str(DATA).unwrap();
--- a/dragonflyrun/tests/request_routing.rs
+++ b/dragonflyrun/tests/request_routing.rs
@@ -71,7 +71,8 @@
     assert!(*retry_after_ms > 0);
 }
 
-/// Guards against starvation of patient requests under a steady stream of urgent ones.
+/// Guards against patient requests that wait until their deadlines under a steady stream of urgent
+/// ones.
 #[test]
 fn patient_ones_go() {
     for n in 0..300 {
--- a/dragonflyrun/tests/run_schedules.rs
+++ b/dragonflyrun/tests/run_schedules.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Guards against tasks that run twice at once under all these faults together.
+/// Guards against tasks that run twice at once under the faults of both tests above together.
 #[test]
 fn all_faults() {
     for seed in seeds() {
--- a/dragonflyrun/tests/step_tickets.rs
+++ b/dragonflyrun/tests/step_tickets.rs
@@ -50,7 +50,7 @@
 
 /// Guards against starts without a ticket, which the worker would only refuse, and against steps
 /// that are never asked about again. The advisor doesn't answer the first question, and later a
-/// worker refuses its ticket.
+/// worker refuses the ticket, as it does if the ticket has expired or the worker has restarted.
 #[test]
 fn tickets_run_out() {
     let mut harness = harness();
