--- a/dragonflyrun/tests/planner_succession.rs
+++ b/dragonflyrun/tests/planner_succession.rs
@@ -219,7 +219,7 @@
     }
 }
 
-/// Guards against replacing a planner for a short stale period, which is already over when an entry
+/// Guards against replacing a planner for a short stale period, which may be over when an entry
 /// learns of it.
 #[test]
 fn briefly_stale() {
--- a/dragonflyrun/tests/simulation/checks.rs
+++ b/dragonflyrun/tests/simulation/checks.rs
@@ -60,7 +60,8 @@
                     attempt_index,
                 });
             }
-            // No request that the caller had submitted by then may run, before or after the answer.
+            // This attempt may not run, before or after the answer; nor may an earlier attempt with the
+            // same key.
             Some((_, Outcome::NotRun { .. })) => {
                 let ran = |r: &&super::RunRecord| {
                     r.ticket == ticket
--- a/dragonflyrun/tests/slot_limits.rs
+++ b/dragonflyrun/tests/slot_limits.rs
@@ -71,7 +71,8 @@
 }
 
 /// Guards against requests to a backend server that is leaving or whose process has ended. An entry
-/// that does not know this yet still sends requests, which the agent refuses.
+/// that does not know this yet still sends requests; the agent refuses them, so that they go to
+/// other agents.
 #[test]
 fn leaving_and_lapsed() {
     let mut table = agent(4, 4);
@@ -110,9 +111,10 @@
     assert_eq!(refusal(&mut table), Some(NotRun::Leaving));
 }
 
-/// Guards against requests that a graceful stop of the agent cuts off. The agent stays until its
-/// requests have ended, the entries have the answers, and no entry sends new requests because it
-/// does not know of the stop yet. An entry that is gone must not delay the stop.
+/// Guards against requests that a graceful stop of the agent cuts off. The agent accepts no more
+/// requests, but stays until the running ones have ended, the entries have the answers, and no
+/// entry sends new requests because it does not know of the stop yet. An entry that is gone must
+/// not delay the stop.
 #[test]
 fn agent_stops() {
     let mut table = agent(2, 2);
