--- a/dragonflyrun/benches/measures/simulation/figures.rs
+++ b/dragonflyrun/benches/measures/simulation/figures.rs
@@ -32,8 +32,8 @@
     pub(crate) fragmentation: f64,
     /// The same accelerator time as a share of that of all usable accelerators.
     pub(crate) fragmentation_of_all: f64,
-    /// Work while a failure domain was out of service, as a share of what the remaining capacity
-    /// and the demand allowed.
+    /// Useful work, without restores, while a failure domain was out of service, as a share of what
+    /// the remaining capacity and the demand allowed.
     pub(crate) drain_share: f64,
     /// Accelerator-seconds lost in evictions without a checkpoint.
     pub(crate) lost_to_evictions_s: f64,
--- a/dragonflyrun/tests/simulation/checks.rs
+++ b/dragonflyrun/tests/simulation/checks.rs
@@ -60,8 +60,8 @@
                     attempt_index,
                 });
             }
-            // This attempt may not run, before or after the answer; nor may an earlier attempt with the
-            // same key.
+            // This attempt may not run, before or after the answer; nor may an earlier attempt with
+            // the same key.
             Some((_, Outcome::NotRun { .. })) => {
                 let ran = |r: &&super::RunRecord| {
                     r.ticket == ticket
--- a/dragonflyrun/tests/store_entry/mod.rs
+++ b/dragonflyrun/tests/store_entry/mod.rs
@@ -7,7 +7,7 @@
     process::on_store::{StoreBounds, StoreSettings},
 };
 
-/// An advisor that never answers.
+/// The advisor of a deployment without one: it has no answer to any question.
 pub(crate) struct NoAdvisor;
 
 impl Advisor for NoAdvisor {
