--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -263,8 +263,8 @@
     pub(super) fn may_start(&mut self, now: Timestamp, conditions: StartConditions) -> StartCheck {
         let check = match self.phase {
             Phase::Reserved | Phase::Starting if !conditions.in_service => StartCheck::Never,
-            // An agent that counts as fresh may still lack the records of the last second, and the
-            // start record among them.
+            // An agent whose view of the log counts as fresh may still lack the records of the last
+            // second, including the start record.
             Phase::Reserved | Phase::Starting
                 if !conditions.fresh || self.start_offset >= Some(conditions.next_offset) =>
             {
@@ -366,7 +366,7 @@
         }
     }
 
-    /// Handles that the worker's list of leases, requested at `called_at`, lacks this one.
+    /// Handles the absence of this lease from the worker's list, which was requested at `called_at`.
     pub(super) fn on_lease_missing(&mut self, now: Timestamp, called_at: Timestamp) {
         if self.phase == Phase::Running && !self.call_pending && self.last_seen < called_at {
             self.on_stopped(now);
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -66,8 +66,8 @@
     pub(super) out_of_service: BTreeSet<WorkerId>,
     /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
-    /// Workspaces to search at the next update of the guarantees for running jobs that borrow but
-    /// that one of their workspace's guarantees can cover now. A workspace is added when one of its
+    /// Workspaces whose borrowing jobs are checked again at the next update of the guarantees,
+    /// because one of the workspace's guarantees may cover them now. A workspace is added when one of its
     /// jobs gets, moves or releases accelerators and when the configuration changes. See the
     /// `guarantee` module for covered and borrowing jobs.
     pub(super) workspaces_to_cover: BTreeSet<Name>,
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -526,7 +526,7 @@
 /// for the claim to succeed; `None` if it should not claim one.
 fn candidacy<S: Store, A: Advisor>(entry: &StoreEntry<S, A>) -> Option<(Term, u64)> {
     /// Age of the last current read of the jobs up to which an entry may be a candidate. An entry
-    /// that reads badly would also plan badly.
+    /// whose reads are late would also plan from outdated state.
     const MAX_CANDIDATE_READ_AGE: Duration = Duration::from_millis(1_700);
     let now = entry.now();
     let state = lock(&entry.state);
--- a/dragonflyrun/src/workload/fleet.rs
+++ b/dragonflyrun/src/workload/fleet.rs
@@ -52,7 +52,7 @@
     Open,
     /// The planner has decided to fence the session, but the order is not yet stored.
     FenceOrdered,
-    /// The fence is stored since then, so every later read of the agent returns it.
+    /// The fence has been stored since this time, so every later read of the agent returns it.
     Fenced(Timestamp),
     /// No run of the session exists any more.
     Closed,
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -44,7 +44,7 @@
 /// Milliseconds from the order to stop a run until its room is known to be free.
 const EXPECTED_STOP_MS: u64 = 250;
 
-/// Milliseconds that a run past its expected end is assumed to need yet.
+/// Minimum remaining time in milliseconds that is assumed for a run, also past its expected end.
 const MIN_REMAINING_MS: u64 = 500;
 
 /// A demand and the workers that were found for it.
@@ -523,9 +523,9 @@
     u64::try_from(view.now.since(state.placed_at).as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns the cost in core-seconds of the delay that restarting a run causes to its job. It is the
-/// run's own work if the job misses its objective, since that work is then done for little, and a
-/// multiple of it if the job becomes useless to its caller.
+/// Returns the cost in core-seconds of the delay that restarting a run causes to its job: the run's
+/// own work if the job would then miss its objective, because a late result is worth less, and
+/// `USELESS_JOB_COST_RATIO` times that if the job would become useless to its caller.
 fn lateness_cost(
     live: &LiveJob,
     run: &RunId,
@@ -578,8 +578,8 @@
                 continue;
             }
             let step = live.job.request.steps.get(run.task.step as usize);
-            // Lasting tasks serve users all the time; no waiting work is worth an interruption
-            // there.
+            // Lasting tasks serve users continuously, so they are never interrupted for waiting
+            // work.
             if step.is_some_and(|s| s.lasting) {
                 continue;
             }
--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -265,9 +265,9 @@
 
     /// Learns the speed of a worker from the pace of its runs.
     ///
-    /// A run away from its data is slow on any worker, so its pace is ignored. A gang over several
-    /// workers is as fast as its slowest worker, so only a gang at full speed tells the speed of
-    /// each.
+    /// A run on another rack than its data is slow on any worker, so its pace is ignored. A gang over
+    /// several workers is as fast as its slowest worker, so the speed of each worker is known only
+    /// if the gang runs at full speed.
     fn learn_paces(&mut self, worker: &Name, paces: &[Pace]) {
         let rack = self.fleet.get(worker).and_then(FleetWorker::rack);
         let every_s = self.bounds.checkpoint_every.as_secs_f64();
@@ -434,9 +434,9 @@
             .filter(|(_, w)| w.session_state == SessionState::Open)
             .count();
         if silent.len() * 2 > open && !self.all_silent(view, reports_since) {
-            // That many agents don't fail at once, so the store is slow. Closing their sessions
-            // would stop all running work. An agent that stays silent for the lease time on top of
-            // that is still fenced.
+            // More than half of the agents rarely fail at once; more likely the store is slow.
+            // Closing their sessions would stop all running work. An agent that stays silent for
+            // the lease expiry time beyond the limit is still fenced.
             let silent_past_lease =
                 |w: &FleetWorker| silence_of(w) > allowed + self.bounds.lease_expiry;
             silent.retain(|name| self.fleet.get(name).is_some_and(silent_past_lease));
--- a/dragonflyrun/tests/gang_world/mod.rs
+++ b/dragonflyrun/tests/gang_world/mod.rs
@@ -35,6 +35,7 @@
 use node::{Node, RoleTable, SECRET, domain_name};
 use worker::{Checkpoints, FakeWorker, RunRecord};
 
+/// Number of failure domains.
 const DOMAINS: usize = 2;
 /// Time after which an agent gives up a call to its worker.
 const WORKER_TIMEOUT_MS: u64 = 1_000;
--- a/dragonflyrun/tests/replay/mod.rs
+++ b/dragonflyrun/tests/replay/mod.rs
@@ -23,9 +23,9 @@
 /// The time in milliseconds after the last job's arrival in which jobs may still end.
 const AFTER_LAST_JOB_MS: u64 = 120_000;
 
-/// Factor by which a task takes longer if its gang spans several racks but should run in one, and
-/// factor on a slow worker.
+/// Factor by which a task takes longer if its gang spans several racks but should run in one.
 const FAR_FACTOR: u64 = 3;
+/// Factor by which a task takes longer on a slow worker.
 const SLOW_FACTOR: u64 = 6;
 
 /// Milliseconds of work between two checkpoints.
