--- a/dragonflyrun/src/connection/links.rs
+++ b/dragonflyrun/src/connection/links.rs
@@ -143,8 +143,8 @@
 }
 
 impl Links {
-    /// Starts the threads that serve the links. All events of a peer go to the same one of the
-    /// `lanes`, so they stay in order.
+    /// Starts the threads that serve the links. Each of the `lanes` is a channel for events. All
+    /// events of a peer go to the same lane, so they stay in order.
     ///
     /// # Errors
     ///
--- a/dragonflyrun/src/job/eviction.rs
+++ b/dragonflyrun/src/job/eviction.rs
@@ -299,10 +299,10 @@
         })
     }
 
-    /// Returns the maximum cost of evictions for a job, which is what the job loses by waiting. The
-    /// wait of an urgent job has a higher weight and a value from the start, and so has that of a
-    /// job much smaller than the guarantee whose room it requests. There is no limit for a
-    /// guaranteed shape.
+    /// Returns the maximum cost of evictions for a job, which is what the job loses by waiting. For
+    /// an urgent job, and for a job much smaller than the guarantee whose room it requests, this is
+    /// above zero from the start and grows faster with the wait. There is no limit for a guaranteed
+    /// shape, nor for such a smaller job that has waited for [`AGED_AFTER`].
     fn budget(now: Timestamp, entry: &JobEntry, reason: EvictionReason) -> u64 {
         let waited = now.since(entry.waiting_since);
         let waited_ms = waited.as_millis() as u64;
--- a/dragonflyrun/src/job/member.rs
+++ b/dragonflyrun/src/job/member.rs
@@ -366,7 +366,8 @@
         }
     }
 
-    /// Handles the absence of this lease from the worker's list, which was requested at `called_at`.
+    /// Handles the absence of this lease from the worker's list of leases, which was requested at
+    /// `called_at`.
     pub(super) fn on_lease_missing(&mut self, now: Timestamp, called_at: Timestamp) {
         if self.phase == Phase::Running && !self.call_pending && self.last_seen < called_at {
             self.on_stopped(now);
--- a/dragonflyrun/src/job/scheduler.rs
+++ b/dragonflyrun/src/job/scheduler.rs
@@ -67,9 +67,9 @@
     /// Workers whose state has changed since the guarantees were last allotted.
     pub(super) changed: Vec<WorkerId>,
     /// Workspaces whose borrowing jobs are checked again at the next update of the guarantees,
-    /// because one of the workspace's guarantees may cover them now. A workspace is added when one of its
-    /// jobs gets, moves or releases accelerators and when the configuration changes. See the
-    /// `guarantee` module for covered and borrowing jobs.
+    /// because one of the workspace's guarantees may cover them now. A workspace is added when one
+    /// of its jobs gets, moves or releases accelerators and when the configuration changes. See
+    /// the `guarantee` module for covered and borrowing jobs.
     pub(super) workspaces_to_cover: BTreeSet<Name>,
     /// Whether anything has changed since the last pass over the queue.
     pub(super) needs_pass: bool,
--- a/dragonflyrun/src/process/on_store/agent.rs
+++ b/dragonflyrun/src/process/on_store/agent.rs
@@ -39,8 +39,8 @@
 const END_WAIT: Duration = Duration::from_millis(400);
 
 /// Delay before the next poll while an end waits for its confirmation, which takes the planner
-/// about 50 ms. A worker with an unconfirmed end answers at once: without the delay the agent
-/// polled it about 500 times a second, and kept doing so for as long as the store was unreachable.
+/// about 50 ms. A worker with an unconfirmed end answers at once: without the delay the agent would
+/// poll it about 500 times a second, for as long as the store is unreachable.
 const UNCONFIRMED_POLL_DELAY: Duration = Duration::from_millis(25);
 
 /// Interval between two polls of a worker on which nothing runs.
@@ -206,8 +206,8 @@
                         log::info!(what = "orders"; "store_regained");
                         reachable = true;
                     }
-                    // A page that ends before the partition does can't rule out that a fence
-                    // follows.
+                    // Without the worker's clock the lease is not extended: if the page ends before
+                    // the partition does, a fence may follow.
                     let worker_clock_ms = worker_clock_ms.filter(|_| next >= page.end);
                     let orders = orders_for(&page.records, worker, session);
                     let has_orders = !orders.is_empty();
--- a/dragonflyrun/src/process/on_store/entry.rs
+++ b/dragonflyrun/src/process/on_store/entry.rs
@@ -50,7 +50,8 @@
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Age of the last current read above which the entry reports itself as not ready, so that the
-/// load balancer sends requests elsewhere.
+/// load balancer sends requests elsewhere. A read is current if it returned everything that the
+/// store had when the read was sent; its age counts from then.
 pub(super) const MAX_READY_AGE: Duration = Duration::from_millis(2_200);
 
 const _: () =
@@ -63,9 +64,11 @@
 pub(super) struct EntryState {
     pub(super) job_table: JobTable,
     pub(super) job_table_end: u64,
+    /// When the last current read of the jobs was sent.
     pub(super) job_table_current_at: Option<BootTime>,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) evacuated: Arc<HashSet<Name>>,
+    /// When the last current read of the operators' records was sent.
     pub(super) operators_current_at: Option<BootTime>,
     pub(super) reachability: StoreReachability,
     /// The store's usual delay before it answers.
--- a/dragonflyrun/src/process/on_store/planner_term.rs
+++ b/dragonflyrun/src/process/on_store/planner_term.rs
@@ -43,7 +43,8 @@
 /// How often an entry checks whether the planner is silent.
 const ELECTION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age up to which the last current read counts as fresh. Tasks are started only with a fresh read
+/// Age up to which the last current read counts as fresh. A read is current if it returned
+/// everything that the store had when the read was sent. Tasks are started only with a fresh read
 /// of the operators' records, which limits the time during which they may still start in a failure
 /// domain that is out of service to a few seconds. Heartbeats are sent only with a fresh read of
 /// the jobs.
@@ -461,7 +462,7 @@
         }
     }
 
-    /// Sends the orders of one lane, one append at a time.
+    /// Sends the orders of one lane (see [`Lanes`]), one append at a time.
     async fn send_lane(self: Rc<Self>, lane: u32, mut rx: mpsc::UnboundedReceiver<WorkerOrder>) {
         /// Most orders that are sent in one append.
         const MAX_ORDERS_PER_APPEND: usize = 32;
--- a/dragonflyrun/src/version/history.rs
+++ b/dragonflyrun/src/version/history.rs
@@ -167,7 +167,8 @@
 
     /// Folds an edit.
     ///
-    /// Returns `None` for a second copy of an edit, and if the history is not
+    /// Returns `None` for a second copy of an edit, for an edit whose id is too long, for an edit
+    /// that changes to an unsupported format, and if the history is not
     /// [complete](Self::is_complete). An edit after a gap is evaluated later, once a repeated
     /// configuration has closed the gap.
     pub fn fold(&mut self, logged: &LoggedEdit) -> Option<Verdict> {
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -508,7 +508,8 @@
 }
 
 /// Returns the milliseconds that a run still takes according to its reported progress, if that is
-/// known. A run that should have ended by now has stopped making progress.
+/// known. A run that should have ended by now has stopped making progress, and `MIN_REMAINING_MS`
+/// is assumed for it.
 fn measured_remaining_ms(state: &WorkerRun, view: &View<'_>) -> Option<u64> {
     let left = state.ends_at?.since(view.now).as_millis();
     let left_ms = u64::try_from(left).unwrap_or(u64::MAX);
