--- a/dragonflyrun/src/workload/planner.rs
+++ b/dragonflyrun/src/workload/planner.rs
@@ -253,6 +253,7 @@
         if let Some(known) = self.fleet.get_mut(&worker) {
             if known.failures >= QUARANTINE_AFTER_FAILURES && known.quarantined_until <= now {
                 known.quarantined_until = now + QUARANTINE_TIME;
+                // A single further failure is enough for the next quarantine.
                 known.failures = QUARANTINE_AFTER_FAILURES - 1;
                 log::warn!(worker:% = worker, for_ms:? = QUARANTINE_TIME; "worker_set_aside");
             }
