--- a/dragonflyrun/src/process/entry_jobs.rs
+++ b/dragonflyrun/src/process/entry_jobs.rs
@@ -23,8 +23,8 @@
         JobStatus,
         JobsAnswer,
         TickView,
-        lock, //
-        state_to_repeat,
+        lock,
+        state_to_repeat, //
     },
     utils::Name,
 };
--- a/dragonflyrun/src/workload/pass.rs
+++ b/dragonflyrun/src/workload/pass.rs
@@ -21,8 +21,8 @@
         load::PeakLoad,
         overdue::is_overdue,
         planner::View,
-        recent_failures::RecentFailures, //
-        schedule::{self, Horizon, Victim},
+        recent_failures::RecentFailures,
+        schedule::{self, Horizon, Victim}, //
     },
 };
 
--- a/dragonflyrun/tests/config_fold.rs
+++ b/dragonflyrun/tests/config_fold.rs
@@ -12,9 +12,9 @@
         AuthorKey,
         Edit,
         LogRecord,
-        RecordBody, //
+        RecordBody,
         RepeatedConfiguration,
-        RepeatedState,
+        RepeatedState, //
     },
     process::Ledger,
     version::{Document, FORMAT, RawSection, Section, Verdict, Version, parse_section},
--- a/dragonflyrun/tests/retention.rs
+++ b/dragonflyrun/tests/retention.rs
@@ -13,8 +13,8 @@
         LiveJob,
         MEMBERSHIP_REPEAT,
         PlannerAction,
-        PlannerView, //
-        STATE_REPEAT,
+        PlannerView,
+        STATE_REPEAT, //
     },
     process::{GangTable, Ledger, TickView, state_to_repeat},
     utils::{HashSet, Name, Timestamp},
