--- a/dragonflyrun/src/job/closing.rs
+++ b/dragonflyrun/src/job/closing.rs
@@ -19,7 +19,7 @@
 };
 
 /// Failed attempts that a job is allowed beyond those needed to quarantine the faulty workers, so
-/// that faulty workers alone can't make a sound job fail.
+/// that faulty workers alone can't make a job fail whose program works.
 const EXTRA_FAILURES: u32 = 2;
 
 /// Delay before a job is tried again; it grows by this much with each failed attempt, up to
--- a/dragonflyrun/src/job/pass.rs
+++ b/dragonflyrun/src/job/pass.rs
@@ -26,8 +26,8 @@
 /// Time after which a waiting job at least as large as a worker may evict younger and smaller jobs.
 pub(super) const AGED_AFTER: Duration = Duration::from_secs(30);
 
-/// The same for a smaller job, which usually finds a gap without an eviction, and would evict
-/// others for little gain.
+/// Time after which a waiting job smaller than a worker may evict younger and smaller jobs. It
+/// usually finds a gap without an eviction, and would evict others for little gain.
 const SMALL_AGED_AFTER: Duration = Duration::from_secs(600);
 
 /// The order in which waiting jobs are considered, lowest first. The flag is `false` for jobs with
--- a/dragonflyrun/src/job/ring_updater.rs
+++ b/dragonflyrun/src/job/ring_updater.rs
@@ -15,7 +15,8 @@
 /// refused until it is removed from the owners.
 const SETTLE_TIME: Duration = Duration::from_millis(4_000);
 
-/// The corresponding time while there are no owners yet, and therefore no key can be granted.
+/// How long the set of live agents has to stay unchanged before it becomes the first set of owners.
+/// It is shorter than [`SETTLE_TIME`], since no key can be granted until then.
 const INITIAL_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 
 /// Decides when the list of agents that own keys changes.
--- a/dragonflyrun/src/job/starting.rs
+++ b/dragonflyrun/src/job/starting.rs
@@ -13,7 +13,7 @@
 pub(super) const MAX_BLAMED_WORKERS_PER_JOB: usize = 2;
 
 /// How long a job must have been impossible on the known workers before it is ended. A planner that
-/// has recently taken over may not have heard from a worker that is temporarily away.
+/// has recently taken over may not have heard from a worker that is out of reach for a while.
 const IMPOSSIBLE_END_AFTER: Duration = Duration::from_secs(600);
 
 /// Delay until an impossible job is checked again.
--- a/dragonflyrun/src/job/timing.rs
+++ b/dragonflyrun/src/job/timing.rs
@@ -59,6 +59,6 @@
     .saturating_add(WORKER_TTL)
     .saturating_add(CLOCK_TOLERANCE);
 
-/// Time after the log stopped allowing a member to start, after which a member that was never known
-/// to run has stopped for certain.
+/// Time after which a member that was never known to run, and that the log no longer allows to
+/// start, has stopped for certain.
 pub const LAPSE_UNSTARTED: Duration = START_BOUND.saturating_add(LAPSE);
--- a/dragonflyrun/src/request/retry_budget.rs
+++ b/dragonflyrun/src/request/retry_budget.rs
@@ -6,8 +6,8 @@
 /// Number of retries that a process may make before its first request.
 const INITIAL_RETRIES: u64 = 10;
 
-/// Maximum number of retries that can be saved up. With more, the budget of a quiet hour would
-/// allow a retry storm.
+/// Maximum number of retries that can be saved up. With more, the budget earned over hours without
+/// failures would allow a retry storm.
 const MAX_SAVED_RETRIES: u64 = 50;
 
 /// The number of retries that may be made now.
--- a/dragonflyrun/tests/hedged_reads.rs
+++ b/dragonflyrun/tests/hedged_reads.rs
@@ -142,7 +142,8 @@
     assert!(follower.usual_delay() < Duration::from_millis(50));
 }
 
-/// Guards against the same for the read after a failed one, which has a shorter timeout.
+/// Guards against a large answer to the read after a failed one, which has a shorter timeout, that is
+/// aborted, or requested again while it arrives.
 #[tokio::test(start_paused = true)]
 async fn slow_transfer_after_failure() {
     let store = Arc::new(QuietStore::default());
